--- a/app/src/main/java/gorseladder/app/bench/LedgerBench.java
+++ b/app/src/main/java/gorseladder/app/bench/LedgerBench.java
@@ -61,7 +61,7 @@
         long taken = second + n % 1_000_000;
         String message = "/hooks/portal msg_" + n;
         String request = "/hooks/portal v1," + n * 0x9E3779B97F4A7C15L;
-        if (ledger.get(message) != null || ledger.seen(request)) {
+        if (ledger.get(message) != null || ledger.containsRequest(request)) {
           throw new IllegalStateException("known before");
         }
         long ticket = ledger.put(
@@ -229,7 +229,7 @@
           writers,
           records.get() / (double) SECONDS,
           waited.get() / 1000.0 / records.get(),
-          (double) records.get() / Math.max(1, ledger.commits()));
+          (double) records.get() / Math.max(1, ledger.commitCount()));
     }
   }
 }
--- a/edge/src/main/java/gorseladder/edge/Edge.java
+++ b/edge/src/main/java/gorseladder/edge/Edge.java
@@ -168,7 +168,7 @@
         stack,
         new ListHearer());
     planner =
-        settings.hasPlanner() ? new PlannerLink(settings, ledger.boots(), core, history) : null;
+        settings.hasPlanner() ? new PlannerLink(settings, ledger.openCount(), core, history) : null;
     front = new WebhookFront(
         config.webhooks(),
         requests,
@@ -209,7 +209,7 @@
         Address.print(address()),
         messageBytes.most(),
         ledger.size(),
-        ledger.boots());
+        ledger.openCount());
   }
 
   /** Loads a settings file with all checks that an edge needs. */
@@ -284,7 +284,7 @@
     watchdog.after(CHECK_EVERY, () -> {
       if (!closed.get()) {
         runners.check();
-        ledger.forgetUntil(ledger.clock().micros());
+        ledger.expireUntil(ledger.clock().micros());
         tellLedgerTrouble();
         checkLater();
       }
@@ -292,7 +292,7 @@
   }
 
   private void tellLedgerTrouble() {
-    String trouble = ledger.trouble();
+    String trouble = ledger.writeProblem();
     if (!Objects.equals(trouble, ledgerTrouble)) {
       LOG.warn(
           "the ledger {}",
--- a/edge/src/main/java/gorseladder/edge/core/Intake.java
+++ b/edge/src/main/java/gorseladder/edge/core/Intake.java
@@ -133,7 +133,7 @@
    * disk.
    */
   public boolean remembers(String message) {
-    return live.containsKey(message) || ledger.knows(message);
+    return live.containsKey(message) || ledger.isMessageIndexed(message);
   }
 
   /** Judges a delivery whose signature holds. */
@@ -277,7 +277,7 @@
       throws LedgerException {
     if (verdict.deed() != Repeats.Deed.REPLAYED) {
       ledger.putRequest(d.request(), d.requestKeepUntil());
-      ledger.soon();
+      ledger.flushSoon();
     }
     if (verdict.deed() == Repeats.Deed.JOIN) {
       out.join();
@@ -307,7 +307,7 @@
    */
   public void awaitRecord(TakenCall call, long until) {
     if (!Repeats.recordBeforeAnswer(call.facts().requestClass().effect())) {
-      ledger.soon();
+      ledger.flushSoon();
       return;
     }
     try {
--- a/edge/src/main/java/gorseladder/edge/core/RecordLookup.java
+++ b/edge/src/main/java/gorseladder/edge/core/RecordLookup.java
@@ -47,13 +47,13 @@
    * @throws LedgerException where it cannot be read, or not by then
    */
   Remembered of(String message, String request, long until) throws LedgerException {
-    long record = ledger.newestRecord(message);
-    boolean requestKnown = ledger.knowsRequest(request);
+    long record = ledger.newestRecordId(message);
+    boolean requestKnown = ledger.isRequestIndexed(request);
     if (record < 0 && !requestKnown) {
       return new Remembered(record, null, false, false);
     }
-    FutureTask<Remembered> reading = new FutureTask<>(
-        () -> new Remembered(record, ledger.get(message), requestKnown, ledger.seen(request)));
+    FutureTask<Remembered> reading = new FutureTask<>(() ->
+        new Remembered(record, ledger.get(message), requestKnown, ledger.containsRequest(request)));
     if (!threads.execute(reading)) {
       reading.run();
     }
@@ -62,12 +62,13 @@
 
   /** True where nothing newer was put since; never waits for the disk. */
   boolean isNewest(String message, Remembered remembered) {
-    return ledger.newestRecord(message) == remembered.record();
+    return ledger.newestRecordId(message) == remembered.record();
   }
 
   /** True where the signed request was taken before, as far as was read or has come to be known since. */
   boolean requestSeen(String request, Remembered remembered) {
-    return remembered.requestSeen() || !remembered.requestKnown() && ledger.knowsRequest(request);
+    return remembered.requestSeen()
+        || !remembered.requestKnown() && ledger.isRequestIndexed(request);
   }
 
   private static Remembered await(FutureTask<Remembered> reading, long until)
--- a/edge/src/main/java/gorseladder/edge/core/TakenCall.java
+++ b/edge/src/main/java/gorseladder/edge/core/TakenCall.java
@@ -144,9 +144,9 @@
     if (end != null
         && end.reason().kind != Reason.Kind.SERVED
         && entry.stage() == Stage.CLOSED
-        && endRecord == ledger.newestRecord(facts().message())) {
+        && endRecord == ledger.newestRecordId(facts().message())) {
       record(end, true, body, true);
-      ledger.soon();
+      ledger.flushSoon();
     }
   }
 
@@ -161,7 +161,7 @@
         kept);
     try {
       endTicket = ledger.put(facts().message(), entry, request, requestKeepUntil);
-      endRecord = ledger.newestRecord(facts().message());
+      endRecord = ledger.newestRecordId(facts().message());
     } catch (LedgerException e) {
       // The record of its leaving stands: a repeat finds that it may have run, which is the
       // safe side.
--- a/store/src/main/java/gorseladder/store/Ledger.java
+++ b/store/src/main/java/gorseladder/store/Ledger.java
@@ -271,7 +271,7 @@
   }
 
   /** How often this ledger was opened, this time included. */
-  public long boots() {
+  public long openCount() {
     return boots;
   }
 
@@ -291,7 +291,7 @@
   }
 
   /** Why nothing can be written at present, or that a write takes long; null where all is well. */
-  public String trouble() {
+  public String writeProblem() {
     Throwable why = failure;
     if (why != null) {
       return String.valueOf(why.getMessage());
@@ -319,7 +319,7 @@
   }
 
   /** True where something is known of a message, or was until lately; never waits for the disk. */
-  public boolean knows(String message) {
+  public boolean isMessageIndexed(String message) {
     return newest(message) != null;
   }
 
@@ -327,7 +327,7 @@
    * Names the newest record of a message: the same number as long as no other one was put; -1 where there is none.
    * Never waits for the disk.
    */
-  public long newestRecord(String message) {
+  public long newestRecordId(String message) {
     Place place = newest(message);
     return place == null ? -1 : place.segment().number << Integer.SIZE | place.at();
   }
@@ -355,7 +355,7 @@
    *
    * @throws LedgerException where its record cannot be read
    */
-  public boolean seen(String request) throws LedgerException {
+  public boolean containsRequest(String request) throws LedgerException {
     for (Place place : ofRequest(request)) {
       LedgerRecord record = read(place);
       if (record != null && record.requestUntil() > now) {
@@ -366,7 +366,7 @@
   }
 
   /** True where a signed request stands in the tables, expired or not; never waits for the disk. */
-  public boolean knowsRequest(String request) {
+  public boolean isRequestIndexed(String request) {
     return !ofRequest(request).isEmpty();
   }
 
@@ -511,7 +511,7 @@
   }
 
   /** Lets the record be written soon, without waiting. */
-  public void soon() {
+  public void flushSoon() {
     lock.lock();
     try {
       want();
@@ -568,7 +568,7 @@
   }
 
   /** Forgets what may be forgotten by this time (microseconds since 1970); its bytes go at the next commits. */
-  public void forgetUntil(long time) {
+  public void expireUntil(long time) {
     lock.lock();
     try {
       now = Math.max(now, time);
@@ -724,7 +724,7 @@
   }
 
   /** Commits so far; for measurements. */
-  public long commits() {
+  public long commitCount() {
     lock.lock();
     try {
       return commits;
--- a/store/src/test/java/gorseladder/store/LedgerTest.java
+++ b/store/src/test/java/gorseladder/store/LedgerTest.java
@@ -67,17 +67,17 @@
       ledger.put("a", entry(Stage.ACCEPTED, 99));
       ledger.await(ledger.put("b", served, "q", 98));
       ledger.putRequest("r", 99);
-      assertEquals(1, ledger.boots());
+      assertEquals(1, ledger.openCount());
     }
     try (Ledger ledger = open(folder())) {
       assertEquals(Stage.ACCEPTED, ledger.get("a").stage());
       assertEquals(served, ledger.get("b"));
       assertArrayEquals(new byte[] {7}, ledger.get("b").answer());
-      assertTrue(ledger.seen("r") && ledger.seen("q"));
-      assertFalse(ledger.seen("a"));
+      assertTrue(ledger.containsRequest("r") && ledger.containsRequest("q"));
+      assertFalse(ledger.containsRequest("a"));
       assertNull(ledger.get("c"));
       assertNull(ledger.get("q"));
-      assertEquals(2, ledger.boots());
+      assertEquals(2, ledger.openCount());
       assertEquals(2, ledger.size());
     }
   }
@@ -129,7 +129,7 @@
         try (Ledger ledger = open(cut)) {
           for (int i = 0; i < 4; i++) {
             assertEquals(length >= ends.get(i), ledger.get("k" + i) != null);
-            assertEquals(length >= ends.get(i), ledger.seen("r" + i));
+            assertEquals(length >= ends.get(i), ledger.containsRequest("r" + i));
           }
           ledger.await(ledger.put("after", entry(Stage.ACCEPTED, 1000)));
         }
@@ -148,14 +148,14 @@
       for (int i = 0; i < records; i++) {
         ledger.putRequest("r" + i, 1_000_000);
       }
-      ledger.forgetUntil(999_999);
+      ledger.expireUntil(999_999);
       ledger.await(ledger.put("a", entry(Stage.ACCEPTED, 2_000_000)));
       for (int i = 0; i < records; i++) {
-        assertTrue(ledger.seen("r" + i));
+        assertTrue(ledger.containsRequest("r" + i));
       }
-      ledger.forgetUntil(1_000_000);
+      ledger.expireUntil(1_000_000);
       for (int i = 0; i < records; i++) {
-        assertFalse(ledger.seen("r" + i));
+        assertFalse(ledger.containsRequest("r" + i));
       }
       assertEquals(1, ledger.size());
     }
@@ -170,13 +170,13 @@
     long second = 1_000_000;
     try (Ledger ledger = Ledger.open(folder(), false, 100_000, 2_000, LedgerFiles.PLAIN)) {
       for (int i = 0; i < 200; i++) {
-        ledger.forgetUntil(i * second);
+        ledger.expireUntil(i * second);
         ledger.await(ledger.put(
             "k" + i, entry(Stage.LEAVING, (i + 50) * second), "r" + i, (i + 10) * second));
         ledger.await(ledger.put("k" + i, entry(Stage.CLOSED, (i + 50) * second)));
         for (int k = 0; k <= i; k++) {
           assertEquals(k + 50 > i, ledger.get("k" + k) != null, i + " " + k);
-          assertEquals(k + 10 > i, ledger.seen("r" + k), i + " " + k);
+          assertEquals(k + 10 > i, ledger.containsRequest("r" + k), i + " " + k);
         }
         assertTrue(
             ledger.size() <= 51 && segments(folder()).size() <= 30,
@@ -185,8 +185,8 @@
       assertFalse(Files.exists(folder().resolve("0000000000000001.segment")));
     }
     try (Ledger ledger = open(folder())) {
-      assertEquals(2, ledger.boots());
-      ledger.forgetUntil(199 * second);
+      assertEquals(2, ledger.openCount());
+      ledger.expireUntil(199 * second);
       assertEquals(Stage.CLOSED, ledger.get("k199").stage());
       assertEquals(Stage.CLOSED, ledger.get("k150").stage());
       assertNull(ledger.get("k149"));
@@ -209,19 +209,19 @@
     for (int opening = 0; opening < 2; opening++) {
       Files.write(former, bytes);
       try (Ledger ledger = open(folder())) {
-        assertEquals(8 + opening, ledger.boots());
+        assertEquals(8 + opening, ledger.openCount());
         assertEquals(Stage.LEAVING, ledger.get("a").stage());
-        ledger.forgetUntil(49);
-        assertTrue(ledger.seen("r"));
+        ledger.expireUntil(49);
+        assertTrue(ledger.containsRequest("r"));
       }
       assertFalse(Files.exists(former));
     }
     try (Ledger ledger = open(folder())) {
-      ledger.forgetUntil(55);
+      ledger.expireUntil(55);
       assertNull(ledger.get("a"));
-      assertTrue(ledger.seen("r"));
-      ledger.forgetUntil(60);
-      assertFalse(ledger.seen("r"));
+      assertTrue(ledger.containsRequest("r"));
+      ledger.expireUntil(60);
+      assertFalse(ledger.containsRequest("r"));
     }
     Files.write(former, new byte[9000]);
     assertThrows(LedgerException.class, () -> open(folder()));
@@ -237,11 +237,11 @@
       assertTrue(ledger.hasRoom());
       ledger.put("c", entry(Stage.ACCEPTED, 20 * second));
       assertFalse(ledger.hasRoom());
-      ledger.forgetUntil(15 * second);
+      ledger.expireUntil(15 * second);
       ledger.await(ledger.put("c", entry(Stage.LEAVING, 20 * second)));
       assertNull(ledger.get("a"));
       assertNull(ledger.get("b"));
-      assertFalse(ledger.seen("r"));
+      assertFalse(ledger.containsRequest("r"));
       assertEquals(Stage.LEAVING, ledger.get("c").stage());
       assertTrue(ledger.hasRoom());
     }
@@ -361,11 +361,11 @@
         }
       }
       now += random.nextInt(4);
-      ledger.forgetUntil(now);
+      ledger.expireUntil(now);
       if (random.nextInt(500) == 0) {
         ledger.close();
         ledger = Ledger.open(folder(), false, 100_000, 3_000, LedgerFiles.PLAIN);
-        ledger.forgetUntil(now);
+        ledger.expireUntil(now);
       }
     }
     ledger.close();
@@ -462,14 +462,14 @@
       }
       int files = segments(folder()).size();
       disk.removalsFail = true;
-      ledger.forgetUntil(100);
+      ledger.expireUntil(100);
       ledger.await(ledger.put("a", entry(Stage.LEAVING, 1_000)));
       ledger.await(ledger.put("b", entry(Stage.LEAVING, 1_000)));
       assertTrue(ledger.hasRoom());
       assertNull(ledger.get("k1"));
       disk.removalsFail = false;
       for (int i = 0; i < 300 && segments(folder()).size() >= files; i++) {
-        ledger.forgetUntil(101 + i);
+        ledger.expireUntil(101 + i);
         Thread.sleep(10);
       }
       assertTrue(segments(folder()).size() < files, "they go later");
