--- a/app/src/main/java/gorseladder/app/HistoryCommand.java
+++ b/app/src/main/java/gorseladder/app/HistoryCommand.java
@@ -35,7 +35,7 @@
       System.err.println("gorseladder: " + directory + " holds no history");
       return Main.BAD_USAGE;
     }
-    try (History history = History.open(directory, History.Bounds.USUAL)) {
+    try (History history = History.open(directory, History.Bounds.DEFAULT)) {
       History.Batch batch = history.read(from, Integer.MAX_VALUE);
       batch.rows().forEach(row -> System.out.println(Json.write(line(row))));
       Map<String, Object> end = new LinkedHashMap<>();
@@ -49,7 +49,7 @@
 
   private static Map<String, Object> line(HistoryRow r) {
     Map<String, Object> line = new LinkedHashMap<>();
-    line.put("from", java.time.Instant.ofEpochSecond(r.from() * 60).toString());
+    line.put("from", java.time.Instant.ofEpochSecond(r.startMinute() * 60).toString());
     line.put("minutes", r.minutes());
     line.put("function", r.function());
     line.put("class", r.requestClass());
--- a/app/src/main/java/gorseladder/app/ReplayCommand.java
+++ b/app/src/main/java/gorseladder/app/ReplayCommand.java
@@ -48,10 +48,10 @@
         System.err.println("gorseladder: " + directory + " holds no history");
         return Main.BAD_USAGE;
       }
-      try (History history = History.open(directory, History.Bounds.USUAL)) {
+      try (History history = History.open(directory, History.Bounds.DEFAULT)) {
         for (HistoryRow row : history.read(0, Integer.MAX_VALUE).rows()) {
           if (row.calls() > 0 && !row.function().isEmpty()) {
-            recording.add(row.from(), row.minutes(), row.function(), row.calls());
+            recording.add(row.startMinute(), row.minutes(), row.function(), row.calls());
           }
         }
       }
--- a/edge/src/main/java/gorseladder/edge/EdgeSystem.java
+++ b/edge/src/main/java/gorseladder/edge/EdgeSystem.java
@@ -16,7 +16,7 @@
   /** The machine as it is, with threads of that stack. */
   public static EdgeSystem usual(int stackBytes) {
     return new EdgeSystem(
-        LedgerFiles.PLAIN,
+        LedgerFiles.DEFAULT,
         Threads.factory("webhook", stackBytes),
         Threads.factory("attempt", stackBytes));
   }
--- a/edge/src/main/java/gorseladder/edge/core/Intake.java
+++ b/edge/src/main/java/gorseladder/edge/core/Intake.java
@@ -269,7 +269,7 @@
         out,
         entry.mayHaveRun(),
         entry.leftAt(),
-        Arrays.equals(entry.content(), content));
+        Arrays.equals(entry.contentDigest(), content));
   }
 
   /** A joined or repeated delivery's own signature is remembered too; whoever replays it later gets 409. */
--- a/edge/src/main/java/gorseladder/edge/core/TakenCall.java
+++ b/edge/src/main/java/gorseladder/edge/core/TakenCall.java
@@ -86,7 +86,7 @@
     }
     if (leavingTicket == 0) {
       LedgerEntry leaving =
-          entry.at(Stage.LEAVING, true, entry.mayHaveRun() ? entry.leftAt() : now);
+          entry.withStage(Stage.LEAVING, true, entry.mayHaveRun() ? entry.leftAt() : now);
       leavingTicket = ledger.put(facts().message(), leaving);
       entry = leaving;
     }
@@ -153,7 +153,7 @@
   private void record(FinalAnswer end, boolean served, byte[] body, boolean mayHaveRun) {
     byte[] kept = body != null && body.length <= maxKept ? body : null;
     boolean keeps = served && (kept != null || body == null);
-    entry = entry.ended(
+    entry = entry.withOutcome(
         keeps ? Stage.SERVED : Stage.CLOSED,
         served || mayHaveRun,
         end.reason().word(),
--- a/edge/src/main/java/gorseladder/edge/front/WebhookFront.java
+++ b/edge/src/main/java/gorseladder/edge/front/WebhookFront.java
@@ -425,7 +425,7 @@
       // tolerance as slack.
       long keepRequest = intake
           .clock()
-          .fromNow(
+          .fromWallClock(
               (delivery.timestamp() + 2 * endpoint.tolerance()) * 1_000_000, Clock.wallMicros());
       times.patience(Math.min(requestClass.deadline(), times.patience()));
       turn.give();
--- a/edge/src/main/java/gorseladder/edge/plans/PlannerLink.java
+++ b/edge/src/main/java/gorseladder/edge/plans/PlannerLink.java
@@ -130,7 +130,7 @@
   private boolean ask() throws IOException, BadMessage, InterruptedException {
     Collected collected = collect();
     History.Batch batch = history.read(from, MOST_ROWS);
-    boolean caughtUp = batch.next() >= history.next();
+    boolean caughtUp = batch.next() >= history.nextNumber();
     Ask.Builder ask = Ask.newBuilder()
         .setOrdinal(settings.getOrdinal())
         .setEdges(settings.getEdges())
--- a/planner/src/main/java/gorseladder/planner/Planner.java
+++ b/planner/src/main/java/gorseladder/planner/Planner.java
@@ -130,7 +130,7 @@
   private void count(HistoryRow row) {
     int parts = Math.max(1, row.minutes() / settings.getSlotMinutes());
     for (int i = 0; i < parts; i++) {
-      long slot = local.slot((row.from() + (long) i * settings.getSlotMinutes()) * 60);
+      long slot = local.slot((row.startMinute() + (long) i * settings.getSlotMinutes()) * 60);
       long calls = row.calls() * (i + 1) / parts - row.calls() * i / parts;
       if (slot > maker.forecasts().last()) {
         Map<String, Integer> counts = unobserved.computeIfAbsent(slot, s -> new HashMap<>());
--- a/planner/src/main/java/gorseladder/planner/PlannerStore.java
+++ b/planner/src/main/java/gorseladder/planner/PlannerStore.java
@@ -101,7 +101,8 @@
   /** Takes rows of an edge's history, numbered from {@code from}. Committed with {@link #commit}. */
   void take(int edge, String history, long from, long next, List<HistoryRow> all) {
     for (int i = 0; i < all.size(); i++) {
-      rows.put(key(all.get(i).from(), edge, history, from + i), all.get(i).toBytes());
+      rows.put(
+          key(all.get(i).startMinute(), edge, history, from + i), all.get(i).toBytes());
     }
     cursors.put(edge, history + " " + next);
   }
--- a/store/src/main/java/gorseladder/store/Digests.java
+++ b/store/src/main/java/gorseladder/store/Digests.java
@@ -9,7 +9,7 @@
   private Digests() {}
 
   /** CRC-32C of a part of the bytes. */
-  public static int crc(byte[] bytes, int from, int count) {
+  public static int crc32c(byte[] bytes, int from, int count) {
     CRC32C crc = new CRC32C();
     crc.update(bytes, from, count);
     return (int) crc.getValue();
--- a/store/src/main/java/gorseladder/store/Ledger.java
+++ b/store/src/main/java/gorseladder/store/Ledger.java
@@ -243,7 +243,7 @@
    * @throws LedgerException where it is damaged, held by another process, of another format or cannot be written
    */
   public static Ledger open(Path folder, boolean sync, int maxMessages) throws LedgerException {
-    return open(folder, sync, maxMessages, LedgerFiles.PLAIN);
+    return open(folder, sync, maxMessages, LedgerFiles.DEFAULT);
   }
 
   /** As above, with a way to write that tests choose. */
--- a/store/src/main/java/gorseladder/store/LedgerClock.java
+++ b/store/src/main/java/gorseladder/store/LedgerClock.java
@@ -11,7 +11,7 @@
  *
  * <p>Guards against messages that are forgotten, or windows that count as over or as not begun, because the wall clock
  * was stepped. It could harm where the clock was wrong at the first start after a boot: this time is then wrong until
- * the next boot, which only matters where it is compared with another machine's; {@link #fromNow} is for that. Any
+ * the next boot, which only matters where it is compared with another machine's; {@link #fromWallClock} is for that. Any
  * thread.
  */
 public final class LedgerClock {
@@ -86,7 +86,7 @@
    * @param moment microseconds since 1970, as another machine's clock has it
    * @param wall this machine's wall clock now
    */
-  public long fromNow(long moment, long wall) {
+  public long fromWallClock(long moment, long wall) {
     return micros() + (moment - wall);
   }
 }
--- a/store/src/main/java/gorseladder/store/LedgerEntry.java
+++ b/store/src/main/java/gorseladder/store/LedgerEntry.java
@@ -14,7 +14,7 @@
  * @param takenAt when it was last taken
  * @param leftAt when the first attempt that may have run may have left; 0 where none
  * @param keepUntil when it may be forgotten
- * @param content digest of class, function and body
+ * @param contentDigest digest of class, function and body
  * @param reason the word of the final reason, empty before the end
  * @param status the HTTP status answered, 0 before the end
  * @param answer the answer's content where it is kept, else null
@@ -25,7 +25,7 @@
     long takenAt,
     long leftAt,
     long keepUntil,
-    byte[] content,
+    byte[] contentDigest,
     String reason,
     int status,
     byte[] answer) {
@@ -40,25 +40,34 @@
   }
 
   /** The same message at another stage, without an end. */
-  public LedgerEntry at(Stage next, boolean ran, long left) {
-    return new LedgerEntry(next, ran, takenAt, left, keepUntil, content, reason, status, answer);
+  public LedgerEntry withStage(Stage next, boolean ran, long left) {
+    return new LedgerEntry(
+        next, ran, takenAt, left, keepUntil, contentDigest, reason, status, answer);
   }
 
   /** The same message with its end. */
-  public LedgerEntry ended(Stage next, boolean ran, String why, int code, byte[] body) {
+  public LedgerEntry withOutcome(Stage next, boolean ran, String why, int code, byte[] body) {
     return new LedgerEntry(
-        next, ran, takenAt, ran ? leftAt : 0, keepUntil, content, why, code, body);
+        next, ran, takenAt, ran ? leftAt : 0, keepUntil, contentDigest, why, code, body);
   }
 
   byte[] toBytes() {
     byte[] word = reason.getBytes(StandardCharsets.UTF_8);
     int answerLength = answer == null ? -1 : answer.length;
-    ByteBuffer out = ByteBuffer.allocate(
-        4 + 3 + 24 + 2 + content.length + 2 + word.length + 2 + 4 + Math.max(0, answerLength));
+    ByteBuffer out = ByteBuffer.allocate(4
+        + 3
+        + 24
+        + 2
+        + contentDigest.length
+        + 2
+        + word.length
+        + 2
+        + 4
+        + Math.max(0, answerLength));
     out.position(4);
     out.put(FORMAT).put((byte) stage.ordinal()).put((byte) (mayHaveRun ? 1 : 0));
     out.putLong(takenAt).putLong(leftAt).putLong(keepUntil);
-    out.putShort((short) content.length).put(content);
+    out.putShort((short) contentDigest.length).put(contentDigest);
     out.putShort((short) word.length).put(word);
     out.putShort((short) status).putInt(answerLength);
     if (answer != null) {
@@ -84,7 +93,7 @@
       long takenAt = in.getLong();
       long leftAt = in.getLong();
       long keepUntil = in.getLong();
-      byte[] content = read(in, in.getShort());
+      byte[] contentDigest = read(in, in.getShort());
       String reason = new String(read(in, in.getShort()), StandardCharsets.UTF_8);
       int status = in.getShort();
       int answerLength = in.getInt();
@@ -94,7 +103,7 @@
           takenAt,
           leftAt,
           keepUntil,
-          content,
+          contentDigest,
           reason,
           status,
           answerLength < 0 ? null : read(in, answerLength));
@@ -113,7 +122,7 @@
   }
 
   private static int checksum(byte[] bytes) {
-    return Digests.crc(bytes, 4, bytes.length - 4);
+    return Digests.crc32c(bytes, 4, bytes.length - 4);
   }
 
   @Override
--- a/store/src/main/java/gorseladder/store/LedgerFiles.java
+++ b/store/src/main/java/gorseladder/store/LedgerFiles.java
@@ -13,7 +13,7 @@
  */
 public interface LedgerFiles {
   /** Files as the system has them. */
-  LedgerFiles PLAIN = (to, bytes) -> {
+  LedgerFiles DEFAULT = (to, bytes) -> {
     while (bytes.hasRemaining()) {
       to.write(bytes);
     }
--- a/store/src/main/java/gorseladder/store/LedgerSegment.java
+++ b/store/src/main/java/gorseladder/store/LedgerSegment.java
@@ -77,7 +77,7 @@
       out = FileChannel.open(file, StandardOpenOption.WRITE, StandardOpenOption.CREATE);
       if (out.size() < HEAD) {
         ByteBuffer head = ByteBuffer.allocate(HEAD).putInt(MARK).putInt(FORMAT).putLong(number);
-        head.putInt(Digests.crc(head.array(), 0, HEAD - 8)).putInt(0);
+        head.putInt(Digests.crc32c(head.array(), 0, HEAD - 8)).putInt(0);
         out.truncate(0);
         files.write(out, head.flip());
       }
@@ -88,7 +88,7 @@
     frame
         .putInt(0, FRAME_MARK)
         .putInt(4, length)
-        .putInt(8, Digests.crc(frame.array(), FRAME_HEAD, length));
+        .putInt(8, Digests.crc32c(frame.array(), FRAME_HEAD, length));
     files.write(out, frame);
     if (sync) {
       files.force(out);
@@ -146,7 +146,7 @@
       byte[] head = new byte[HEAD];
       bytes.readFully(head);
       ByteBuffer h = ByteBuffer.wrap(head);
-      if (h.getInt() != MARK || h.getInt(16) != Digests.crc(head, 0, HEAD - 8)) {
+      if (h.getInt() != MARK || h.getInt(16) != Digests.crc32c(head, 0, HEAD - 8)) {
         throw new IOException(file.getFileName() + " is damaged at byte 0");
       }
       int format = h.getInt();
@@ -180,7 +180,7 @@
     }
     byte[] payload = new byte[length];
     bytes.readFully(payload);
-    if (Digests.crc(payload, 0, length) != crc) {
+    if (Digests.crc32c(payload, 0, length) != crc) {
       return false;
     }
     ByteBuffer in = ByteBuffer.wrap(payload);
@@ -204,7 +204,7 @@
           if (length >= 0 && length <= rest.capacity() - i - FRAME_HEAD) {
             byte[] payload = new byte[length];
             rest.get(i + FRAME_HEAD, payload);
-            if (Digests.crc(payload, 0, length) == rest.getInt(i + 8)) {
+            if (Digests.crc32c(payload, 0, length) == rest.getInt(i + 8)) {
               return true;
             }
           }
--- a/store/src/main/java/gorseladder/store/history/History.java
+++ b/store/src/main/java/gorseladder/store/history/History.java
@@ -32,15 +32,15 @@
    * Bounds.
    *
    * @param segmentBytes size at which a new segment begins
-   * @param fineMinutes rows wholly older than this are compacted into hours
+   * @param compactAfterMinutes rows wholly older than this are compacted into hours
    * @param maxBytes size of all segments at the most; the oldest are dropped
    */
-  public record Bounds(long segmentBytes, long fineMinutes, long maxBytes) {
+  public record Bounds(long segmentBytes, long compactAfterMinutes, long maxBytes) {
     /** For reading a history whose edge is stopped. */
-    public static final Bounds USUAL = new Bounds(4 << 20, 20_160, 256 << 20);
+    public static final Bounds DEFAULT = new Bounds(4 << 20, 20_160, 256 << 20);
 
     public Bounds {
-      if (segmentBytes < 1_024 || fineMinutes < HOUR || maxBytes < 4 * segmentBytes) {
+      if (segmentBytes < 1_024 || compactAfterMinutes < HOUR || maxBytes < 4 * segmentBytes) {
         throw new IllegalArgumentException("impossible bounds of a history");
       }
     }
@@ -156,8 +156,10 @@
   }
 
   private void add(Path f, Segment.Content content) {
-    long latest =
-        content.rows().stream().mapToLong(r -> r.from() + r.minutes() - 1).max().orElse(0);
+    long latest = content.rows().stream()
+        .mapToLong(r -> r.startMinute() + r.minutes() - 1)
+        .max()
+        .orElse(0);
     boolean coarse = content.covers() != content.rows().size()
         || content.rows().stream().allMatch(r -> r.minutes() >= HOUR);
     parts.put(
@@ -202,7 +204,7 @@
       write(record);
       bytes += length;
       next++;
-      lastMinute = Math.max(lastMinute, row.from() + row.minutes() - 1);
+      lastMinute = Math.max(lastMinute, row.startMinute() + row.minutes() - 1);
       if (bytes >= bounds.segmentBytes()) {
         roll();
       }
@@ -251,7 +253,7 @@
   }
 
   /** The number that the next row will get. */
-  public synchronized long next() {
+  public synchronized long nextNumber() {
     return next;
   }
 
@@ -287,7 +289,7 @@
    */
   public synchronized void compact(long nowMinute) throws IOException {
     for (Part part : List.copyOf(parts.values())) {
-      if (!part.coarse() && part.lastMinute() + bounds.fineMinutes() < nowMinute) {
+      if (!part.coarse() && part.lastMinute() + bounds.compactAfterMinutes() < nowMinute) {
         coarsen(part);
       }
     }
@@ -303,7 +305,7 @@
   private void coarsen(Part part) throws IOException {
     Map<List<Object>, HistoryRow> hours = new LinkedHashMap<>();
     for (HistoryRow row : Segment.read(part.file()).rows()) {
-      long hour = row.from() / HOUR * HOUR;
+      long hour = row.startMinute() / HOUR * HOUR;
       int length = Math.max(HOUR, row.minutes());
       hours.merge(
           List.of(hour, row.key()), row.over(hour, length), (a, b) -> a.plus(b, hour, length));
@@ -334,7 +336,7 @@
   }
 
   /** Bytes on disk. */
-  public synchronized long bytes() {
+  public synchronized long sizeBytes() {
     return (channel == null ? 0 : bytes)
         + parts.values().stream().mapToLong(Part::bytes).sum();
   }
--- a/store/src/main/java/gorseladder/store/history/HistoryRow.java
+++ b/store/src/main/java/gorseladder/store/history/HistoryRow.java
@@ -7,13 +7,13 @@
 /**
  * What happened to the calls of one function, class and tenant in a stretch of time. Rows of one key add up.
  *
- * @param from the first minute, since 1970
+ * @param startMinute the first minute, since 1970
  * @param minutes how many minutes it covers, 1 or more
  * @param calls taken; {@code found}, {@code began} and {@code awaited} say what their served attempts met
  * @param loads copies loaded and {@code loadMicros} the time they took in all
  */
 public record HistoryRow(
-    long from,
+    long startMinute,
     int minutes,
     String function,
     String requestClass,
@@ -27,7 +27,7 @@
     long loads,
     long loadMicros) {
   public HistoryRow {
-    if (minutes < 1 || from < 0) {
+    if (minutes < 1 || startMinute < 0) {
       throw new IllegalArgumentException("a row covers at least one minute since 1970");
     }
   }
@@ -83,7 +83,7 @@
     };
     ByteBuffer out = ByteBuffer.allocate(
         8 + 4 + 6 + texts[0].length + texts[1].length + texts[2].length + 8 * 8);
-    out.putLong(from).putInt(minutes);
+    out.putLong(startMinute).putInt(minutes);
     for (byte[] text : texts) {
       out.putShort((short) text.length).put(text);
     }
@@ -102,7 +102,7 @@
   public static HistoryRow of(byte[] bytes) {
     try {
       ByteBuffer in = ByteBuffer.wrap(bytes);
-      long from = in.getLong();
+      long startMinute = in.getLong();
       int minutes = in.getInt();
       String[] texts = new String[3];
       for (int i = 0; i < 3; i++) {
@@ -111,7 +111,7 @@
         texts[i] = new String(text, StandardCharsets.UTF_8);
       }
       return new HistoryRow(
-          from,
+          startMinute,
           minutes,
           texts[0],
           texts[1],
--- a/store/src/main/java/gorseladder/store/history/Segment.java
+++ b/store/src/main/java/gorseladder/store/history/Segment.java
@@ -27,14 +27,14 @@
   static byte[] head(long first, long covers) {
     ByteBuffer out = ByteBuffer.allocate(HEAD);
     out.putInt(MARK).putInt(FORMAT).putLong(first).putLong(covers).putInt(0);
-    out.putInt(28, Digests.crc(out.array(), 0, 28));
+    out.putInt(28, Digests.crc32c(out.array(), 0, 28));
     return out.array();
   }
 
   static byte[] record(HistoryRow row) {
     byte[] bytes = row.toBytes();
     ByteBuffer out = ByteBuffer.allocate(8 + bytes.length);
-    out.putInt(bytes.length).putInt(Digests.crc(bytes, 0, bytes.length)).put(bytes);
+    out.putInt(bytes.length).putInt(Digests.crc32c(bytes, 0, bytes.length)).put(bytes);
     return out.array();
   }
 
@@ -47,7 +47,7 @@
     ByteBuffer in = ByteBuffer.wrap(Files.readAllBytes(file));
     if (in.capacity() < HEAD
         || in.getInt(0) != MARK
-        || in.getInt(28) != Digests.crc(in.array(), 0, 28)) {
+        || in.getInt(28) != Digests.crc32c(in.array(), 0, 28)) {
       return null;
     }
     if (in.getInt(4) != FORMAT) {
@@ -67,7 +67,7 @@
       }
       byte[] bytes = new byte[length];
       in.get(bytes);
-      if (crc != Digests.crc(bytes, 0, length)) {
+      if (crc != Digests.crc32c(bytes, 0, length)) {
         break;
       }
       rows.add(HistoryRow.of(bytes));
--- a/store/src/test/java/gorseladder/store/LedgerTest.java
+++ b/store/src/test/java/gorseladder/store/LedgerTest.java
@@ -62,7 +62,7 @@
   @Test
   void entriesSurviveAnOrderlyCloseAndCountBoots() throws IOException {
     LedgerEntry served =
-        entry(Stage.LEAVING, 99).ended(Stage.SERVED, false, "served", 200, new byte[] {7});
+        entry(Stage.LEAVING, 99).withOutcome(Stage.SERVED, false, "served", 200, new byte[] {7});
     try (Ledger ledger = Ledger.open(folder(), true, 10)) {
       ledger.put("a", entry(Stage.ACCEPTED, 99));
       ledger.await(ledger.put("b", served, "q", 98));
@@ -89,7 +89,7 @@
   @Test
   void whatWasAwaitedIsInTheFilesAtOnce() throws IOException {
     Random random = new Random(3);
-    try (Ledger ledger = Ledger.open(folder(), false, 1000, 700, LedgerFiles.PLAIN)) {
+    try (Ledger ledger = Ledger.open(folder(), false, 1000, 700, LedgerFiles.DEFAULT)) {
       for (int round = 0; round < 30; round++) {
         for (int i = 0; i < random.nextInt(20); i++) {
           ledger.put("x" + round + "-" + i, entry(Stage.ACCEPTED, 1000));
@@ -168,7 +168,7 @@
   @Test
   void expiredSegmentsGoWhole() throws IOException {
     long second = 1_000_000;
-    try (Ledger ledger = Ledger.open(folder(), false, 100_000, 2_000, LedgerFiles.PLAIN)) {
+    try (Ledger ledger = Ledger.open(folder(), false, 100_000, 2_000, LedgerFiles.DEFAULT)) {
       for (int i = 0; i < 200; i++) {
         ledger.expireUntil(i * second);
         ledger.await(ledger.put(
@@ -250,7 +250,7 @@
   /** Bytes turned over anywhere in the first of two files, or in the last before its last frame. */
   @Test
   void aDamagedFileIsRefusedWithAWayOutAndLeftAlone() throws IOException {
-    try (Ledger ledger = Ledger.open(folder(), false, 1000, 20_000, LedgerFiles.PLAIN)) {
+    try (Ledger ledger = Ledger.open(folder(), false, 1000, 20_000, LedgerFiles.DEFAULT)) {
       for (int i = 0; i < 300; i++) {
         ledger.await(ledger.put("key" + i, entry(Stage.SERVED, 1000)));
       }
@@ -336,7 +336,7 @@
     Random random = new Random(8);
     Map<String, LedgerEntry> plain = new HashMap<>();
     long now = 0;
-    Ledger ledger = Ledger.open(folder(), false, 100_000, 3_000, LedgerFiles.PLAIN);
+    Ledger ledger = Ledger.open(folder(), false, 100_000, 3_000, LedgerFiles.DEFAULT);
     for (int step = 0; step < 20_000; step++) {
       String name = "m" + random.nextInt(300);
       LedgerEntry old = plain.get(name);
@@ -364,7 +364,7 @@
       ledger.expireUntil(now);
       if (random.nextInt(500) == 0) {
         ledger.close();
-        ledger = Ledger.open(folder(), false, 100_000, 3_000, LedgerFiles.PLAIN);
+        ledger = Ledger.open(folder(), false, 100_000, 3_000, LedgerFiles.DEFAULT);
         ledger.expireUntil(now);
       }
     }
@@ -383,7 +383,7 @@
         to.write(bytes.slice(0, bytes.remaining() / 2));
         throw new IOException("No space left on device");
       }
-      PLAIN.write(to, bytes);
+      DEFAULT.write(to, bytes);
     }
 
     @Override
@@ -428,8 +428,8 @@
       assertThrows(LedgerException.class, () -> ledger.await(ticket));
       assertFalse(ledger.hasRoom());
       assertEquals(Stage.LEAVING, ledger.get("during").stage(), "it may be written yet");
-      LedgerEntry served =
-          entry(Stage.LEAVING, 1_000).ended(Stage.SERVED, true, "served", 200, new byte[] {7});
+      LedgerEntry served = entry(Stage.LEAVING, 1_000)
+          .withOutcome(Stage.SERVED, true, "served", 200, new byte[] {7});
       long end = ledger.put("before3", served);
       assertThrows(LedgerException.class, () -> ledger.await(end));
       Thread.sleep(300);
--- a/store/src/test/java/gorseladder/store/history/HistoryTest.java
+++ b/store/src/test/java/gorseladder/store/history/HistoryTest.java
@@ -60,7 +60,7 @@
               all.subList(0, expected),
               history.read(0, 1000).rows().subList(0, expected),
               "cut at " + cut);
-          assertEquals(expected + open, history.next());
+          assertEquals(expected + open, history.nextNumber());
           history.append(List.of(row(99, 9, 9)));
         }
       }
@@ -89,7 +89,7 @@
     assertTrue(why.contains(victim.toString()) && why.contains("move it away"), why);
     Files.move(victim, dir.resolve("away"));
     try (History history = History.open(dir, BOUNDS)) {
-      assertEquals(200, history.next(), "numbers are not given twice");
+      assertEquals(200, history.nextNumber(), "numbers are not given twice");
     }
   }
 
@@ -130,7 +130,7 @@
   private static long follow(History history, long cursor, TreeMap<Long, List<HistoryRow>> read)
       throws IOException {
     long at = cursor;
-    while (at < history.next()) {
+    while (at < history.nextNumber()) {
       History.Batch batch = history.read(at, 10);
       // What a compacted segment stands for may reach back into batches read before: those are
       // read again whole.
@@ -154,7 +154,7 @@
       for (int minute = 0; minute < 3_000; minute++) {
         history.append(List.of(row(minute, minute, 1)));
         history.compact(minute);
-        assertTrue(history.bytes() <= 10_100, history.bytes() + " bytes");
+        assertTrue(history.sizeBytes() <= 10_100, history.sizeBytes() + " bytes");
       }
       History.Batch oldest = history.read(0, 1);
       assertTrue(oldest.from() > 2_000);
@@ -202,7 +202,7 @@
     }
     try (History history = History.open(dir, new History.Bounds(1_024, 60, 1 << 20))) {
       assertEquals(kept, history.read(0, 1_000).rows());
-      assertEquals(kept.size(), history.next());
+      assertEquals(kept.size(), history.nextNumber());
     }
   }
 }
--- a/testbed/src/main/java/gorseladder/testbed/StallingDisk.java
+++ b/testbed/src/main/java/gorseladder/testbed/StallingDisk.java
@@ -48,12 +48,12 @@
       Thread.currentThread().interrupt();
       throw new InterruptedIOException();
     }
-    return PLAIN.read(from, at);
+    return DEFAULT.read(from, at);
   }
 
   @Override
   public void write(FileChannel to, ByteBuffer bytes) throws IOException {
     awaitStall();
-    PLAIN.write(to, bytes);
+    DEFAULT.write(to, bytes);
   }
 }
--- a/testbed/src/test/java/gorseladder/testbed/HardCasesTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/HardCasesTest.java
@@ -221,15 +221,15 @@
         LedgerEntry taken =
             new LedgerEntry(Stage.ACCEPTED, false, now, 0, now * 2, content, "", 0, null);
         ledger.put(TestFleet.PATH + " msg_taken_" + name, taken);
-        ledger.put(TestFleet.PATH + " msg_left_" + name, taken.at(Stage.LEAVING, true, now));
+        ledger.put(TestFleet.PATH + " msg_left_" + name, taken.withStage(Stage.LEAVING, true, now));
         ledger.put(
             TestFleet.PATH + " msg_old_" + name,
-            taken.at(Stage.LEAVING, true, now - TestFleet.REPEAT_WINDOW));
+            taken.withStage(Stage.LEAVING, true, now - TestFleet.REPEAT_WINDOW));
         ledger.put(
             TestFleet.PATH + " msg_served_" + name,
             taken
-                .at(Stage.LEAVING, true, now)
-                .ended(Stage.SERVED, true, "served", 200, "{}".getBytes()));
+                .withStage(Stage.LEAVING, true, now)
+                .withOutcome(Stage.SERVED, true, "served", 200, "{}".getBytes()));
       }
     }
     fleet.restartEdge(0, 0);
--- a/testbed/src/test/java/gorseladder/testbed/PlannerPathTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/PlannerPathTest.java
@@ -74,7 +74,7 @@
       }
     }
     try (History history =
-        History.open(dir.resolve("data-" + edge).resolve("history"), History.Bounds.USUAL)) {
+        History.open(dir.resolve("data-" + edge).resolve("history"), History.Bounds.DEFAULT)) {
       history.append(rows);
     }
   }
--- a/testbed/src/test/java/gorseladder/testbed/WholePathTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/WholePathTest.java
@@ -40,7 +40,7 @@
       fleet.stopEdge(0);
     }
     try (History history =
-        History.open(dir.resolve("data-0").resolve("history"), History.Bounds.USUAL)) {
+        History.open(dir.resolve("data-0").resolve("history"), History.Bounds.DEFAULT)) {
       List<HistoryRow> rows = history.read(0, Integer.MAX_VALUE).rows();
       assertEquals(30, rows.stream().mapToLong(HistoryRow::calls).sum());
       assertEquals(
