--- a/core/src/main/java/gorseladder/core/Core.java
+++ b/core/src/main/java/gorseladder/core/Core.java
@@ -27,10 +27,10 @@
 import gorseladder.RouterApi.WatchList;
 import gorseladder.RouterApi.WorkerEntry;
 import gorseladder.RouterApi.Workers;
-import gorseladder.ahead.Account;
-import gorseladder.ahead.Ahead;
+import gorseladder.ahead.FunctionStats;
+import gorseladder.ahead.LoadAheadAccounting;
 import gorseladder.ahead.Plan;
-import gorseladder.ahead.Seen;
+import gorseladder.ahead.PlanExecutor;
 import gorseladder.answers.Endings;
 import gorseladder.answers.Reason;
 import gorseladder.answers.RetryAdvice;
@@ -113,8 +113,8 @@
 
   private record Planned<C extends Call>(Plan plan) implements Message<C> {}
 
-  private record Collect<C extends Call>(Consumer<Collected> to, Map<String, Seen.Of> giveBack)
-      implements Message<C> {}
+  private record Collect<C extends Call>(
+      Consumer<Collected> to, Map<String, FunctionStats.Snapshot> giveBack) implements Message<C> {}
 
   /** A call that is not forgotten yet. */
   private static final class Held<C extends Call> {
@@ -132,8 +132,8 @@
    * What a planner is told: what was seen of functions, closed records of loads ahead, the workers, the plan in hand.
    */
   public record Collected(
-      Map<String, Seen.Of> seen,
-      List<Account.Entry> loads,
+      Map<String, FunctionStats.Snapshot> seen,
+      List<LoadAheadAccounting.Entry> loads,
       List<WorkerEntry> workers,
       long epoch,
       long version) {}
@@ -149,9 +149,9 @@
   private final Map<Long, Held<C>> calls = new HashMap<>();
   private final Thread thread;
   /** Null where no planner is set: then nothing here differs from an edge without loads ahead. */
-  private final Ahead ahead;
+  private final PlanExecutor ahead;
 
-  private final Seen seen = new Seen();
+  private final FunctionStats seen = new FunctionStats();
   private Map<String, WorkerEntry> workers = new LinkedHashMap<>();
   private boolean holding;
   private boolean givingUp;
@@ -196,7 +196,7 @@
     this.outbound = outbound;
     this.pausing = outbound::pausing;
     this.flush = outbound::flush;
-    this.ahead = plans ? new Ahead(settings.keepAlive()) : null;
+    this.ahead = plans ? new PlanExecutor(settings.keepAlive()) : null;
     this.advice = advice;
     this.mailbox = new Mailbox<>(mostOffers);
     this.timers = new TimerWheel<>(Math.max(100, settings.tick() / 2), Clock.micros());
@@ -273,7 +273,7 @@
    * Has what a planner is told collected and handed over, on the core's thread; {@code giveBack} could not be told
    * before.
    */
-  public void collect(Map<String, Seen.Of> giveBack, Consumer<Collected> to) {
+  public void collect(Map<String, FunctionStats.Snapshot> giveBack, Consumer<Collected> to) {
     mailbox.put(new Collect<>(to, giveBack));
   }
 
@@ -341,9 +341,9 @@
           .toList()
           .forEach(id -> tell(new TimeUp(id)));
     } else if (message instanceof Planned<C> m) {
-      Ahead.Verdict verdict = ahead.take(m.plan(), now);
-      lookAt = ahead.busy() ? now : Long.MAX_VALUE;
-      if (verdict != Ahead.Verdict.TAKEN && verdict != Ahead.Verdict.OLDER) {
+      PlanExecutor.Verdict verdict = ahead.offer(m.plan(), now);
+      lookAt = ahead.hasPendingHolds() ? now : Long.MAX_VALUE;
+      if (verdict != PlanExecutor.Verdict.TAKEN && verdict != PlanExecutor.Verdict.OLDER) {
         LOG.warn("plan {}/{} is passed over: {}", m.plan().epoch(), m.plan().version(), verdict);
       }
     } else if (message instanceof Collect<C> m) {
@@ -352,12 +352,12 @@
   }
 
   private void collect(Collect<C> m) {
-    seen.giveBack(m.giveBack());
-    ahead.account().closeOver(now);
+    seen.restoreCalls(m.giveBack());
+    ahead.account().closeExpired(now);
     m.to()
         .accept(new Collected(
-            seen.take(),
-            ahead.account().take(),
+            seen.takeSnapshots(),
+            ahead.account().takeClosed(),
             List.copyOf(workers.values()),
             ahead.plan().epoch(),
             ahead.plan().version()));
@@ -374,7 +374,7 @@
       }
       ahead.loaded(e.worker(), e.function(), e.outcome(), e.latency(), now);
     } else if (event instanceof PeerMessage e) {
-      ahead.heard(e.text(), now);
+      ahead.peerMessage(e.text(), now);
     } else if (event instanceof Workers e && e.kind() != ListKind.FAILED) {
       workers = new LinkedHashMap<>();
       e.entries().stream()
@@ -393,7 +393,7 @@
       tell(hold);
       holding = false;
     }
-    lookAt = ahead.busy() ? now + LOOK : Long.MAX_VALUE;
+    lookAt = ahead.hasPendingHolds() ? now + LOOK : Long.MAX_VALUE;
   }
 
   /** An error of the router must not end the thread: the other calls go on, and the log says where it was. */
@@ -433,7 +433,7 @@
     arriving = new Held<>(call);
     calls.put(call.id(), arriving);
     if (ahead != null) {
-      seen.taken(f.function(), f.memoryMb(), f.lanes());
+      seen.callAccepted(f.function(), f.memoryMb(), f.lanes());
     }
     tell(new Request(
         call.id(),
--- a/decisions/src/main/java/gorseladder/ahead/Seen.java
+++ b/decisions/src/main/java/gorseladder/ahead/FunctionStats.java
@@ -8,16 +8,17 @@
  * What a dispatcher saw of each function: what a copy needs, how long a call takes at a copy that stands, how long a
  * load takes. Means forget within about ten events. Bounded; not thread safe. Times in microseconds.
  */
-public final class Seen {
+public final class FunctionStats {
   private static final double NEWEST = 0.1;
   private static final double AWAY = 4;
   /** Takes without a call after which a function is forgotten. */
   private static final int MOST_SILENT = 1_000;
-  /** Functions remembered; beyond them a new one is not, until {@link #take} made room. */
+  /** Functions remembered; beyond them a new one is not, until {@link #takeSnapshots} made room. */
   private static final int MOST = 20_000;
 
-  /** One function's figures; times are 0 where not seen. {@code calls} are those since the last {@link #take}. */
-  public record Of(int calls, double memoryMb, int lanes, double work, double load) {}
+  /** One function's figures; times are 0 where not seen. {@code calls} are those since the last {@link #takeSnapshots}. */
+  public record Snapshot(
+      int calls, double memoryMb, int lanes, double workMicros, double loadMicros) {}
 
   private static final class Figures {
     private int calls;
@@ -31,7 +32,7 @@
   private final Map<String, Figures> all = new HashMap<>();
 
   /** A call was taken. */
-  public void taken(String function, double memoryMb, int lanes) {
+  public void callAccepted(String function, double memoryMb, int lanes) {
     Figures f = all.get(function);
     if (f == null && all.size() < MOST) {
       f = new Figures();
@@ -70,12 +71,12 @@
   }
 
   /** The functions called since the last time; those long not called are forgotten. */
-  public Map<String, Of> take() {
-    Map<String, Of> taken = new HashMap<>();
+  public Map<String, Snapshot> takeSnapshots() {
+    Map<String, Snapshot> taken = new HashMap<>();
     all.values().removeIf(f -> f.calls == 0 && ++f.silent >= MOST_SILENT);
     all.forEach((name, f) -> {
       if (f.calls > 0) {
-        taken.put(name, new Of(f.calls, f.memoryMb, f.lanes, f.work, f.load));
+        taken.put(name, new Snapshot(f.calls, f.memoryMb, f.lanes, f.work, f.load));
         f.calls = 0;
         f.silent = 0;
       }
@@ -84,7 +85,7 @@
   }
 
   /** Counts again what was taken and could not be told. */
-  public void giveBack(Map<String, Of> taken) {
+  public void restoreCalls(Map<String, Snapshot> taken) {
     taken.forEach((name, of) -> {
       Figures f = all.get(name);
       if (f != null) {
--- a/decisions/src/main/java/gorseladder/ahead/Account.java
+++ b/decisions/src/main/java/gorseladder/ahead/LoadAheadAccounting.java
@@ -22,7 +22,7 @@
  *
  * <p>Not thread safe. Times are microseconds on one clock.
  */
-public final class Account {
+public final class LoadAheadAccounting {
   /**
    * Keep-alives without a known use after which a copy would surely have aged out; uses elsewhere are told that late at
    * most.
@@ -50,8 +50,8 @@
       int renewals,
       int found,
       long savedMicros,
-      int pushedOut,
-      long pushedMicros) {}
+      int evictions,
+      long evictedLoadMicros) {}
 
   private record At(String worker, String function) {}
 
@@ -84,7 +84,7 @@
   private final List<Entry> closed = new ArrayList<>();
 
   /** An account where idle copies stay for so many microseconds. */
-  public Account(long keepAlive) {
+  public LoadAheadAccounting(long keepAlive) {
     this.keepAlive = keepAlive;
   }
 
@@ -179,7 +179,7 @@
   }
 
   /** Closes what is over by now. */
-  public void closeOver(long now) {
+  public void closeExpired(long now) {
     for (Iterator<Map.Entry<At, Open>> all = open.entrySet().iterator(); all.hasNext(); ) {
       Map.Entry<At, Open> e = all.next();
       Open o = e.getValue();
@@ -214,14 +214,14 @@
   }
 
   /** Hands over the records closed since the last call. */
-  public List<Entry> take() {
+  public List<Entry> takeClosed() {
     List<Entry> taken = List.copyOf(closed);
     closed.clear();
     return taken;
   }
 
   /** Records still open. */
-  public int open() {
+  public int openCount() {
     return open.size();
   }
 }
--- a/decisions/src/main/java/gorseladder/ahead/Plan.java
+++ b/decisions/src/main/java/gorseladder/ahead/Plan.java
@@ -8,9 +8,9 @@
  *
  * @param epoch of the planner, from whichever lease or count makes one planner newer than another
  * @param version within the epoch; the higher is newer
- * @param until when it expires
+ * @param expiresAt when it expires
  */
-public record Plan(long epoch, long version, long until, List<Item> items) {
+public record Plan(long epoch, long version, long expiresAt, List<Item> items) {
   public Plan {
     items = List.copyOf(items);
   }
@@ -22,7 +22,7 @@
    * @param from when to order it, and {@code until} when a copy that nobody used is not held any longer
    * @param loadTime expected, in microseconds; 0 where not known
    * @param memoryMb of a copy, for the account
-   * @param mine true where this dispatcher orders it; it hears of the others' so that it can tell them when it found
+   * @param owned true where this dispatcher orders it; it hears of the others' so that it can tell them when it found
    *     their copy
    */
   public record Item(
@@ -34,5 +34,5 @@
       long until,
       long loadTime,
       double memoryMb,
-      boolean mine) {}
+      boolean owned) {}
 }
--- a/decisions/src/main/java/gorseladder/ahead/Ahead.java
+++ b/decisions/src/main/java/gorseladder/ahead/PlanExecutor.java
@@ -20,7 +20,7 @@
  * <p>A plan that is older than the one in hand, has expired or is absurd changes nothing. Without a plan nothing is
  * proposed. Free of clocks and input; not thread safe. Times are microseconds on one clock.
  */
-public final class Ahead {
+public final class PlanExecutor {
   /** Items of a plan at the most: a planner gone wrong must not fill the memory of its dispatchers. */
   private static final int MOST_ITEMS = 10_000;
   /** Copies of one item at the most. */
@@ -62,7 +62,7 @@
   private record Key(String worker, String function) {}
 
   private final long keepAlive;
-  private final Account account;
+  private final LoadAheadAccounting account;
   /** All items of the plan in hand, and those that are ordered here and not over. */
   private final Map<Key, Wish> wishes = new LinkedHashMap<>();
 
@@ -74,19 +74,19 @@
   private long orders;
 
   /** A side without a plan, where idle copies stay for so many microseconds. */
-  public Ahead(long keepAlive) {
+  public PlanExecutor(long keepAlive) {
     this.keepAlive = keepAlive;
-    this.account = new Account(keepAlive);
+    this.account = new LoadAheadAccounting(keepAlive);
   }
 
   /** Takes a plan, or says why not; the one in hand then stays. */
-  public Verdict take(Plan next, long now) {
+  public Verdict offer(Plan next, long now) {
     boolean newer = next.epoch() > plan.epoch()
         || next.epoch() == plan.epoch() && next.version() > plan.version();
     if (!newer) {
       return Verdict.OLDER;
     }
-    if (next.until() <= now) {
+    if (next.expiresAt() <= now) {
       return Verdict.EXPIRED;
     }
     if (next.items().size() > MOST_ITEMS || next.items().stream().anyMatch(i -> absurd(next, i))) {
@@ -107,7 +107,7 @@
       }
       wish.toldAt = same != null ? same.toldAt : wish.toldAt;
       wishes.put(key, wish);
-      if (item.mine()) {
+      if (item.owned()) {
         mine.add(wish);
       }
     }
@@ -120,16 +120,16 @@
         || i.copies() > MOST_COPIES
         || i.lanes() < 1
         || i.until() <= i.from()
-        || i.from() > p.until()
+        || i.from() > p.expiresAt()
         || i.loadTime() < 0
         || !(i.memoryMb() >= 0);
   }
 
   /** What is to be proposed to the router now. Call it a few times a second; it spreads a plan by itself. */
   public List<Hold> due(long now) {
-    account.closeOver(now);
+    account.closeExpired(now);
     List<Hold> due = new ArrayList<>();
-    if (plan.until() <= now) {
+    if (plan.expiresAt() <= now) {
       wishes.clear();
       mine.clear();
     }
@@ -201,7 +201,7 @@
     account.served(worker, function, note, now);
     Wish w = note == Note.WARM ? wishes.get(new Key(worker, function)) : null;
     if (w == null
-        || w.item.mine()
+        || w.item.owned()
         || now < w.toldAt + (long) (TELL * keepAlive)
         || now < w.item.from()
         || now >= w.item.until()) {
@@ -213,7 +213,7 @@
   }
 
   /** Another dispatcher said something; what is not about a copy found is passed over. */
-  public void heard(String text, long now) {
+  public void peerMessage(String text, long now) {
     int gap = text.indexOf(' ', FOUND.length());
     if (text.startsWith(FOUND) && gap > 0) {
       account.foundElsewhere(text.substring(FOUND.length(), gap), text.substring(gap + 1), now);
@@ -221,7 +221,7 @@
   }
 
   /** The account of what was loaded. */
-  public Account account() {
+  public LoadAheadAccounting account() {
     return account;
   }
 
@@ -231,12 +231,12 @@
   }
 
   /** True while there is something left to propose or to hold anew. */
-  public boolean busy() {
+  public boolean hasPendingHolds() {
     return !mine.isEmpty();
   }
 
   /** Orders that the router made of proposals. */
-  public long orders() {
+  public long orderCount() {
     return orders;
   }
 }
--- a/decisions/src/test/java/gorseladder/ahead/AheadTest.java
+++ b/decisions/src/test/java/gorseladder/ahead/AheadTest.java
@@ -6,7 +6,7 @@
 import gorseladder.RouterApi.Hold;
 import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
-import gorseladder.ahead.Ahead.Verdict;
+import gorseladder.ahead.PlanExecutor.Verdict;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -16,7 +16,7 @@
   private static final long KEEP = 10 * SECOND;
   private static final long LOAD = SECOND / 2;
 
-  private final Ahead ahead = new Ahead(KEEP);
+  private final PlanExecutor ahead = new PlanExecutor(KEEP);
   private long now = 100 * SECOND;
 
   private Plan plan(long epoch, long version, Plan.Item... items) {
@@ -39,10 +39,10 @@
 
   @Test
   void plansAreTakenOnceNewestFirstAndNeverAbsurd() {
-    assertEquals(Verdict.TAKEN, ahead.take(plan(2, 5, item("w", "f")), now));
-    assertEquals(Verdict.OLDER, ahead.take(plan(2, 5), now));
-    assertEquals(Verdict.OLDER, ahead.take(plan(1, 9), now), "another planner that lost its turn");
-    assertEquals(Verdict.EXPIRED, ahead.take(new Plan(3, 1, now, List.of()), now));
+    assertEquals(Verdict.TAKEN, ahead.offer(plan(2, 5, item("w", "f")), now));
+    assertEquals(Verdict.OLDER, ahead.offer(plan(2, 5), now));
+    assertEquals(Verdict.OLDER, ahead.offer(plan(1, 9), now), "another planner that lost its turn");
+    assertEquals(Verdict.EXPIRED, ahead.offer(new Plan(3, 1, now, List.of()), now));
     Plan.Item good = item("w", "f");
     for (Plan.Item bad : List.of(
         new Plan.Item("", "f", 1, 1, now, now + 1, 0, 1, true),
@@ -51,7 +51,7 @@
         new Plan.Item("w", "f", 1, 1, now, now, 0, 1, true),
         new Plan.Item("w", "f", 1, 1, now + 2_000 * SECOND, Long.MAX_VALUE, 0, 1, true),
         new Plan.Item("w", "f", 1, 1, now, now + 1, 0, Double.NaN, true))) {
-      assertEquals(Verdict.ABSURD, ahead.take(plan(3, 1, good, bad), now));
+      assertEquals(Verdict.ABSURD, ahead.offer(plan(3, 1, good, bad), now));
     }
     assertEquals(2, ahead.plan().epoch(), "the plan in hand stays");
     assertEquals(1, due().size());
@@ -64,7 +64,7 @@
       items.add(
           new Plan.Item("w" + i, "f", 1, 1, now + 5 * SECOND, now + 60 * SECOND, LOAD, 400, true));
     }
-    ahead.take(plan(1, 1, items.toArray(new Plan.Item[0])), now);
+    ahead.offer(plan(1, 1, items.toArray(new Plan.Item[0])), now);
     assertEquals(List.of(), due(), "not yet");
     now += 5 * SECOND;
     assertTrue(due().size() < 10, "a plan is no burst");
@@ -80,12 +80,12 @@
     }
     now += 2 * SECOND;
     assertEquals(List.of(), due(), "each once");
-    assertEquals(10, ahead.orders());
+    assertEquals(10, ahead.orderCount());
   }
 
   @Test
   void aCopyIsHeldThroughItsTimeUnlessCallsHoldIt() {
-    ahead.take(plan(1, 1, item("w", "f"), item("w", "g")), now);
+    ahead.offer(plan(1, 1, item("w", "f"), item("w", "g")), now);
     load("w", "f");
     load("w", "g");
     assertEquals(List.of(), due());
@@ -102,7 +102,7 @@
     ahead.served("w", "f", Note.WARM, now);
     now += 60 * SECOND;
     assertEquals(List.of(), due(), "the time of the holds is over");
-    Account.Entry f = ahead.account().take().stream()
+    LoadAheadAccounting.Entry f = ahead.account().takeClosed().stream()
         .filter(e -> e.function().equals("f"))
         .findFirst()
         .orElseThrow();
@@ -120,7 +120,7 @@
    */
   @Test
   void aGapThatACopyOutlivedIsCredited() {
-    ahead.take(plan(1, 1, item("w", "f")), now);
+    ahead.offer(plan(1, 1, item("w", "f")), now);
     load("w", "f");
     ahead.served("w", "f", Note.WARM, now);
     now += 9 * SECOND;
@@ -133,7 +133,7 @@
     ahead.served("w", "f", Note.WARM, now);
     now += 60 * SECOND;
     due();
-    Account.Entry e = ahead.account().take().get(0);
+    LoadAheadAccounting.Entry e = ahead.account().takeClosed().get(0);
     assertEquals(2, e.found());
     assertEquals(2 * LOAD, e.savedMicros());
     assertEquals(400 * (0.5 + 17 - 10), e.megabyteSeconds(), 0.1);
@@ -141,11 +141,11 @@
 
   @Test
   void aFailedLoadIsNotAskedForAgainAndAnExpiredPlanIsOver() {
-    ahead.take(plan(1, 1, item("w", "f"), item("w", "g")), now);
+    ahead.offer(plan(1, 1, item("w", "f"), item("w", "g")), now);
     ahead.ordered("w", "f", now);
     ahead.loaded("w", "f", Outcome.FULL, LOAD, now);
     assertEquals(List.of("g"), due().stream().map(Hold::function).toList());
-    ahead.take(plan(1, 2, item("w", "f")), now);
+    ahead.offer(plan(1, 2, item("w", "f")), now);
     assertEquals(
         List.of("f"), due().stream().map(Hold::function).toList(), "a later plan may ask anew");
     now += 1_000 * SECOND;
@@ -154,13 +154,13 @@
 
   @Test
   void aNewerPlanKeepsWhatWasOrderedAlready() {
-    ahead.take(plan(1, 1, item("w", "f")), now);
+    ahead.offer(plan(1, 1, item("w", "f")), now);
     ahead.ordered("w", "f", now);
-    ahead.take(plan(1, 2, item("w", "f"), item("w", "g")), now);
+    ahead.offer(plan(1, 2, item("w", "f"), item("w", "g")), now);
     assertEquals(List.of("g"), due().stream().map(Hold::function).toList());
     now += LOAD;
     ahead.loaded("w", "f", Outcome.OK, LOAD, now);
-    assertEquals(1, ahead.account().open());
+    assertEquals(1, ahead.account().openCount());
   }
 
   /**
@@ -169,7 +169,7 @@
    */
   @Test
   void theAccountCountsStrictly() {
-    ahead.take(plan(1, 1, item("w", "f"), item("w", "wasted")), now);
+    ahead.offer(plan(1, 1, item("w", "f"), item("w", "wasted")), now);
     load("w", "f");
     load("w", "wasted");
     ahead.served("w", "f", Note.WARM, now);
@@ -179,18 +179,18 @@
     ahead.served("w", "f", Note.WARM, now);
     now += 30 * SECOND;
     due();
-    List<Account.Entry> all = ahead.account().take();
+    List<LoadAheadAccounting.Entry> all = ahead.account().takeClosed();
     assertEquals(2, all.size());
-    Account.Entry used = all.get(0);
+    LoadAheadAccounting.Entry used = all.get(0);
     assertEquals(2, used.found());
     assertEquals(LOAD + LOAD * 3 / 4, used.savedMicros());
-    Account.Entry waste = all.get(1);
+    LoadAheadAccounting.Entry waste = all.get(1);
     assertEquals("wasted", waste.function());
     assertEquals(0, waste.found());
     assertEquals(0, waste.savedMicros());
     assertEquals(LOAD, waste.loadMicros());
     assertEquals(400 * (LOAD + KEEP) / 1e6, waste.megabyteSeconds(), 0.1);
-    assertEquals(List.of(), ahead.account().take());
+    assertEquals(List.of(), ahead.account().takeClosed());
   }
 
   /** A call that must load what stood there before a copy came is charged to that copy. */
@@ -198,7 +198,7 @@
   void whatALoadPushesOutIsCharged() {
     ahead.served("w", "victim", Note.WARM, now);
     now += SECOND;
-    ahead.take(plan(1, 1, item("w", "f")), now);
+    ahead.offer(plan(1, 1, item("w", "f")), now);
     load("w", "f");
     now += SECOND;
     ahead.served("w", "victim", Note.BEGAN, now);
@@ -206,26 +206,26 @@
     ahead.served("elsewhere", "victim", Note.BEGAN, now);
     now += 60 * SECOND;
     due();
-    Account.Entry e = ahead.account().take().get(0);
-    assertEquals(1, e.pushedOut());
-    assertEquals(LOAD, e.pushedMicros());
+    LoadAheadAccounting.Entry e = ahead.account().takeClosed().get(0);
+    assertEquals(1, e.evictions());
+    assertEquals(LOAD, e.evictedLoadMicros());
   }
 
   /** A copy that was gone when its call came saved nothing. */
   @Test
   void aCopyThatIsGoneWhenItsCallComesIsWaste() {
-    ahead.take(plan(1, 1, item("w", "f")), now);
+    ahead.offer(plan(1, 1, item("w", "f")), now);
     load("w", "f");
     ahead.served("w", "f", Note.BEGAN, now + SECOND);
-    assertEquals(0, ahead.account().take().get(0).found());
+    assertEquals(0, ahead.account().takeClosed().get(0).found());
   }
 
   /** Calls reach a copy by whichever dispatcher they came to: it tells the one that ordered it, once. */
   @Test
   void aCopyFoundByAnotherDispatcherIsCreditedAndNotHeldAnew() {
-    Ahead other = new Ahead(KEEP);
-    ahead.take(plan(1, 1, item("w", "f")), now);
-    other.take(
+    PlanExecutor other = new PlanExecutor(KEEP);
+    ahead.offer(plan(1, 1, item("w", "f")), now);
+    other.offer(
         plan(1, 1, new Plan.Item("w", "f", 1, 1, now, now + 60 * SECOND, LOAD, 400, false)), now);
     assertEquals(List.of(), other.due(now), "not its order to give");
     load("w", "f");
@@ -233,15 +233,15 @@
     assertEquals(null, other.served("w", "f", Note.BEGAN, now));
     String told = other.served("w", "f", Note.WARM, now);
     assertEquals(null, other.served("w", "f", Note.WARM, now), "once in a while");
-    ahead.heard("sick w", now);
-    ahead.heard("found ", now);
-    ahead.heard("found w", now);
-    ahead.heard(told, now);
+    ahead.peerMessage("sick w", now);
+    ahead.peerMessage("found ", now);
+    ahead.peerMessage("found w", now);
+    ahead.peerMessage(told, now);
     now += 5 * SECOND;
     assertEquals(List.of(), due(), "used: calls hold it");
     now += 6 * KEEP;
     due();
-    assertEquals(1, ahead.account().take().get(0).found());
+    assertEquals(1, ahead.account().takeClosed().get(0).found());
   }
 
   /** Some that the router passes over (a drain, say) must not keep the others from their turn. */
@@ -251,7 +251,7 @@
     for (int i = 0; i < 12; i++) {
       items.add(item("w" + i, "f"));
     }
-    ahead.take(plan(1, 1, items.toArray(new Plan.Item[0])), now);
+    ahead.offer(plan(1, 1, items.toArray(new Plan.Item[0])), now);
     List<String> proposed = new ArrayList<>();
     for (int look = 0; look < 3; look++) {
       due().forEach(h -> proposed.add(h.worker()));
--- a/edge/src/main/java/gorseladder/edge/plans/PlannerLink.java
+++ b/edge/src/main/java/gorseladder/edge/plans/PlannerLink.java
@@ -2,9 +2,9 @@
 
 import com.google.protobuf.ByteString;
 import com.google.protobuf.InvalidProtocolBufferException;
-import gorseladder.ahead.Account;
+import gorseladder.ahead.FunctionStats;
+import gorseladder.ahead.LoadAheadAccounting;
 import gorseladder.ahead.Plan;
-import gorseladder.ahead.Seen;
 import gorseladder.config.Address;
 import gorseladder.config.exchange.Answer;
 import gorseladder.config.exchange.Ask;
@@ -55,7 +55,7 @@
 
   private static final int MOST_BACKOFF = 6;
 
-  private record Numbered(long number, Account.Entry entry, long orderedWall) {}
+  private record Numbered(long number, LoadAheadAccounting.Entry entry, long orderedWall) {}
 
   private final InetSocketAddress address;
   private final EdgeSettings settings;
@@ -64,7 +64,7 @@
   private final History history;
   private final Random random = new Random();
   private final ArrayDeque<Numbered> loads = new ArrayDeque<>();
-  private Map<String, Seen.Of> untold = Map.of();
+  private Map<String, FunctionStats.Snapshot> untold = Map.of();
   private long loadNumber;
   private long from;
   private int failures;
@@ -153,8 +153,8 @@
             .setCalls(s.calls())
             .setMemoryMb(s.memoryMb())
             .setLanes(s.lanes())
-            .setWorkUs((long) s.work())
-            .setLoadUs((long) s.load())));
+            .setWorkUs((long) s.workMicros())
+            .setLoadUs((long) s.loadMicros())));
     collected
         .workers()
         .forEach(w -> ask.addWorker(Worker.newBuilder().setName(w.worker()).setWeight(w.weight())));
@@ -174,13 +174,13 @@
   /** What the core has to tell; what an earlier exchange could not tell is counted again. */
   private Collected collect() throws IOException, InterruptedException {
     CompletableFuture<Collected> got = new CompletableFuture<>();
-    Map<String, Seen.Of> again = untold;
+    Map<String, FunctionStats.Snapshot> again = untold;
     untold = Map.of();
     core.collect(again, got::complete);
     try {
       Collected collected = got.get(COLLECT_SECONDS, TimeUnit.SECONDS);
       long ago = Clock.wallMicros() - Clock.micros();
-      for (Account.Entry e : collected.loads()) {
+      for (LoadAheadAccounting.Entry e : collected.loads()) {
         loads.addLast(new Numbered(++loadNumber, e, e.orderedAt() + ago));
       }
       if (loads.size() > MOST_LOADS) {
@@ -198,7 +198,7 @@
   }
 
   private static LoadAhead print(Numbered l) {
-    Account.Entry e = l.entry();
+    LoadAheadAccounting.Entry e = l.entry();
     return LoadAhead.newBuilder()
         .setNumber(l.number())
         .setWorker(e.worker())
@@ -209,8 +209,8 @@
         .setRenewals(e.renewals())
         .setFound(e.found())
         .setSavedUs(e.savedMicros())
-        .setPushedOut(e.pushedOut())
-        .setPushedUs(e.pushedMicros())
+        .setPushedOut(e.evictions())
+        .setPushedUs(e.evictedLoadMicros())
         .build();
   }
 
--- a/emulator/src/main/java/gorseladder/emulator/EmulatedEdge.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedEdge.java
@@ -23,9 +23,9 @@
 import gorseladder.RouterApi.TellPeers;
 import gorseladder.RouterApi.TimerDue;
 import gorseladder.RouterApi.Workers;
-import gorseladder.ahead.Ahead;
+import gorseladder.ahead.FunctionStats;
 import gorseladder.ahead.Plan;
-import gorseladder.ahead.Seen;
+import gorseladder.ahead.PlanExecutor;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -77,8 +77,8 @@
   private final Agenda agenda;
   private final long network;
   private final Router router;
-  private final Ahead ahead;
-  private final Seen seen = new Seen();
+  private final PlanExecutor ahead;
+  private final FunctionStats seen = new FunctionStats();
   private final Function<String, EmulatedRunner> runners;
   private final Function<String, Drawn> functions;
   private final Judge judge;
@@ -106,7 +106,7 @@
     this.functions = functions;
     this.judge = judge;
     this.router = new Router(settings, seed);
-    this.ahead = new Ahead(settings.keepAlive());
+    this.ahead = new PlanExecutor(settings.keepAlive());
   }
 
   void tellPeersBy(Consumer<String> how) {
@@ -124,7 +124,7 @@
       });
     }
     if (event instanceof PeerMessage m) {
-      ahead.heard(m.text(), agenda.now());
+      ahead.peerMessage(m.text(), agenda.now());
     }
     router.on(agenda.now(), event, this::carryOut);
   }
@@ -138,7 +138,7 @@
     h.arrivedAt = agenda.now();
     long id = ids++;
     held.put(id, h);
-    seen.taken(f.name(), f.memoryMb(), f.lanes());
+    seen.callAccepted(f.name(), f.memoryMb(), f.lanes());
     taken.addLast(agenda.now());
     tell(new Request(
         id,
@@ -315,9 +315,9 @@
   }
 
   /** A plan arrives. */
-  Ahead.Verdict plan(Plan plan) {
-    Ahead.Verdict verdict = ahead.take(plan, agenda.now());
-    if (!looking && ahead.busy()) {
+  PlanExecutor.Verdict plan(Plan plan) {
+    PlanExecutor.Verdict verdict = ahead.offer(plan, agenda.now());
+    if (!looking && ahead.hasPendingHolds()) {
       looking = true;
       agenda.after(0, this::look);
     }
@@ -330,17 +330,17 @@
       tell(hold);
       holding = false;
     }
-    looking = ahead.busy();
+    looking = ahead.hasPendingHolds();
     if (looking) {
       agenda.after(LOOK, this::look);
     }
   }
 
-  Ahead ahead() {
+  PlanExecutor ahead() {
     return ahead;
   }
 
-  Seen seen() {
+  FunctionStats seen() {
     return seen;
   }
 }
--- a/emulator/src/main/java/gorseladder/emulator/EmulatedFleet.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedFleet.java
@@ -11,9 +11,9 @@
 import gorseladder.RouterApi.Settings;
 import gorseladder.RouterApi.WorkerEntry;
 import gorseladder.RouterApi.Workers;
-import gorseladder.ahead.Account;
+import gorseladder.ahead.FunctionStats;
+import gorseladder.ahead.LoadAheadAccounting;
 import gorseladder.ahead.Plan;
-import gorseladder.ahead.Seen;
 import gorseladder.emulator.proto.Ahead.Mode;
 import gorseladder.emulator.proto.Edges;
 import gorseladder.emulator.proto.Emulation;
@@ -208,7 +208,7 @@
     edges.forEach(edge -> settle(edge));
     outcomes.fetches = archive.done();
     outcomes.aheadOrders =
-        edges.stream().mapToLong(edge -> edge.ahead().orders()).sum();
+        edges.stream().mapToLong(edge -> edge.ahead().orderCount()).sum();
     outcomes.events = agenda.done();
   }
 
@@ -239,8 +239,8 @@
   }
 
   private void slotOver(long number) {
-    List<Map<String, Seen.Of>> seen =
-        edges.stream().map(edge -> edge.seen().take()).toList();
+    List<Map<String, FunctionStats.Snapshot>> seen =
+        edges.stream().map(edge -> edge.seen().takeSnapshots()).toList();
     if (planner != null) {
       planner.slotOver(number, seen);
     }
@@ -248,8 +248,8 @@
   }
 
   private void settle(EmulatedEdge edge) {
-    edge.ahead().account().closeOver(agenda.now());
-    for (Account.Entry entry : edge.ahead().account().take()) {
+    edge.ahead().account().closeExpired(agenda.now());
+    for (LoadAheadAccounting.Entry entry : edge.ahead().account().takeClosed()) {
       if (entry.orderedAt() >= e.getTeachDays() * day) {
         outcomes.add(entry);
       }
--- a/emulator/src/main/java/gorseladder/emulator/EmulatedPlanner.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedPlanner.java
@@ -1,7 +1,7 @@
 package gorseladder.emulator;
 
+import gorseladder.ahead.FunctionStats;
 import gorseladder.ahead.Plan;
-import gorseladder.ahead.Seen;
 import gorseladder.emulator.proto.Ahead;
 import gorseladder.emulator.proto.Emulation;
 import gorseladder.emulator.proto.Surge;
@@ -80,14 +80,16 @@
   /**
    * A slot is over: what the edges counted and saw of it. A planner that was away reads what it missed once it is back.
    */
-  void slotOver(long slot, List<Map<String, Seen.Of>> seen) {
+  void slotOver(long slot, List<Map<String, FunctionStats.Snapshot>> seen) {
     if (!hole(slot)) {
       unread.put(slot, counts);
     }
     counts = new HashMap<>();
-    for (Map<String, Seen.Of> edge : seen) {
+    for (Map<String, FunctionStats.Snapshot> edge : seen) {
       edge.forEach((f, s) -> maker.learn(
-          f, new PlanMaker.Facts(s.memoryMb(), s.lanes(), s.work() / 1e6, s.load() / 1e6)));
+          f,
+          new PlanMaker.Facts(
+              s.memoryMb(), s.lanes(), s.workMicros() / 1e6, s.loadMicros() / 1e6)));
     }
     if (!away((slot + 1) * slotSeconds)) {
       unread.forEach(maker::observe);
--- a/emulator/src/main/java/gorseladder/emulator/Outcomes.java
+++ b/emulator/src/main/java/gorseladder/emulator/Outcomes.java
@@ -2,7 +2,7 @@
 
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.RequestClass;
-import gorseladder.ahead.Account;
+import gorseladder.ahead.LoadAheadAccounting;
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
@@ -20,14 +20,14 @@
     private double pushed;
     private double gigabyteSeconds;
 
-    void add(Account.Entry e) {
+    void add(LoadAheadAccounting.Entry e) {
       loads++;
       wasted += e.found() == 0 ? 1 : 0;
       found += e.found();
-      pushedOut += e.pushedOut();
+      pushedOut += e.evictions();
       saved += e.savedMicros() / 1e6;
       loading += e.loadMicros() / 1e6;
-      pushed += e.pushedMicros() / 1e6;
+      pushed += e.evictedLoadMicros() / 1e6;
       gigabyteSeconds += e.megabyteSeconds() / 1024;
     }
 
@@ -145,7 +145,7 @@
     judged.merge(rule, 1L, Long::sum);
   }
 
-  void add(Account.Entry e) {
+  void add(LoadAheadAccounting.Entry e) {
     balances.computeIfAbsent(e.function(), f -> new Balance()).add(e);
   }
 
