--- a/app/src/main/java/gorseladder/app/bench/ForecastBench.java
+++ b/app/src/main/java/gorseladder/app/bench/ForecastBench.java
@@ -1,7 +1,7 @@
 package gorseladder.app.bench;
 
 import gorseladder.forecast.Forecasts;
-import gorseladder.forecast.Slots;
+import gorseladder.forecast.SlotCalendar;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -38,7 +38,8 @@
 
   @Override
   public void run() {
-    Slots told = new Slots(PER_DAY, 0, Map.of(14, "term's end", TERMS_END, "term's end"));
+    SlotCalendar told =
+        new SlotCalendar(PER_DAY, 0, Map.of(14, "term's end", TERMS_END, "term's end"));
     Map<String, LongToDoubleFunction> rates = rates();
     System.out.printf(
         Locale.ROOT,
@@ -102,7 +103,7 @@
     return count;
   }
 
-  private void walk(Slots slots, Map<String, LongToDoubleFunction> rates) {
+  private void walk(SlotCalendar slots, Map<String, LongToDoubleFunction> rates) {
     Random random = new Random(seed);
     Forecasts forecasts = new Forecasts(slots, 4_096);
     Map<String, double[]> sums = new LinkedHashMap<>();
@@ -116,7 +117,7 @@
         calls.put(e.getKey(), poisson(e.getValue().applyAsDouble(slot), random));
       }
       for (String function : rates.keySet()) {
-        Forecasts.Expected expected = forecasts.expect(function, slot);
+        Forecasts.Forecast expected = forecasts.forecast(function, slot);
         if (slot >= 7L * PER_DAY) {
           double[] sum = sums.computeIfAbsent(function, f -> new double[4]);
           sum[0] += calls.get(function);
@@ -125,9 +126,9 @@
           sum[3]++;
           spoke
               .computeIfAbsent(function, f -> new HashMap<>())
-              .merge(expected.by(), 1, Integer::sum);
+              .merge(expected.forecasterName(), 1, Integer::sum);
         }
-        before.put(function, forecasts.standing(function));
+        before.put(function, forecasts.recentErrors(function));
       }
       forecasts.observe(slot, calls);
       if (slot >= 7L * PER_DAY) {
@@ -135,7 +136,7 @@
         rates
             .keySet()
             .forEach(function -> forecasts
-                .standing(function)
+                .recentErrors(function)
                 .forEach((way, error) -> alone
                     .computeIfAbsent(function, f -> new HashMap<>())
                     .merge(
@@ -172,7 +173,7 @@
 
   /** Time of a slot and memory of a forecast, by the number of functions. */
   private static void size(int functions) {
-    Forecasts forecasts = new Forecasts(new Slots(PER_DAY, 0, Map.of()), 4 * functions);
+    Forecasts forecasts = new Forecasts(new SlotCalendar(PER_DAY, 0, Map.of()), 4 * functions);
     Random random = new Random(3);
     List<String> names = new ArrayList<>();
     for (int i = 0; i < functions; i++) {
@@ -188,7 +189,7 @@
       long began = System.nanoTime();
       forecasts.observe(slot, calls);
       for (String n : names) {
-        forecasts.expect(n, slot + 1);
+        forecasts.forecast(n, slot + 1);
       }
       took += System.nanoTime() - began;
     }
@@ -207,7 +208,7 @@
 
   /** Entries that one-off names cost, with the sketch and with a table for each name. */
   private static void sketch() {
-    Forecasts forecasts = new Forecasts(new Slots(PER_DAY, 0, Map.of()), 65_536);
+    Forecasts forecasts = new Forecasts(new SlotCalendar(PER_DAY, 0, Map.of()), 65_536);
     Map<String, Integer> plain = new HashMap<>();
     for (long slot = 0; slot < PER_DAY; slot++) {
       Map<String, Integer> calls = new HashMap<>();
--- a/app/src/main/java/gorseladder/app/bench/PlacementBench.java
+++ b/app/src/main/java/gorseladder/app/bench/PlacementBench.java
@@ -1,7 +1,7 @@
 package gorseladder.app.bench;
 
 import gorseladder.forecast.Forecasts;
-import gorseladder.forecast.Slots;
+import gorseladder.forecast.SlotCalendar;
 import gorseladder.order.SharedOrder;
 import gorseladder.placement.Demand;
 import gorseladder.placement.Host;
@@ -184,7 +184,7 @@
     List<Double> forecastMillis = new ArrayList<>();
     for (int functions : new int[] {500, 1_000, 2_000, 4_000}) {
       functionsAxis.add((double) functions);
-      Forecasts forecasts = new Forecasts(new Slots(96, 0, Map.of()), 4 * functions);
+      Forecasts forecasts = new Forecasts(new SlotCalendar(96, 0, Map.of()), 4 * functions);
       Map<String, Integer> counts = new HashMap<>();
       for (int i = 0; i < functions; i++) {
         counts.put("svc/f" + i, 5);
@@ -194,7 +194,7 @@
       }
       long began = System.nanoTime();
       forecasts.observe(20, counts);
-      counts.keySet().forEach(f -> forecasts.expect(f, 21));
+      counts.keySet().forEach(f -> forecasts.forecast(f, 21));
       double forecast = (System.nanoTime() - began) / 1e6;
       forecastMillis.add(forecast);
       for (int runners : new int[] {12, 80, 240}) {
--- a/decisions/src/main/java/gorseladder/forecast/CountMin.java
+++ b/decisions/src/main/java/gorseladder/forecast/CountMinSketch.java
@@ -6,14 +6,14 @@
  * only once from those that earn a forecast of their own, without a table entry for each name ever heard. Not thread
  * safe.
  */
-final class CountMin {
+final class CountMinSketch {
   private static final int ROWS = 4;
 
   private final int[][] counts;
   private final int mask;
 
   /** A sketch with so many counters in each of four rows, rounded up to a power of two. */
-  CountMin(int width) {
+  CountMinSketch(int width) {
     int size = Integer.highestOneBit(Math.max(16, width) * 2 - 1);
     counts = new int[ROWS][size];
     mask = size - 1;
--- a/decisions/src/main/java/gorseladder/forecast/Forecasts.java
+++ b/decisions/src/main/java/gorseladder/forecast/Forecasts.java
@@ -26,21 +26,21 @@
    *
    * @param mean expected calls
    * @param upper passed in about one slot of twenty
-   * @param by the way that speaks for this function now
+   * @param forecasterName the way that speaks for this function now
    */
-  public record Expected(String function, double mean, double upper, String by) {}
+  public record Forecast(String function, double mean, double upper, String forecasterName) {}
 
-  private final Slots slots;
-  private final CountMin heard;
+  private final SlotCalendar slots;
+  private final CountMinSketch heard;
   private final Map<String, FunctionForecast> functions = new LinkedHashMap<>();
   private final Map<String, Long> lastCalled = new HashMap<>();
   private long last = Long.MIN_VALUE;
   private int day = Integer.MIN_VALUE;
 
   /** Forecasts over these slots; the sketch has the told width (a few for each function heard of in a day). */
-  public Forecasts(Slots slots, int sketchWidth) {
+  public Forecasts(SlotCalendar slots, int sketchWidth) {
     this.slots = slots;
-    this.heard = new CountMin(sketchWidth);
+    this.heard = new CountMinSketch(sketchWidth);
   }
 
   /**
@@ -74,7 +74,7 @@
   }
 
   private void drop(long slot) {
-    long since = slot - (long) DROP_DAYS * slots.perDay();
+    long since = slot - (long) DROP_DAYS * slots.slotsPerDay();
     for (Iterator<String> at = functions.keySet().iterator(); at.hasNext(); ) {
       String function = at.next();
       if (lastCalled.get(function) < since) {
@@ -85,19 +85,19 @@
   }
 
   /** What is expected of a function in a slot after the last one observed; nothing of one that earned no forecast. */
-  public Expected expect(String function, long slot) {
+  public Forecast forecast(String function, long slot) {
     FunctionForecast forecast = functions.get(function);
     if (forecast == null) {
-      return new Expected(function, 0, 0, "none");
+      return new Forecast(function, 0, 0, "none");
     }
-    FunctionForecast.Expectation e = forecast.expect(slot);
-    return new Expected(function, e.mean(), e.upper(), e.by());
+    FunctionForecast.Prediction e = forecast.forecast(slot);
+    return new Forecast(function, e.mean(), e.upper(), e.forecasterName());
   }
 
   /** What each way would have missed by lately, in calls, for a function; empty for one that earned no forecast. */
-  public Map<String, Double> standing(String function) {
+  public Map<String, Double> recentErrors(String function) {
     FunctionForecast forecast = functions.get(function);
-    return forecast == null ? Map.of() : forecast.standing();
+    return forecast == null ? Map.of() : forecast.recentErrors();
   }
 
   /** Functions that have a forecast of their own. */
@@ -106,7 +106,7 @@
   }
 
   /** The last slot observed; {@link Long#MIN_VALUE} before the first. */
-  public long last() {
+  public long lastSlot() {
     return last;
   }
 }
--- a/decisions/src/main/java/gorseladder/forecast/FunctionForecast.java
+++ b/decisions/src/main/java/gorseladder/forecast/FunctionForecast.java
@@ -16,7 +16,7 @@
  */
 final class FunctionForecast {
   /** A forecast: mean, an upper value that is passed in about one slot of twenty, and who speaks. */
-  record Expectation(double mean, double upper, String by) {}
+  record Prediction(double mean, double upper, String forecasterName) {}
 
   /** Days in which half of an error is forgotten. */
   private static final double HALF_LIFE_DAYS = 2;
@@ -25,7 +25,7 @@
   /** Standard deviations to the upper value. */
   private static final double UPPER = 1.65;
 
-  private final SameDate sameDate;
+  private final SameDateForecaster sameDate;
   private final List<Forecaster> ways;
   /**
    * Errors on common days, and on days whose name was met before: who is right on one kind need not be on the other.
@@ -37,13 +37,17 @@
   private final int[] speakers = new int[2];
   private long last = Long.MIN_VALUE;
 
-  FunctionForecast(Slots slots) {
-    sameDate = new SameDate(slots);
-    ways =
-        List.of(new Sparse(), new LastSlot(), new LastWeek(slots), new Seasonal(slots), sameDate);
+  FunctionForecast(SlotCalendar slots) {
+    sameDate = new SameDateForecaster(slots);
+    ways = List.of(
+        new SparseForecaster(),
+        new LastSlotForecaster(),
+        new LastWeekForecaster(slots),
+        new SeasonalForecaster(slots),
+        sameDate);
     speakers[1] = ways.indexOf(sameDate);
     errors = new double[2][ways.size()];
-    keep = Math.pow(0.5, 1.0 / (HALF_LIFE_DAYS * slots.perDay()));
+    keep = Math.pow(0.5, 1.0 / (HALF_LIFE_DAYS * slots.slotsPerDay()));
   }
 
   /** What came in a slot; slots at or before the last one are passed over, so that nothing counts twice. */
@@ -52,7 +56,7 @@
       return;
     }
     last = slot;
-    Expectation said = expect(slot);
+    Prediction said = forecast(slot);
     // How far calls scatter around the speaker's mean, in units of a Poisson's own scatter.
     double off = (calls - said.mean()) * (calls - said.mean()) / Math.max(0.5, said.mean());
     spread += (1 - keep) * 4 * (Math.min(off, 400) - spread);
@@ -76,17 +80,17 @@
   }
 
   /** The expectation of a slot after the last one observed. */
-  Expectation expect(long slot) {
+  Prediction forecast(long slot) {
     Forecaster speaker = ways.get(speakers[kind(slot)]);
     double mean = speaker.mean(slot);
-    return new Expectation(
+    return new Prediction(
         mean, mean + UPPER * Math.sqrt(Math.max(1, spread) * Math.max(0.05, mean)), speaker.name());
   }
 
   /**
    * What each way would have missed by on common days, in calls, lately: the standing by which their speaker is chosen.
    */
-  Map<String, Double> standing() {
+  Map<String, Double> recentErrors() {
     Map<String, Double> standing = new LinkedHashMap<>();
     for (int i = 0; i < ways.size(); i++) {
       standing.put(ways.get(i).name(), errors[0][i]);
--- a/decisions/src/main/java/gorseladder/forecast/LastSlot.java
+++ b/decisions/src/main/java/gorseladder/forecast/LastSlotForecaster.java
@@ -1,7 +1,7 @@
 package gorseladder.forecast;
 
 /** What came last goes on. */
-final class LastSlot implements Forecaster {
+final class LastSlotForecaster implements Forecaster {
   private double last;
 
   @Override
--- a/decisions/src/main/java/gorseladder/forecast/LastWeek.java
+++ b/decisions/src/main/java/gorseladder/forecast/LastWeekForecaster.java
@@ -3,15 +3,15 @@
 import java.util.Arrays;
 
 /** The same slot a week ago; a day ago while no week is known; the mean so far before that. */
-final class LastWeek implements Forecaster {
+final class LastWeekForecaster implements Forecaster {
   private final int week;
   private final int day;
   private final float[] seen;
   private double sum;
   private long count;
 
-  LastWeek(Slots slots) {
-    day = slots.perDay();
+  LastWeekForecaster(SlotCalendar slots) {
+    day = slots.slotsPerDay();
     week = 7 * day;
     seen = new float[week];
     Arrays.fill(seen, -1);
--- a/decisions/src/main/java/gorseladder/forecast/Seasonal.java
+++ b/decisions/src/main/java/gorseladder/forecast/SeasonalForecaster.java
@@ -8,7 +8,7 @@
  * a ratio of what came to what was expected without it, drawn towards 1 by a prior of {@link #PRIOR} expected calls, so
  * that a quiet function is not moved by one odd call (empirical Bayes with a gamma prior on a Poisson rate).
  */
-final class Seasonal implements Forecaster {
+final class SeasonalForecaster implements Forecaster {
   /** Expected calls that stand behind a factor of 1. */
   private static final double PRIOR = 20;
   /** Part of its weight that a factor keeps at each observation: weeks for a time of day. */
@@ -32,7 +32,7 @@
     }
   }
 
-  private final Slots slots;
+  private final SlotCalendar slots;
   private final Factor[] ofDay;
   private final Factor[] ofWeek = new Factor[7];
   private final Map<String, Factor> ofDate = new HashMap<>();
@@ -43,9 +43,9 @@
   private double shortCame;
   private double shortExpected;
 
-  Seasonal(Slots slots) {
+  SeasonalForecaster(SlotCalendar slots) {
     this.slots = slots;
-    ofDay = new Factor[slots.perDay()];
+    ofDay = new Factor[slots.slotsPerDay()];
     for (int i = 0; i < ofDay.length; i++) {
       ofDay[i] = new Factor();
     }
@@ -60,14 +60,14 @@
   }
 
   private double date(long slot) {
-    String name = slots.date(slot);
+    String name = slots.dateName(slot);
     return name.isEmpty() || !ofDate.containsKey(name) ? 1 : ofDate.get(name).value();
   }
 
   private double base(long slot) {
     double known = level >= 0 ? level : dayCount == 0 ? 0 : daySum / dayCount;
     return known
-        * ofDay[slots.ofDay(slot)].value()
+        * ofDay[slots.slotOfDay(slot)].value()
         * ofWeek[slots.weekday(slot)].value()
         * date(slot);
   }
@@ -85,9 +85,9 @@
     double expected = base(slot);
     shortCame += (calls - shortCame) / SHORT;
     shortExpected += (expected - shortExpected) / SHORT;
-    Factor time = ofDay[slots.ofDay(slot)];
+    Factor time = ofDay[slots.slotOfDay(slot)];
     Factor week = ofWeek[slots.weekday(slot)];
-    String date = slots.date(slot);
+    String date = slots.dateName(slot);
     if (!date.isEmpty()) {
       double without = expected / date(slot);
       // A known date speaks for itself: it must not bend what common days look like.
--- a/decisions/src/main/java/gorseladder/forecast/Sparse.java
+++ b/decisions/src/main/java/gorseladder/forecast/SparseForecaster.java
@@ -5,7 +5,7 @@
  * each smoothed, the chance at every slot (R. Teunter, A. Syntetos, M. Babai, "Intermittent demand: Linking forecasting
  * to inventory obsolescence", 2011). Unlike Croston's method it lets a function that is wanted no more fade out.
  */
-final class Sparse implements Forecaster {
+final class SparseForecaster implements Forecaster {
   private static final double CHANCE = 0.02;
   private static final double SIZE = 0.1;
 
--- a/decisions/src/main/java/gorseladder/placement/PlanMaker.java
+++ b/decisions/src/main/java/gorseladder/placement/PlanMaker.java
@@ -1,7 +1,7 @@
 package gorseladder.placement;
 
 import gorseladder.forecast.Forecasts;
-import gorseladder.forecast.Slots;
+import gorseladder.forecast.SlotCalendar;
 import gorseladder.placement.Placement.Limits;
 import gorseladder.placement.Placement.Placed;
 import java.util.ArrayList;
@@ -31,9 +31,9 @@
   /** Loads that one worker may be given within that lead. */
   private static final int LOADS_PER_HOST = 24;
 
-  /** Foresees a function's calls in a slot; {@link Forecasts#expect} in a planner. */
+  /** Foresees a function's calls in a slot; {@link Forecasts#forecast} in a planner. */
   public interface Foresight {
-    Forecasts.Expected expect(String function, long slot);
+    Forecasts.Forecast forecast(String function, long slot);
   }
 
   /**
@@ -74,15 +74,15 @@
   private final TreeMap<Long, Map<String, Said>> said = new TreeMap<>();
 
   /** A maker that foresees by its own forecasts. */
-  public PlanMaker(Slots slots, Settings settings) {
+  public PlanMaker(SlotCalendar slots, Settings settings) {
     this(slots, settings, null);
   }
 
   /** A maker with another foresight than its own, so that bad ones can be tried. */
-  public PlanMaker(Slots slots, Settings settings, Foresight other) {
+  public PlanMaker(SlotCalendar slots, Settings settings, Foresight other) {
     this.settings = settings;
     this.forecasts = new Forecasts(slots, 1 << 14);
-    this.foresight = other == null ? forecasts::expect : other;
+    this.foresight = other == null ? forecasts::forecast : other;
   }
 
   /** The forecasts it makes plans from. */
@@ -149,7 +149,7 @@
     Map<String, Said> saying = new HashMap<>();
     for (String function : forecasts.functions()) {
       Facts f = facts.get(function);
-      Forecasts.Expected e = foresight.expect(function, slot);
+      Forecasts.Forecast e = foresight.forecast(function, slot);
       if (f == null || !(e.mean() > 0)) {
         continue;
       }
--- a/decisions/src/test/java/gorseladder/forecast/ForecastsTest.java
+++ b/decisions/src/test/java/gorseladder/forecast/ForecastsTest.java
@@ -17,8 +17,8 @@
 class ForecastsTest {
   private static final int PER_DAY = 48;
 
-  private static Slots slots(Map<Integer, String> dates) {
-    return new Slots(PER_DAY, 0, dates);
+  private static SlotCalendar slots(Map<Integer, String> dates) {
+    return new SlotCalendar(PER_DAY, 0, dates);
   }
 
   private static int poisson(double mean, Random random) {
@@ -46,23 +46,24 @@
   }
 
   private static Walk walk(
-      Slots slots, LongToDoubleFunction rate, int fromDay, int toDay, long seed) {
+      SlotCalendar slots, LongToDoubleFunction rate, int fromDay, int toDay, long seed) {
     return walk(slots, rate, (long) fromDay * PER_DAY, (long) toDay * PER_DAY, seed);
   }
 
-  private static Walk walk(Slots slots, LongToDoubleFunction rate, long from, long to, long seed) {
+  private static Walk walk(
+      SlotCalendar slots, LongToDoubleFunction rate, long from, long to, long seed) {
     Random random = new Random(seed);
     Forecasts forecasts = new Forecasts(slots, 64);
     Walk walk = new Walk();
     for (long slot = 0; slot < to; slot++) {
-      Forecasts.Expected e = forecasts.expect("f", slot);
+      Forecasts.Forecast e = forecasts.forecast("f", slot);
       int calls = poisson(rate.applyAsDouble(slot), random);
       if (slot >= from) {
         walk.missed += Math.abs(e.mean() - calls);
         walk.came += calls;
         walk.judged++;
         walk.over += calls > e.upper() ? 1 : 0;
-        walk.speakers.merge(e.by(), 1, Integer::sum);
+        walk.speakers.merge(e.forecasterName(), 1, Integer::sum);
       }
       forecasts.observe(slot, Map.of("f", calls));
     }
@@ -128,7 +129,7 @@
     int came = 0;
     for (long slot = 0; slot < 42 * PER_DAY; slot++) {
       int calls = poisson(0.05, random);
-      expected += slot > 7 * PER_DAY ? forecasts.expect("f", slot).mean() : 0;
+      expected += slot > 7 * PER_DAY ? forecasts.forecast("f", slot).mean() : 0;
       came += slot > 7 * PER_DAY ? calls : 0;
       forecasts.observe(slot, Map.of("f", calls));
     }
@@ -148,10 +149,10 @@
       assertFalse(twice.observe(slot, calls));
       assertFalse(twice.observe(slot - 3, Map.of("f", 9999)));
     }
-    assertEquals(once.expect("f", 500), twice.expect("f", 500));
-    double before = once.expect("f", 502 + PER_DAY).mean();
+    assertEquals(once.forecast("f", 500), twice.forecast("f", 500));
+    double before = once.forecast("f", 502 + PER_DAY).mean();
     once.observe(500 + PER_DAY, Map.of("f", (int) daily(500 + PER_DAY)));
-    assertEquals(before, once.expect("f", 502 + PER_DAY).mean(), 0.35 * before + 3);
+    assertEquals(before, once.forecast("f", 502 + PER_DAY).mean(), 0.35 * before + 3);
   }
 
   @Test
@@ -173,13 +174,13 @@
       forecasts.observe(slot, Map.of());
     }
     assertTrue(forecasts.functions().isEmpty());
-    assertEquals("none", forecasts.expect("hot", 22L * PER_DAY).by());
+    assertEquals("none", forecasts.forecast("hot", 22L * PER_DAY).forecasterName());
   }
 
   @Test
   void theSketchNeverCountsTooLow() {
     Random random = new Random(9);
-    CountMin sketch = new CountMin(256);
+    CountMinSketch sketch = new CountMinSketch(256);
     Map<String, Integer> truth = new HashMap<>();
     int over = 0;
     for (int i = 0; i < 5_000; i++) {
@@ -194,10 +195,10 @@
 
   @Test
   void impossibleSlotsAreRejected() {
-    assertThrows(IllegalArgumentException.class, () -> new Slots(0, 0, Map.of()));
-    assertThrows(IllegalArgumentException.class, () -> new Slots(48, 7, Map.of()));
-    assertEquals(6, new Slots(48, 6, Map.of()).weekday(47));
-    assertEquals(0, new Slots(48, 6, Map.of()).weekday(48));
+    assertThrows(IllegalArgumentException.class, () -> new SlotCalendar(0, 0, Map.of()));
+    assertThrows(IllegalArgumentException.class, () -> new SlotCalendar(48, 7, Map.of()));
+    assertEquals(6, new SlotCalendar(48, 6, Map.of()).weekday(47));
+    assertEquals(0, new SlotCalendar(48, 6, Map.of()).weekday(48));
   }
 
   /**
@@ -205,18 +206,22 @@
    */
   @Test
   void theHoursOfANamedDayAreForeseenFromItsSecondTimeOn() {
-    Slots slots = new Slots(96, 0, Map.of(5, "term's end", 12, "term's end"));
+    SlotCalendar slots = new SlotCalendar(96, 0, Map.of(5, "term's end", 12, "term's end"));
     Forecasts forecasts = new Forecasts(slots, 64);
     for (long slot = 0; slot < 12 * 96 + 36; slot++) {
-      boolean surge = slots.day(slot) == 5 && slots.ofDay(slot) >= 36 && slots.ofDay(slot) < 48;
+      boolean surge =
+          slots.day(slot) == 5 && slots.slotOfDay(slot) >= 36 && slots.slotOfDay(slot) < 48;
       forecasts.observe(slot, Map.of("f", surge ? 100 : 4));
     }
-    assertEquals("same-date", forecasts.expect("f", 12 * 96 + 36).by());
+    assertEquals("same-date", forecasts.forecast("f", 12 * 96 + 36).forecasterName());
     assertTrue(
-        forecasts.expect("f", 12 * 96 + 36).mean() > 80, "" + forecasts.expect("f", 12 * 96 + 36));
+        forecasts.forecast("f", 12 * 96 + 36).mean() > 80,
+        "" + forecasts.forecast("f", 12 * 96 + 36));
     assertTrue(
-        forecasts.expect("f", 12 * 96 + 60).mean() < 10, "" + forecasts.expect("f", 12 * 96 + 60));
+        forecasts.forecast("f", 12 * 96 + 60).mean() < 10,
+        "" + forecasts.forecast("f", 12 * 96 + 60));
     assertTrue(
-        forecasts.expect("f", 13 * 96 + 36).mean() < 10, "" + forecasts.expect("f", 13 * 96 + 36));
+        forecasts.forecast("f", 13 * 96 + 36).mean() < 10,
+        "" + forecasts.forecast("f", 13 * 96 + 36));
   }
 }
--- a/decisions/src/test/java/gorseladder/placement/PlanMakerTest.java
+++ b/decisions/src/test/java/gorseladder/placement/PlanMakerTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gorseladder.forecast.Forecasts.Expected;
-import gorseladder.forecast.Slots;
+import gorseladder.forecast.Forecasts.Forecast;
+import gorseladder.forecast.SlotCalendar;
 import gorseladder.placement.PlanMaker.Facts;
 import gorseladder.placement.PlanMaker.Order;
 import gorseladder.placement.PlanMaker.Settings;
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 class PlanMakerTest {
-  private static final Slots SLOTS = new Slots(96, 0, Map.of());
+  private static final SlotCalendar SLOTS = new SlotCalendar(96, 0, Map.of());
   private static final Settings SETTINGS =
       new Settings(900, 10, 20, 50, new Prices(0.05, 0.002, 0));
   private static final List<Host> HOSTS =
@@ -73,8 +73,8 @@
     made[0] = new PlanMaker(SLOTS, SETTINGS, (f, slot) -> {
       boolean other = wrong[0] && slot % 2 == 1;
       return wrong[0]
-          ? new Expected(f, other ? 30 : 0, other ? 40 : 0, "wrong")
-          : made[0].forecasts().expect(f, slot);
+          ? new Forecast(f, other ? 30 : 0, other ? 40 : 0, "wrong")
+          : made[0].forecasts().forecast(f, slot);
     });
     PlanMaker maker = made[0];
     maker.learn("f", new Facts(500, 2, 0.2, 0.8));
--- a/emulator/src/main/java/gorseladder/emulator/EmulatedPlanner.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedPlanner.java
@@ -6,7 +6,7 @@
 import gorseladder.emulator.proto.Emulation;
 import gorseladder.emulator.proto.Surge;
 import gorseladder.forecast.Forecasts;
-import gorseladder.forecast.Slots;
+import gorseladder.forecast.SlotCalendar;
 import gorseladder.placement.Host;
 import gorseladder.placement.PlanMaker;
 import gorseladder.placement.Prices;
@@ -42,7 +42,7 @@
     // alone.
     double archive = e.getArchive().getAtOnce() / 0.5;
     this.maker = new PlanMaker(
-        new Slots(e.getSlots(), 0, dates),
+        new SlotCalendar(e.getSlots(), 0, dates),
         new PlanMaker.Settings(
             slotSeconds,
             e.getFleet().getKeepAliveMs() / 1000.0,
@@ -52,15 +52,15 @@
         this::foresee);
   }
 
-  private Forecasts.Expected foresee(String function, long slot) {
+  private Forecasts.Forecast foresee(String function, long slot) {
     String of = function;
     if (a.getShuffled()) {
       List<String> all = List.copyOf(maker.forecasts().functions());
       of = all.get((all.indexOf(function) + all.size() / 2 + 1) % all.size());
     }
-    Forecasts.Expected x = maker.forecasts().expect(of, slot + a.getShiftedSlots());
-    return new Forecasts.Expected(
-        function, x.mean() * a.getTimes(), x.upper() * a.getTimes(), x.by());
+    Forecasts.Forecast x = maker.forecasts().forecast(of, slot + a.getShiftedSlots());
+    return new Forecasts.Forecast(
+        function, x.mean() * a.getTimes(), x.upper() * a.getTimes(), x.forecasterName());
   }
 
   void arrived(String function) {
--- a/planner/src/main/java/gorseladder/planner/LocalSlots.java
+++ b/planner/src/main/java/gorseladder/planner/LocalSlots.java
@@ -41,7 +41,7 @@
     return local.atZone(zone).toEpochSecond();
   }
 
-  /** The number of a day, as {@link gorseladder.forecast.Slots} counts them from these slots. */
+  /** The number of a day, as {@link gorseladder.forecast.SlotCalendar} counts them from these slots. */
   static int day(LocalDate date) {
     return (int) date.toEpochDay();
   }
--- a/planner/src/main/java/gorseladder/planner/Planner.java
+++ b/planner/src/main/java/gorseladder/planner/Planner.java
@@ -11,7 +11,7 @@
 import gorseladder.config.proto.KnownDate;
 import gorseladder.config.proto.PlannerSettings;
 import gorseladder.forecast.Forecasts;
-import gorseladder.forecast.Slots;
+import gorseladder.forecast.SlotCalendar;
 import gorseladder.placement.Host;
 import gorseladder.placement.PlanMaker;
 import gorseladder.placement.PlanMaker.Facts;
@@ -93,7 +93,7 @@
       dates.put(LocalSlots.day(LocalDate.parse(d.getDay())), d.getName());
     }
     maker = new PlanMaker(
-        new Slots(local.perDay(), LocalSlots.firstWeekday(), dates),
+        new SlotCalendar(local.perDay(), LocalSlots.firstWeekday(), dates),
         new PlanMaker.Settings(
             settings.getSlotMinutes() * 60.0,
             settings.getKeepAliveMs() / 1000.0,
@@ -132,7 +132,7 @@
     for (int i = 0; i < parts; i++) {
       long slot = local.slot((row.from() + (long) i * settings.getSlotMinutes()) * 60);
       long calls = row.calls() * (i + 1) / parts - row.calls() * i / parts;
-      if (slot > maker.forecasts().last()) {
+      if (slot > maker.forecasts().lastSlot()) {
         Map<String, Integer> counts = unobserved.computeIfAbsent(slot, s -> new HashMap<>());
         if (calls > 0 && !row.function().isEmpty()) {
           counts.merge(row.function(), (int) Math.min(calls, Integer.MAX_VALUE / 2), Integer::sum);
@@ -368,7 +368,9 @@
     state.put("functions", maker.forecasts().functions().size());
     state.put(
         "observed",
-        maker.forecasts().last() == Long.MIN_VALUE ? null : maker.forecasts().last());
+        maker.forecasts().lastSlot() == Long.MIN_VALUE
+            ? null
+            : maker.forecasts().lastSlot());
     state.put("rows", store.rows());
     state.put("edges", asking());
     state.put("plan_ms", planMillis);
@@ -378,13 +380,13 @@
   /** What is expected of a function in the next slot, and how far that is believed. */
   public synchronized Map<String, Object> forecast(String function) {
     long slot = local.slot((long) now()) + 1;
-    Forecasts.Expected e = maker.forecasts().expect(function, slot);
+    Forecasts.Forecast e = maker.forecasts().forecast(function, slot);
     Map<String, Object> out = new LinkedHashMap<>();
     out.put("function", function);
     out.put("slot", slot);
     out.put("mean", e.mean());
     out.put("upper", e.upper());
-    out.put("by", e.by());
+    out.put("by", e.forecasterName());
     out.put("calls_believed", maker.trust().calls(function));
     out.put("any_believed", maker.trust().any(function));
     return out;
