--- a/core/src/main/java/gorseladder/core/Call.java
+++ b/core/src/main/java/gorseladder/core/Call.java
@@ -36,19 +36,19 @@
   public static final class Attempt {
     private final String worker;
     private final long decidedAt;
-    private final long decidedWith;
+    private final long listUpdatesAtDecision;
     /** When its bytes began to leave; 0 before. */
-    private long leftAt;
+    private long sentAt;
 
     private long endedAt;
     private Outcome outcome;
     /** Was out when another attempt left: what one of them proves later says nothing of the other. */
     private boolean overlapped;
 
-    private Attempt(String worker, long decidedAt, long decidedWith) {
+    private Attempt(String worker, long decidedAt, long listUpdatesAtDecision) {
       this.worker = worker;
       this.decidedAt = decidedAt;
-      this.decidedWith = decidedWith;
+      this.listUpdatesAtDecision = listUpdatesAtDecision;
     }
 
     /** The worker it goes to. */
@@ -62,16 +62,16 @@
     }
 
     /** How many news of the worker list the router knew when it decided it. */
-    public long decidedWith() {
-      return decidedWith;
+    public long listUpdatesAtDecision() {
+      return listUpdatesAtDecision;
     }
 
     private boolean isOut() {
-      return leftAt > 0 && outcome == null;
+      return sentAt > 0 && outcome == null;
     }
 
     private boolean mayHaveRun() {
-      return leftAt > 0 && (outcome == null || !outcome.neverRan || overlapped);
+      return sentAt > 0 && (outcome == null || !outcome.neverRan || overlapped);
     }
   }
 
@@ -84,7 +84,7 @@
    * @param clientSeen from when on what clients did before a pause of this process is known; 0 for always
    * @param mayDuplicate two attempts may be out at a time
    */
-  public record LastLook(
+  public record SendConditions(
       long until,
       boolean draining,
       boolean restartedSince,
@@ -119,7 +119,7 @@
    *
    * @param news how many news of the worker list are known
    */
-  public final synchronized int begin(String worker, long now, long news) {
+  public final synchronized int addAttempt(String worker, long now, long news) {
     attempts.add(new Attempt(worker, now, news));
     return attempts.size() - 1;
   }
@@ -130,7 +130,7 @@
   }
 
   /** True once the call has its final answer. */
-  public final synchronized boolean over() {
+  public final synchronized boolean isFinished() {
     return answer != null;
   }
 
@@ -138,7 +138,7 @@
    * The last step before the write: where it is allowed the attempt counts as may have run from then on, and its bytes
    * must follow at once.
    */
-  public final synchronized Verdict leave(int number, LastLook look, long now) {
+  public final synchronized Verdict trySend(int number, SendConditions look, long now) {
     Verdict verdict = Permits.maySend(
         new Permits.Sending(
             answer != null,
@@ -146,20 +146,20 @@
             look.draining(),
             look.restartedSince(),
             look.clientSeen(),
-            afterEarlier(number, look.mayDuplicate(), now)),
+            mayRepeatEarlier(number, look.mayDuplicate(), now)),
         now);
     if (verdict.allowed()) {
       attempts.forEach(earlier -> earlier.overlapped |= earlier.isOut());
-      attempts.get(number).leftAt = now;
-      leaving();
+      attempts.get(number).sentAt = now;
+      beforeSend();
     }
     return verdict;
   }
 
   /** The last look at an attempt and the write of its first bytes, which must not block. */
-  public interface Departure {
+  public interface CheckedWrite {
     /** Looks, and writes where the look allows it; true where it did. */
-    boolean go() throws IOException;
+    boolean writeIfAllowed() throws IOException;
   }
 
   /**
@@ -168,11 +168,11 @@
    * <p>Guards against bytes that reach a worker after the final answer, where the thread that writes them loses the
    * processor between the two. It could harm by holding up the end of the call for as long.
    */
-  public final synchronized boolean departs(Departure departure) throws IOException {
-    return departure.go();
+  public final synchronized boolean sendAtomically(CheckedWrite write) throws IOException {
+    return write.writeIfAllowed();
   }
 
-  private Verdict afterEarlier(int number, boolean mayDuplicate, long now) {
+  private Verdict mayRepeatEarlier(int number, boolean mayDuplicate, long now) {
     for (Attempt earlier : attempts) {
       if (earlier == attempts.get(number)) {
         continue;
@@ -183,7 +183,7 @@
       Verdict verdict = Permits.mayRepeatAfter(
           facts.requestClass().effect(),
           earlier.mayHaveRun(),
-          now - earlier.leftAt,
+          now - earlier.sentAt,
           facts.requestClass().repeatWindow());
       if (!verdict.allowed()) {
         return verdict;
@@ -193,13 +193,13 @@
   }
 
   /** The other attempts that left, for the second look at the rules. */
-  public final synchronized List<Other> others(int number) {
+  public final synchronized List<Other> otherSentAttempts(int number) {
     List<Other> others = new ArrayList<>(1);
     for (Attempt other : attempts) {
       if (other != attempts.get(number)
-          && other.leftAt > 0
-          && other.leftAt <= attempts.get(number).leftAt) {
-        others.add(new Other(other.leftAt, other.endedAt, !other.mayHaveRun()));
+          && other.sentAt > 0
+          && other.sentAt <= attempts.get(number).sentAt) {
+        others.add(new Other(other.sentAt, other.endedAt, !other.mayHaveRun()));
       }
     }
     return others;
@@ -215,13 +215,13 @@
   public final synchronized List<Outcome> outcomes() {
     List<Outcome> all = new ArrayList<>();
     for (Attempt a : attempts) {
-      all.add(a.outcome == null && a.leftAt == 0 ? Outcome.MOOT : a.outcome);
+      all.add(a.outcome == null && a.sentAt == 0 ? Outcome.MOOT : a.outcome);
     }
     return all;
   }
 
   /** True where some attempt left and nothing says that it did not run; the caller holds the lock. */
-  protected final boolean someMayHaveRun() {
+  protected final boolean anyMayHaveRun() {
     return attempts.stream().anyMatch(Attempt::mayHaveRun);
   }
 
@@ -233,26 +233,26 @@
       }
       answer = end;
       endedAt = now;
-      record(end);
+      recordFinalAnswer(end);
       notifyAll();
     }
-    answered(end);
+    onFinalAnswer(end);
     return true;
   }
 
   /** An attempt is about to leave; the lock is held. */
-  protected void leaving() {}
+  protected void beforeSend() {}
 
   /**
    * The call has its final answer; the lock is held, so that what is written here stands before anything that follows.
    */
-  protected void record(FinalAnswer end) {}
+  protected void recordFinalAnswer(FinalAnswer end) {}
 
   /** The call has its final answer; once, without the lock, on the thread that gave it. Must not block. */
-  protected abstract void answered(FinalAnswer end);
+  protected abstract void onFinalAnswer(FinalAnswer end);
 
   /** A served answer came after the call had ended otherwise. */
-  protected void servedLate(byte[] body) {}
+  protected void onServedResult(byte[] body) {}
 
   /** The final answer, or null. */
   public final synchronized FinalAnswer answer() {
@@ -279,7 +279,7 @@
     List<String> described = new ArrayList<>();
     for (Attempt a : attempts) {
       described.add(
-          a.worker + "=" + (a.outcome != null ? a.outcome : a.leftAt > 0 ? "OUT" : "UNSENT"));
+          a.worker + "=" + (a.outcome != null ? a.outcome : a.sentAt > 0 ? "OUT" : "UNSENT"));
     }
     return described;
   }
--- a/core/src/main/java/gorseladder/core/Core.java
+++ b/core/src/main/java/gorseladder/core/Core.java
@@ -336,7 +336,7 @@
       givingUp = true;
       calls.values().stream()
           .map(held -> held.call)
-          .filter(call -> !call.over())
+          .filter(call -> !call.isFinished())
           .map(Call::id)
           .toList()
           .forEach(id -> tell(new TimeUp(id)));
@@ -420,13 +420,13 @@
   private void arrived(C call) {
     call.considered(now);
     longestWait.accumulateAndGet(now - call.facts().takenAt(), Math::max);
-    if (call.over()) {
+    if (call.isFinished()) {
       // Its client left before it was looked at: nothing is owed, and no attempt would be let
       // out.
       return;
     }
     if (givingUp) {
-      call.finish(FinalAnswer.silent(Reason.STOPPING), now);
+      call.finish(FinalAnswer.withoutRetryAdvice(Reason.STOPPING), now);
       return;
     }
     Call.Facts f = call.facts();
@@ -455,7 +455,7 @@
     Call.Attempt attempt = call.attempt(end.attempt());
     boolean served = end.outcome() == Outcome.OK;
     Outcome outcome = end.outcome();
-    if (served && !call.over()) {
+    if (served && !call.isFinished()) {
       if (isInTime(call, now)) {
         finish(call, Reason.SERVED, end.body(), 0);
       } else {
@@ -463,7 +463,7 @@
       }
     }
     if (served) {
-      call.servedLate(end.body());
+      call.onServedResult(end.body());
       noteServed(call, attempt, end.note());
     }
     Held<C> held = calls.get(call.id());
@@ -475,7 +475,7 @@
         end.attempt(),
         attempt.worker(),
         outcome,
-        call.over(),
+        call.isFinished(),
         now - attempt.decidedAt(),
         end.note(),
         end.crowd(),
@@ -508,7 +508,7 @@
    * its client left, so that its deadline would change nothing.
    */
   private void release(C call) {
-    if (!call.over()) {
+    if (!call.isFinished()) {
       return;
     }
     Held<C> held = calls.get(call.id());
@@ -524,7 +524,7 @@
     if (action instanceof Send a) {
       Held<C> held = calls.get(a.id());
       C call = held.call;
-      int number = call.begin(a.worker(), now, newsKnown);
+      int number = call.addAttempt(a.worker(), now, newsKnown);
       held.attemptsOut++;
       noteStart(call, a.worker());
       outbound.send(call, number, a.worker(), a.timeout());
--- a/core/src/main/java/gorseladder/core/FinalAnswer.java
+++ b/core/src/main/java/gorseladder/core/FinalAnswer.java
@@ -18,7 +18,7 @@
   }
 
   /** An answer without a result and without advice. */
-  public static FinalAnswer silent(Reason reason) {
+  public static FinalAnswer withoutRetryAdvice(Reason reason) {
     return new FinalAnswer(reason, null, 0);
   }
 
--- a/core/src/test/java/gorseladder/core/CoreTest.java
+++ b/core/src/test/java/gorseladder/core/CoreTest.java
@@ -130,7 +130,7 @@
   }
 
   private static AttemptEnd<Call> served(Call call) {
-    call.begin("r", Clock.micros(), 1);
+    call.addAttempt("r", Clock.micros(), 1);
     return new AttemptEnd<>(call, 0, Outcome.OK, new byte[] {1}, Note.NONE, 0, Map.of());
   }
 
@@ -167,7 +167,7 @@
   }
 
   private static void leave(Core<Call> core, Call call) {
-    call.finish(FinalAnswer.silent(Reason.GONE), Clock.micros());
+    call.finish(FinalAnswer.withoutRetryAdvice(Reason.GONE), Clock.micros());
     core.clientGone(call);
   }
 
@@ -185,7 +185,7 @@
         new Call.Facts("m" + id, SAFE, "", "f", new byte[0], 1, 1, 0, false, now, now + time);
     return new Call(id, facts) {
       @Override
-      protected void answered(FinalAnswer end) {}
+      protected void onFinalAnswer(FinalAnswer end) {}
     };
   }
 
--- a/edge/src/main/java/gorseladder/edge/core/TakenCall.java
+++ b/edge/src/main/java/gorseladder/edge/core/TakenCall.java
@@ -81,7 +81,7 @@
    * @param now the ledger's time
    */
   public synchronized long recordLeaving(long now) throws LedgerException {
-    if (over()) {
+    if (isFinished()) {
       return 0;
     }
     if (leavingTicket == 0) {
@@ -94,18 +94,18 @@
   }
 
   @Override
-  protected void leaving() {
+  protected void beforeSend() {
     pass.sent();
   }
 
   @Override
-  protected void record(FinalAnswer end) {
+  protected void recordFinalAnswer(FinalAnswer end) {
     boolean served = end.reason().kind == Reason.Kind.SERVED;
-    record(end, served, served ? end.body() : null, ranBefore || someMayHaveRun());
+    record(end, served, served ? end.body() : null, ranBefore || anyMayHaveRun());
   }
 
   @Override
-  protected void answered(FinalAnswer end) {
+  protected void onFinalAnswer(FinalAnswer end) {
     pass.gone();
     onEnd.accept(this);
     releaseAnswers();
@@ -129,7 +129,7 @@
 
   private void releaseAnswers() {
     synchronized (this) {
-      if (over() && readers == 0) {
+      if (isFinished() && readers == 0) {
         answers.forEach(MessageBytes::end);
         answers.clear();
       }
@@ -138,7 +138,7 @@
 
   /** A served answer that came after the call had ended otherwise: kept for the sender's next try. */
   @Override
-  protected synchronized void servedLate(byte[] body) {
+  protected synchronized void onServedResult(byte[] body) {
     FinalAnswer end = answer();
     // On the core's thread: a look at the ledger's tables, not at its files.
     if (end != null
--- a/edge/src/main/java/gorseladder/edge/runners/Runners.java
+++ b/edge/src/main/java/gorseladder/edge/runners/Runners.java
@@ -291,7 +291,7 @@
 
     private boolean write(byte[] message) throws IOException {
       try {
-        if (!call.departs(() -> leave(message))) {
+        if (!call.sendAtomically(() -> leave(message))) {
           // Without the call's lock: who hears of it has locks of its own.
           end(AttemptFate.ofHeldBack(lastLook));
           return false;
@@ -322,13 +322,13 @@
       Verdict verdict;
       synchronized (gate) {
         long now = Clock.micros();
-        Call.LastLook look = new Call.LastLook(
+        Call.SendConditions look = new Call.SendConditions(
             isCancelled() ? now : until,
             !gate.callMayLeave(worker),
-            gate.restartedSince(worker, call.attempt(number).decidedWith()),
+            gate.restartedSince(worker, call.attempt(number).listUpdatesAtDecision()),
             0,
             settings.mayDuplicate());
-        verdict = call.leave(number, look, now);
+        verdict = call.trySend(number, look, now);
         leftAt = now;
       }
       if (!verdict.allowed()) {
@@ -360,7 +360,7 @@
           facts.requestClass().effect(),
           facts.requestClass().repeatWindow(),
           settings.mayDuplicate(),
-          call.others(number));
+          call.otherSentAttempts(number));
       rules.written(facts.message(), written);
     }
 
--- a/edge/src/test/java/gorseladder/edge/core/TakenCallTest.java
+++ b/edge/src/test/java/gorseladder/edge/core/TakenCallTest.java
@@ -65,7 +65,7 @@
   @Test
   void afterTheAnswerNothingLeavesAndTheFirstAnswerStands() throws IOException {
     TakenCall call = call("m", false);
-    int attempt = call.begin("w", 0, 0);
+    int attempt = call.addAttempt("w", 0, 0);
     assertTrue(call.finish(REFUSED, 1));
     assertFalse(call.finish(SERVED, 2));
     assertFalse(leaves(call, attempt));
@@ -80,14 +80,14 @@
   void whatLeftCountsAsMayHaveRunUnlessItIsKnownNotTo() throws IOException {
     TakenCall out = call("out", false);
     out.recordLeaving(9);
-    leaves(out, out.begin("w", 0, 0));
+    leaves(out, out.addAttempt("w", 0, 0));
     out.finish(new FinalAnswer(Reason.FAILED_TIMEOUT, null, 0), 1);
     assertTrue(ledger.get("out").mayHaveRun());
     assertEquals(9, ledger.get("out").leftAt());
 
     TakenCall full = call("full", false);
     full.recordLeaving(9);
-    int attempt = full.begin("w", 0, 0);
+    int attempt = full.addAttempt("w", 0, 0);
     leaves(full, attempt);
     full.ended(attempt, Outcome.FULL, 2);
     full.finish(REFUSED, 1);
@@ -103,14 +103,14 @@
   void anAnswerThatComesAfterTheEndIsKeptForTheSendersNextTry() throws IOException {
     TakenCall call = call("late", false);
     call.recordLeaving(9);
-    leaves(call, call.begin("w", 0, 0));
-    call.servedLate(new byte[] {7});
+    leaves(call, call.addAttempt("w", 0, 0));
+    call.onServedResult(new byte[] {7});
     assertEquals(Stage.LEAVING, ledger.get("late").stage(), "not over yet");
     call.finish(new FinalAnswer(Reason.FAILED_TIMEOUT, null, 0), 1);
-    call.servedLate(new byte[] {7});
+    call.onServedResult(new byte[] {7});
     assertEquals(Stage.SERVED, ledger.get("late").stage());
     assertEquals(7, ledger.get("late").answer()[0]);
-    call.servedLate(new byte[] {8});
+    call.onServedResult(new byte[] {8});
     assertEquals(7, ledger.get("late").answer()[0]);
   }
 
@@ -121,7 +121,7 @@
     int left = 0;
     for (int round = 0; round < 3_000; round++) {
       TakenCall call = call("r" + round, false);
-      int attempt = call.begin("w", 0, 0);
+      int attempt = call.addAttempt("w", 0, 0);
       boolean[] leaves = new boolean[1];
       Thread sender = new Thread(() -> {
         try {
@@ -149,15 +149,15 @@
   @Test
   void eachAttemptWaitsForTheRecordOfTheFirstLeaving() throws IOException {
     TakenCall call = call("twice", false);
-    call.begin("v", 0, 0);
+    call.addAttempt("v", 0, 0);
     long first = call.recordLeaving(9);
-    call.begin("w", 0, 0);
+    call.addAttempt("w", 0, 0);
     assertTrue(first > 0);
     assertEquals(first, call.recordLeaving(9));
   }
 
   private static boolean leaves(TakenCall call, int attempt) {
-    Call.LastLook look = new Call.LastLook(Long.MAX_VALUE, false, false, 0, false);
-    return call.leave(attempt, look, 1).allowed();
+    Call.SendConditions look = new Call.SendConditions(Long.MAX_VALUE, false, false, 0, false);
+    return call.trySend(attempt, look, 1).allowed();
   }
 }
--- a/edge/src/test/java/gorseladder/edge/runners/RunnersTest.java
+++ b/edge/src/test/java/gorseladder/edge/runners/RunnersTest.java
@@ -73,7 +73,7 @@
         Watchdog watchdog = new SlowWatchdog();
         Runners runners = runners(ledger, watchdog, server)) {
       TakenCall call = call(ledger);
-      runners.send(call, call.begin("runner", Clock.micros(), 0), "runner", 0);
+      runners.send(call, call.addAttempt("runner", Clock.micros(), 0), "runner", 0);
       try (Socket runner = server.accept()) {
         assertTrue(looked.await(5, TimeUnit.SECONDS));
         call.finish(new FinalAnswer(Reason.FAILED_TIMEOUT, null, 0), Clock.micros());
@@ -106,7 +106,7 @@
         public void loadEnded(Loaded loaded) {}
       });
       call.finish(new FinalAnswer(Reason.GONE, null, 0), Clock.micros());
-      runners.send(call, call.begin("runner", Clock.micros(), 0), "runner", 0);
+      runners.send(call, call.addAttempt("runner", Clock.micros(), 0), "runner", 0);
       assertFalse(locked.get(5, TimeUnit.SECONDS), "the call's lock is held");
     }
   }
--- a/node/src/main/java/gorseladder/node/NodeCall.java
+++ b/node/src/main/java/gorseladder/node/NodeCall.java
@@ -49,7 +49,7 @@
   }
 
   @Override
-  protected void answered(FinalAnswer end) {
+  protected void onFinalAnswer(FinalAnswer end) {
     onEnd.accept(this, end);
   }
 
--- a/node/src/main/java/gorseladder/node/front/FastCgiFront.java
+++ b/node/src/main/java/gorseladder/node/front/FastCgiFront.java
@@ -267,7 +267,7 @@
         (facts.deadlineAt() - Clock.micros()) / 1_000);
     Verdict mayTake = Permits.mayTake(held.size(), mostHeld, budget.used(), budget.most());
     if (!mayTake.allowed() || !core.offer(call)) {
-      call.finish(FinalAnswer.silent(Reason.BUSY), Clock.micros());
+      call.finish(FinalAnswer.withoutRetryAdvice(Reason.BUSY), Clock.micros());
     }
   }
 
@@ -296,7 +296,7 @@
 
   /** The client of a call left. */
   void gone(NodeCall call) {
-    call.finish(FinalAnswer.silent(Reason.GONE), Clock.micros());
+    call.finish(FinalAnswer.withoutRetryAdvice(Reason.GONE), Clock.micros());
     core.clientGone(call);
   }
 
@@ -388,7 +388,7 @@
   private void refuseUnconsidered(long now) {
     for (NodeCall call : held.values()) {
       if (call.consideredAt() == 0 && now >= call.facts().deadlineAt()) {
-        call.finish(FinalAnswer.silent(Reason.BUSY), now);
+        call.finish(FinalAnswer.withoutRetryAdvice(Reason.BUSY), now);
       }
     }
   }
--- a/node/src/main/java/gorseladder/node/runners/AttemptRequest.java
+++ b/node/src/main/java/gorseladder/node/runners/AttemptRequest.java
@@ -55,13 +55,13 @@
   @Override
   Verdict mayLeave(long now) {
     SendGate gate = links.gate();
-    Call.LastLook look = new Call.LastLook(
+    Call.SendConditions look = new Call.SendConditions(
         until,
         !gate.callMayLeave(worker()),
-        gate.restartedSince(worker(), call.attempt(number).decidedWith()),
+        gate.restartedSince(worker(), call.attempt(number).listUpdatesAtDecision()),
         Math.max(call.seenFrom(), links.clientsSeenFrom(now)),
         links.mayDuplicate());
-    return call.leave(number, look, now);
+    return call.trySend(number, look, now);
   }
 
   @Override
@@ -104,7 +104,7 @@
                 effect(),
                 call.facts().requestClass().repeatWindow(),
                 links.mayDuplicate(),
-                call.others(number)));
+                call.otherSentAttempts(number)));
   }
 
   @Override
--- a/soak/src/main/java/gorseladder/soak/PlantedFault.java
+++ b/soak/src/main/java/gorseladder/soak/PlantedFault.java
@@ -48,7 +48,7 @@
   LEAVING_CLIENTS_IGNORED(
       SoakRule.CLIENT_GONE,
       "node/src/main/java/gorseladder/node/front/FastCgiFront.java",
-      "call.finish(FinalAnswer.silent(Reason.GONE), Clock.micros());\n    core.clientGone(call);",
+      "call.finish(FinalAnswer.withoutRetryAdvice(Reason.GONE), Clock.micros());\n    core.clientGone(call);",
       "",
       Trouble.LEAVE,
       Trouble.PAUSE),
