--- a/core/src/main/java/gorseladder/core/Core.java
+++ b/core/src/main/java/gorseladder/core/Core.java
@@ -31,7 +31,7 @@
 import gorseladder.ahead.Ahead;
 import gorseladder.ahead.Plan;
 import gorseladder.ahead.Seen;
-import gorseladder.answers.Endings;
+import gorseladder.answers.FinalReasons;
 import gorseladder.answers.Reason;
 import gorseladder.answers.RetryAdvice;
 import gorseladder.permits.Permits;
@@ -497,7 +497,7 @@
     boolean refused = reason.kind == Reason.Kind.REFUSED;
     long wait = retryAfter;
     if (advice != null) {
-      advice.noted(refused);
+      advice.record(refused);
       wait = refused ? advice.seconds() * 1_000_000L : 0;
     }
     call.finish(new FinalAnswer(reason, body, wait), now);
@@ -535,11 +535,11 @@
       }
     } else if (action instanceof Refuse a) {
       C call = calls.get(a.id()).call;
-      finish(call, Endings.refused(call.outcomes()), null, a.retryAfter());
+      finish(call, FinalReasons.ofRefusal(call.outcomes()), null, a.retryAfter());
       release(call);
     } else if (action instanceof Fail a) {
       C call = calls.get(a.id()).call;
-      finish(call, Endings.failed(call.outcomes()), null, 0);
+      finish(call, FinalReasons.ofFailure(call.outcomes()), null, 0);
       release(call);
     } else if (action instanceof Cancel a) {
       outbound.cancel(calls.get(a.id()).call, a.attempt());
--- a/decisions/src/main/java/gorseladder/Router.java
+++ b/decisions/src/main/java/gorseladder/Router.java
@@ -899,7 +899,8 @@
   /** Whether the budget of a worker that is starting has a call left. */
   private boolean coldRoom(Worker w) {
     double served = servedRate / Math.max(1, fleet.size());
-    ColdBudget.Pace pace = new ColdBudget.Pace(served, meanUsual, settings.dispatchers());
+    ColdBudget.ServiceRate pace =
+        new ColdBudget.ServiceRate(served, meanUsual, settings.dispatchers());
     return w.cold.hasRoom(settings.rules(), w.born, w.inFlight, pace, now);
   }
 
@@ -918,7 +919,7 @@
   /** What is saved up for a starting worker, in calls, for logs; NaN for one that is warm or unknown. */
   public double startBudget(String worker) {
     Worker w = workers.get(worker);
-    return w == null || warmth(w) >= 1 ? Double.NaN : w.cold.saved();
+    return w == null || warmth(w) >= 1 ? Double.NaN : w.cold.tokens();
   }
 
   /** The part of its capacity that a worker has at least, by its birth and the told ramp. */
--- a/decisions/src/main/java/gorseladder/RouterState.java
+++ b/decisions/src/main/java/gorseladder/RouterState.java
@@ -97,7 +97,7 @@
 
     Function(String name) {
       this.name = name;
-      this.hash = SharedOrder.function(name);
+      this.hash = SharedOrder.functionHash(name);
     }
   }
 
--- a/decisions/src/main/java/gorseladder/admission/Admission.java
+++ b/decisions/src/main/java/gorseladder/admission/Admission.java
@@ -54,7 +54,7 @@
   /**
    * What the edge is told: calls in hand at the most, tenants' shares, the longest time a client may be told to wait.
    */
-  public record Told(int mostInHand, Map<String, Double> shares, long maxRetryAfter) {}
+  public record Settings(int maxCalls, Map<String, Double> shares, long maxRetryAfter) {}
 
   /**
    * A call that asks to enter.
@@ -63,7 +63,7 @@
    * @param aim its class's aim; the longest of all where the class is not known yet
    * @param waited how long it waited to be read
    */
-  public record Asking(long message, String tenant, double worth, long aim, long waited) {}
+  public record Arrival(long message, String tenant, double worth, long aim, long waited) {}
 
   private record Inside(String tenant, long since) {}
 
@@ -73,7 +73,7 @@
     private long shortest = Long.MAX_VALUE;
   }
 
-  private final Told told;
+  private final Settings settings;
   private final Random random;
   private final Stretch[] stretches = new Stretch[STRETCHES];
   /** Oldest first. */
@@ -86,8 +86,8 @@
   private long refusals;
 
   /** Nothing waits; the seed spreads the times at which refused clients come back. */
-  public Admission(Told told, long seed) {
-    this.told = told;
+  public Admission(Settings settings, long seed) {
+    this.settings = settings;
     this.random = new Random(seed);
     for (int i = 0; i < STRETCHES; i++) {
       stretches[i] = new Stretch();
@@ -95,7 +95,7 @@
   }
 
   /** Whether a call may enter; where it may not it is refused, and counts as come again for a while. */
-  public boolean mayEnter(Asking call, long now) {
+  public boolean mayEnter(Arrival call, long now) {
     boolean may = hasRoom(call, now);
     if (may) {
       refused.remove(call.message());
@@ -118,9 +118,9 @@
     }
   }
 
-  private boolean hasRoom(Asking call, long now) {
+  private boolean hasRoom(Arrival call, long now) {
     int here = waiting.size();
-    if (here < told.mostInHand() * FREE) {
+    if (here < settings.maxCalls() * FREE) {
       return true;
     }
     double horizon = HORIZON * call.aim();
@@ -129,20 +129,20 @@
       return false;
     }
     double part = part(call, now);
-    if (here < part * Math.min(told.mostInHand(), horizon * sent(now) / (STRETCH * STRETCHES))) {
+    if (here < part * Math.min(settings.maxCalls(), horizon * sent(now) / (STRETCH * STRETCHES))) {
       return true;
     }
     if (standing(now) <= STANDING * part * horizon) {
-      return here < told.mostInHand();
+      return here < settings.maxCalls();
     }
     // Nothing may have been sent only because nothing was let in: one at a time finds out.
-    boolean probe = now - probedAt >= STRETCH && here < told.mostInHand();
+    boolean probe = now - probedAt >= STRETCH && here < settings.maxCalls();
     probedAt = probe ? now : probedAt;
     return probe;
   }
 
   /** The part of the room that is open to such a call. */
-  private double part(Asking call, long now) {
+  private double part(Arrival call, long now) {
     double part = LEAST_WORTH + (1 - LEAST_WORTH) * Math.max(0, Math.min(1, call.worth()));
     if (overShare(call.tenant())) {
       part *= OVER_SHARE;
@@ -162,7 +162,7 @@
   }
 
   private double share(String tenant) {
-    return told.shares().getOrDefault(tenant, 0.0);
+    return settings.shares().getOrDefault(tenant, 0.0);
   }
 
   /** A call that may enter entered; it has waited since then and waits until it is sent or gone. */
@@ -182,7 +182,7 @@
   }
 
   /** A call ended without being sent, or was turned away after all. */
-  public void gone(long id) {
+  public void endedUnsent(long id) {
     leave(id);
   }
 
@@ -233,7 +233,7 @@
    * refused, and spread by chance, so that those refused together do not come back together.
    */
   public int retryAfter() {
-    long most = Math.max(1, (told.maxRetryAfter() + 999_999) / 1_000_000);
+    long most = Math.max(1, (settings.maxRetryAfter() + 999_999) / 1_000_000);
     return 1
         + (int) Math.min(
             most - 1, Math.floor(random.nextDouble() * most * Math.min(1, 2 * refusedShare)));
@@ -245,7 +245,7 @@
    * back, each connection brings few calls a second. Nothing is held while few are refused; whoever holds one asks
    * again every now and then, as that may be by now.
    */
-  public long holdRefusal() {
+  public long refusalDelay() {
     return (long) (MOST_HELD * Math.max(0, Math.min(1, 2 * refusedShare - 0.5)));
   }
 
--- a/decisions/src/main/java/gorseladder/admission/Turns.java
+++ b/decisions/src/main/java/gorseladder/admission/Turns.java
@@ -32,8 +32,8 @@
     this.most = most;
   }
 
-  /** True where it may read now; else it waits until {@link #done} names it. */
-  public boolean ask(T who) {
+  /** True where it may read now; else it waits until {@link #finish} names it. */
+  public boolean tryStart(T who) {
     if (inside < most) {
       inside++;
       return true;
@@ -43,7 +43,7 @@
   }
 
   /** One that read is done; returns who goes now in its place, null where nobody waits. */
-  public T done() {
+  public T finish() {
     if (waiting.isEmpty()) {
       inside--;
       return null;
--- a/decisions/src/main/java/gorseladder/answers/Endings.java
+++ b/decisions/src/main/java/gorseladder/answers/FinalReasons.java
@@ -7,11 +7,11 @@
  * Names the reason of a final answer that the router gave, from the outcomes of the attempts made. The router alone
  * decides between refusing and failing; this only says why in the shared vocabulary. Pure functions; any thread.
  */
-public final class Endings {
-  private Endings() {}
+public final class FinalReasons {
+  private FinalReasons() {}
 
   /** The reason of a refusal; the last attempt says most about what stood in the way. */
-  public static Reason refused(List<Outcome> outcomes) {
+  public static Reason ofRefusal(List<Outcome> outcomes) {
     if (outcomes.isEmpty()) {
       return Reason.REFUSED_UNSENT;
     }
@@ -27,7 +27,7 @@
   }
 
   /** The reason of a failure; an attempt still out (null) means that time ran out. */
-  public static Reason failed(List<Outcome> outcomes) {
+  public static Reason ofFailure(List<Outcome> outcomes) {
     Outcome worst = null;
     for (Outcome o : outcomes) {
       if (o == null) {
--- a/decisions/src/main/java/gorseladder/answers/RetryAdvice.java
+++ b/decisions/src/main/java/gorseladder/answers/RetryAdvice.java
@@ -25,7 +25,7 @@
   }
 
   /** A call ended with a final answer. */
-  public void noted(boolean refused) {
+  public void record(boolean refused) {
     refusedShare += ((refused ? 1 : 0) - refusedShare) / MEMORY;
   }
 
--- a/decisions/src/main/java/gorseladder/attempts/AttemptFate.java
+++ b/decisions/src/main/java/gorseladder/attempts/AttemptOutcomes.java
@@ -15,16 +15,16 @@
  *
  * <p>Pure functions; any thread.
  */
-public final class AttemptFate {
-  private AttemptFate() {}
+public final class AttemptOutcomes {
+  private AttemptOutcomes() {}
 
-  /** How far an attempt got. The order matters: from {@link #LEAVING} on, bytes may have left. */
+  /** How far an attempt got. The order matters: from {@link #SENDING} on, bytes may have left. */
   public enum Progress {
     WAITING,
     CONNECTING,
     CONNECTED,
-    LEAVING,
-    ANSWERING
+    SENDING,
+    RESPONDING
   }
 
   /** What ended an attempt. */
@@ -57,7 +57,7 @@
    *
    * @param othersStand whether other connections to the worker are open
    */
-  public static Ending ofConnection(Ending ending, boolean othersStand) {
+  public static Ending endingOfConnection(Ending ending, boolean othersStand) {
     return ending == Ending.BROKEN && othersStand ? Ending.CONNECTION_LOST : ending;
   }
 
@@ -71,7 +71,7 @@
    * @throws IllegalArgumentException where a response is claimed for an attempt that sent nothing
    */
   public static Outcome of(Progress progress, Ending ending, int status, boolean saysNeverRan) {
-    boolean mayHaveLeft = progress.compareTo(Progress.LEAVING) >= 0;
+    boolean mayHaveLeft = progress.compareTo(Progress.SENDING) >= 0;
     if (!mayHaveLeft) {
       return switch (ending) {
         case RESPONSE, MALFORMED ->
@@ -94,7 +94,7 @@
    * unsent.
    */
   public static Outcome ofUnanswered(Progress progress, Ending ending) {
-    boolean mayHaveLeft = progress.compareTo(Progress.LEAVING) >= 0;
+    boolean mayHaveLeft = progress.compareTo(Progress.SENDING) >= 0;
     return of(
         progress, ending == Ending.MALFORMED && !mayHaveLeft ? Ending.BROKEN : ending, 0, false);
   }
@@ -104,7 +104,7 @@
    *
    * @throws IllegalArgumentException where it was allowed, or has only to wait
    */
-  public static Ending ofHeldBack(Verdict verdict) {
+  public static Ending endingOfDenied(Verdict verdict) {
     return switch (verdict) {
       case CALL_ENDED, TIME_UP -> Ending.CALL_OVER;
       case DRAINING, WORKER_RESTARTED, MAY_HAVE_RUN, WINDOW_OVER, ATTEMPT_OUT, RATION_SPENT ->
--- a/decisions/src/main/java/gorseladder/attempts/ConnectionChoice.java
+++ b/decisions/src/main/java/gorseladder/attempts/ConnectionChoice.java
@@ -70,17 +70,17 @@
    * @param heardAt when anything came on the connection last
    * @param now when it is given up
    */
-  public static boolean carriesOn(long sentAt, long heardAt, long now) {
+  public static boolean remainsUsable(long sentAt, long heardAt, long now) {
     return heardAt > sentAt || now - sentAt < SILENCE;
   }
 
   /** How long a connection may carry nothing, where the other side closes it after so long. */
-  public static long mostIdle(long told) {
+  public static long localIdleLimit(long told) {
     return (long) (told * IDLE_PART);
   }
 
   /** What is known of a connection: calls on it, and for how long it has neither carried nor answered anything. */
-  public record Candidate(int carrying, long idle) {}
+  public record Candidate(int callsInFlight, long idle) {}
 
   /**
    * Which of the connections that may carry a call does, where calls share connections; -1 for a further one.
@@ -100,9 +100,9 @@
       Candidate c = candidates.get(i);
       Candidate than = best < 0 ? null : candidates.get(best);
       boolean better = than == null
-          || (effect == Effect.UNSAFE || c.carrying() == than.carrying()
+          || (effect == Effect.UNSAFE || c.callsInFlight() == than.callsInFlight()
               ? c.idle() < than.idle()
-              : c.carrying() < than.carrying());
+              : c.callsInFlight() < than.callsInFlight());
       best = better ? i : best;
     }
     if (best < 0) {
@@ -110,8 +110,8 @@
     }
     Candidate chosen = candidates.get(best);
     boolean another = effect == Effect.UNSAFE
-        ? chosen.carrying() == 0 && chosen.idle() > JUST_NOW
-        : chosen.carrying() > 0;
+        ? chosen.callsInFlight() == 0 && chosen.idle() > JUST_NOW
+        : chosen.callsInFlight() > 0;
     return another && standing < MOST_SHARED ? -1 : best;
   }
 }
--- a/decisions/src/main/java/gorseladder/follow/FeedAttempts.java
+++ b/decisions/src/main/java/gorseladder/follow/FeedAttempts.java
@@ -8,19 +8,19 @@
  * lets go.
  *
  * <p>A connection that says nothing may be dead, or slow. Guards against both at once: a feed that is silent for
- * {@link FollowPace#SILENCE} is asked again on another connection while the old one may still answer, so that silence
+ * {@link FollowPace#SILENCE_MICROS} is asked again on another connection while the old one may still answer, so that silence
  * is noticed in time and slowness only costs time; the first connection that tells something ends the others. After a
  * move a connection to the old address stays until the new address tells something, or until room is needed. The
- * patience with one connection is what {@link #MOST} of them in turn allow, and doubles after {@link #PATIENT_AFTER}
- * vain ones. It could harm a feed that is slow because it is crowded: it is asked up to {@link #MOST} times at once.
+ * patience with one connection is what {@link #MAX_CONNECTIONS} of them in turn allow, and doubles after {@link #DOUBLE_TIMEOUT_AFTER}
+ * vain ones. It could harm a feed that is slow because it is crowded: it is asked up to {@link #MAX_CONNECTIONS} times at once.
  *
  * <p>Not thread safe. Times are microseconds on one clock that only goes forward.
  */
 public final class FeedAttempts {
   /** Connections at a time. */
-  public static final int MOST = 3;
+  public static final int MAX_CONNECTIONS = 3;
   /** Vain connections in a row after which each gets twice the time. */
-  static final int PATIENT_AFTER = 6;
+  static final int DOUBLE_TIMEOUT_AFTER = 6;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
 
@@ -37,12 +37,12 @@
     }
 
     private boolean tells(long now) {
-      return toldAt + FollowPace.SILENCE > now;
+      return toldAt + FollowPace.SILENCE_MICROS > now;
     }
   }
 
   /** A connection that begins, and the one that makes room for it, 0 for none. */
-  public record Begun(long number, long evicted) {}
+  public record Started(long number, long evicted) {}
 
   private final FollowPace pace;
   private final List<Attempt> attempts = new ArrayList<>();
@@ -71,14 +71,15 @@
     if (newest == NEVER) {
       return pausedUntil;
     }
-    long patience = vain > PATIENT_AFTER ? 2 * FollowPace.SILENCE : FollowPace.SILENCE;
-    return Math.max(newest + patience, toldAt + FollowPace.SILENCE);
+    long patience =
+        vain > DOUBLE_TIMEOUT_AFTER ? 2 * FollowPace.SILENCE_MICROS : FollowPace.SILENCE_MICROS;
+    return Math.max(newest + patience, toldAt + FollowPace.SILENCE_MICROS);
   }
 
   /** A connection begins now. */
-  public Begun begin(long now) {
+  public Started begin(long now) {
     Attempt evicted = null;
-    if (attempts.size() >= MOST) {
+    if (attempts.size() >= MAX_CONNECTIONS) {
       evicted = attempts.stream()
           .min((a, b) -> a.tells(now) == b.tells(now)
               ? Long.compare(a.begunAt, b.begunAt)
@@ -88,11 +89,11 @@
     }
     attempts.add(new Attempt(++lastNumber, move, now));
     vain++;
-    return new Begun(lastNumber, evicted == null ? 0 : evicted.number);
+    return new Started(lastNumber, evicted == null ? 0 : evicted.number);
   }
 
   /** True for a connection that has neither ended nor been let go. */
-  public boolean stands(long number) {
+  public boolean isOpen(long number) {
     return attempts.stream().anyMatch(a -> a.number == number);
   }
 
@@ -103,7 +104,7 @@
    * @param last the last number known before; a line that tells less is no sign of life
    * @return connections to be let go now
    */
-  public List<Long> told(long number, long seq, long last, long now) {
+  public List<Long> lineReceived(long number, long seq, long last, long now) {
     List<Long> others = new ArrayList<>();
     for (Attempt attempt : List.copyOf(attempts)) {
       if (attempt.number == number && seq >= last) {
@@ -125,7 +126,7 @@
   }
 
   /** The feed is at another address now, and is asked there at once. */
-  public void moved() {
+  public void addressChanged() {
     move++;
     vain = 0;
     pausedUntil = 0;
--- a/decisions/src/main/java/gorseladder/follow/FollowPace.java
+++ b/decisions/src/main/java/gorseladder/follow/FollowPace.java
@@ -12,7 +12,7 @@
  */
 public final class FollowPace {
   /** A feed that told nothing for so long counts as silent: two of the beats that come every second, and some. */
-  public static final long SILENCE = 1_800_000;
+  public static final long SILENCE_MICROS = 1_800_000;
 
   private static final long LEAST_PAUSE = 20_000;
   private static final long MOST_PAUSE = 250_000;
--- a/decisions/src/main/java/gorseladder/order/SharedOrder.java
+++ b/decisions/src/main/java/gorseladder/order/SharedOrder.java
@@ -86,7 +86,7 @@
   }
 
   /** The hash under which a function is asked for. */
-  public static long function(String name) {
+  public static long functionHash(String name) {
     return Hashes.name(name);
   }
 
@@ -144,7 +144,7 @@
   /**
    * The first workers in the order of a function; all of them where there are no more than that.
    *
-   * @param function from {@link #function}
+   * @param function from {@link #functionHash}
    */
   public List<M> first(long function, int count) {
     boolean direct = size <= PROBES || count * DIRECT_PART >= size;
--- a/decisions/src/main/java/gorseladder/repeats/Repeats.java
+++ b/decisions/src/main/java/gorseladder/repeats/Repeats.java
@@ -35,22 +35,22 @@
    * What is remembered of a message id.
    *
    * @param phase how far it got
-   * @param live true while this process holds the call and will answer it
+   * @param inProgress true while this process holds the call and will answer it
    * @param mayHaveRun true where some attempt is not known not to have run
    * @param leftAt when the first such attempt may have left; read only where {@code mayHaveRun}
    * @param sameContent true where the new delivery has the same class, function and body
    */
-  public record Known(
-      Phase phase, boolean live, boolean mayHaveRun, long leftAt, boolean sameContent) {}
+  public record RecordedMessage(
+      Phase phase, boolean inProgress, boolean mayHaveRun, long leftAt, boolean sameContent) {}
 
   /** What to do with a delivery. */
-  public enum Deed {
+  public enum Action {
     /** Hand it to the router. */
     RUN,
     /** Wait for the answer of the call that is out. */
     JOIN,
     /** Give the kept answer. */
-    ANSWER_AGAIN,
+    RETURN_STORED_ANSWER,
     /** The very same signed request came before. */
     REPLAYED,
     /** The id was used for something else. */
@@ -60,7 +60,7 @@
   }
 
   /** A deed and, for RUN, the longest time the call may take from now. */
-  public record Verdict(Deed deed, long mostTime) {}
+  public record Decision(Action action, long timeLimit) {}
 
   /**
    * Judges a delivery whose signature holds.
@@ -71,27 +71,31 @@
    * @param now the present time
    * @param patience how long the client waits, more than 0
    */
-  public static Verdict onDelivery(
-      RequestClass requestClass, boolean signatureSeen, Known known, long now, long patience) {
+  public static Decision onDelivery(
+      RequestClass requestClass,
+      boolean signatureSeen,
+      RecordedMessage known,
+      long now,
+      long patience) {
     if (signatureSeen) {
-      return new Verdict(Deed.REPLAYED, 0);
+      return new Decision(Action.REPLAYED, 0);
     }
     if (known == null) {
-      return new Verdict(Deed.RUN, patience);
+      return new Decision(Action.RUN, patience);
     }
     if (!known.sameContent()) {
-      return new Verdict(Deed.CONFLICT, 0);
+      return new Decision(Action.CONFLICT, 0);
     }
-    if (known.live()) {
-      return new Verdict(Deed.JOIN, patience);
+    if (known.inProgress()) {
+      return new Decision(Action.JOIN, patience);
     }
     return switch (known.phase()) {
-      case SERVED -> new Verdict(Deed.ANSWER_AGAIN, 0);
+      case SERVED -> new Decision(Action.RETURN_STORED_ANSWER, 0);
       case LEAVING -> again(requestClass, known.leftAt(), now, patience);
       case ACCEPTED, CLOSED ->
         known.mayHaveRun()
             ? again(requestClass, known.leftAt(), now, patience)
-            : new Verdict(Deed.RUN, patience);
+            : new Decision(Action.RUN, patience);
     };
   }
 
@@ -99,7 +103,7 @@
    * True where a delivery may be refused as harmless though something is on record of its message that cannot be read
    * at present: an earlier one may have run.
    */
-  public static boolean mayRefuseUnread(Effect effect) {
+  public static boolean mayRefuseUnreadable(Effect effect) {
     return effect == Effect.SAFE;
   }
 
@@ -108,17 +112,17 @@
    * only if all its new attempts end within the window that the first one began; the router cannot know that earlier
    * attempt, so the time of the call is cut to what is left of the window. Everything else never runs again.
    */
-  private static Verdict again(RequestClass requestClass, long leftAt, long now, long patience) {
+  private static Decision again(RequestClass requestClass, long leftAt, long now, long patience) {
     long since = now - leftAt;
     boolean mayRun = Permits.mayRepeatAfter(
             requestClass.effect(), true, since, requestClass.repeatWindow())
         .allowed();
     if (requestClass.effect() == Effect.SAFE) {
-      return new Verdict(Deed.RUN, patience);
+      return new Decision(Action.RUN, patience);
     }
     return mayRun && requestClass.group() == Group.ALL
-        ? new Verdict(Deed.RUN, Math.min(patience, requestClass.repeatWindow() - since))
-        : new Verdict(Deed.MAY_HAVE_RUN, 0);
+        ? new Decision(Action.RUN, Math.min(patience, requestClass.repeatWindow() - since))
+        : new Decision(Action.MAY_HAVE_RUN, 0);
   }
 
   /**
@@ -134,7 +138,7 @@
    * and recorded once, with its end: were the process killed in between, its sender's next try would run it again,
    * which does no harm.
    */
-  public static boolean recordAtTake(Effect effect) {
+  public static boolean recordBeforeAccepting(Effect effect) {
     return effect != Effect.SAFE;
   }
 
--- a/decisions/src/main/java/gorseladder/starts/ColdBudget.java
+++ b/decisions/src/main/java/gorseladder/starts/ColdBudget.java
@@ -21,7 +21,7 @@
 
   private static final double SECOND = 1e6;
 
-  private double saved;
+  private double tokens;
   private long savedAt;
   /** What its last answer without a load took since it started; 0 where there was none. */
   private double lastAnswer;
@@ -30,14 +30,14 @@
    * What is known of calls.
    *
    * @param servedPerWorker calls a second that this dispatcher has served by a worker of the fleet, on the mean
-   * @param usual the usual time of a call
+   * @param typicalLatency the usual time of a call
    * @param dispatchers how many of them share the workers
    */
-  public record Pace(double servedPerWorker, double usual, int dispatchers) {}
+  public record ServiceRate(double servedPerWorker, double typicalLatency, int dispatchers) {}
 
   /** The worker has started anew. */
   public void restart(double chance, long now) {
-    saved = chance;
+    tokens = chance;
     savedAt = now;
     lastAnswer = 0;
   }
@@ -53,25 +53,26 @@
    *
    * @param out calls of this dispatcher that are out there
    */
-  public boolean hasRoom(Rules rules, long born, int out, Pace pace, long now) {
+  public boolean hasRoom(Rules rules, long born, int out, ServiceRate serviceRate, long now) {
     double warmth = warmth(rules, born, now);
     if (warmth >= 1) {
       return true;
     }
-    double oneByOne = SECOND / Math.max(pace.usual(), lastAnswer) / pace.dispatchers();
-    double rate = Math.max(pace.servedPerWorker(), out > 0 ? 0 : oneByOne);
+    double oneByOne =
+        SECOND / Math.max(serviceRate.typicalLatency(), lastAnswer) / serviceRate.dispatchers();
+    double rate = Math.max(serviceRate.servedPerWorker(), out > 0 ? 0 : oneByOne);
     double used = rate * MARGIN * rules.overloadMultiple();
     double most = Math.max(1, used * warmth * rules.overloadFor() / SECOND);
     // Looked at seldom, so the warmth in between counts and not the one reached by now.
     double meanWarmth = (warmth + warmth(rules, born, savedAt)) / 2;
-    saved = Math.min(most, saved + (now - savedAt) / SECOND * used * meanWarmth);
+    tokens = Math.min(most, tokens + (now - savedAt) / SECOND * used * meanWarmth);
     savedAt = now;
-    return saved >= 1;
+    return tokens >= 1;
   }
 
   /** A call goes to the worker while it is cold. */
   public void spend() {
-    saved--;
+    tokens--;
   }
 
   /** It has served a call without a load; to be told after a last {@link #hasRoom} for the time it was out. */
@@ -80,7 +81,7 @@
   }
 
   /** Calls that are saved up. */
-  public double saved() {
-    return saved;
+  public double tokens() {
+    return tokens;
   }
 }
--- a/decisions/src/main/java/gorseladder/starts/StartTimes.java
+++ b/decisions/src/main/java/gorseladder/starts/StartTimes.java
@@ -37,7 +37,7 @@
   private static final int MOST_LEFT = 256;
 
   /** The two clocks of this process, read together. */
-  public record Reading(long monotonic, long wall) {
+  public record ClockReading(long monotonic, long wall) {
     private long offset() {
       return wall - monotonic;
     }
@@ -57,7 +57,7 @@
   };
 
   /** Notes how the two clocks stand to each other now; called now and then, so that a step is seen. */
-  public void observe(Reading now) {
+  public void observe(ClockReading now) {
     for (long offset : offsets) {
       if (Math.abs(offset - now.offset()) < STEP) {
         return;
@@ -76,7 +76,7 @@
    * @param absentAt the last monotonic time at which the list is known to have been without the worker, or
    *     {@link #ALWAYS_LISTED}
    */
-  public long startedAt(String worker, long stampMillis, Reading now, long absentAt) {
+  public long startedAt(String worker, long stampMillis, ClockReading now, long absentAt) {
     if (stampMillis <= 0) {
       return 0;
     }
@@ -91,7 +91,7 @@
     return start.at();
   }
 
-  private long age(long stamp, Reading now, long absentAt) {
+  private long age(long stamp, ClockReading now, long absentAt) {
     long least = Long.MAX_VALUE;
     for (long offset : offsets) {
       long age = now.monotonic() + offset - stamp;
--- a/decisions/src/main/java/gorseladder/threads/ConnectionWait.java
+++ b/decisions/src/main/java/gorseladder/threads/ConnectionWait.java
@@ -25,7 +25,7 @@
    * @param waited for how long it has waited
    * @param left how much time it has left
    */
-  public static long nextLook(long waited, long left) {
+  public static long retryDelay(long waited, long left) {
     return waited + LOOK <= left * PART ? LOOK : -1;
   }
 }
--- a/decisions/src/test/java/gorseladder/admission/AdmissionTest.java
+++ b/decisions/src/test/java/gorseladder/admission/AdmissionTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gorseladder.admission.Admission.Asking;
-import gorseladder.admission.Admission.Told;
+import gorseladder.admission.Admission.Arrival;
+import gorseladder.admission.Admission.Settings;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.Map;
@@ -91,7 +91,7 @@
     private long arrive(Coming c, long now, int retries) {
       boolean may = queue.size() < bound
           && (admission == null
-              || admission.mayEnter(new Asking(c.message(), c.tenant(), c.worth(), AIM, 0), now));
+              || admission.mayEnter(new Arrival(c.message(), c.tenant(), c.worth(), AIM, 0), now));
       if (may) {
         long id = ++messages;
         queue.add(new Waiting(id, c.message(), c.tenant(), c.worth(), c.at()));
@@ -119,7 +119,7 @@
   }
 
   private static Admission admission(Map<String, Double> shares) {
-    return new Admission(new Told(1_000, shares, 2_000_000), 3);
+    return new Admission(new Settings(1_000, shares, 2_000_000), 3);
   }
 
   private static double goodput(Admission admission, int bound, double multiple) {
@@ -200,7 +200,7 @@
     // 200 calls come and 100 are sent a second, the oldest first: before long they stand.
     for (long i = 0; i < 800; i++) {
       now += 5_000;
-      if (admission.mayEnter(new Asking(i, "a", 1, AIM, 0), now)) {
+      if (admission.mayEnter(new Arrival(i, "a", 1, AIM, 0), now)) {
         admission.entered(i, "a", now);
         inside.add(i);
       }
@@ -209,18 +209,18 @@
       }
     }
     long next = 1_000;
-    for (; admission.mayEnter(new Asking(next, "a", 1, AIM, 0), now); next++) {
+    for (; admission.mayEnter(new Arrival(next, "a", 1, AIM, 0), now); next++) {
       admission.entered(next, "a", now);
       inside.add(next);
     }
     int full = admission.waiting();
     assertTrue(full >= 40, "waiting " + full);
     for (int i = 0; i < 8; i++) {
-      admission.gone(inside.poll());
+      admission.endedUnsent(inside.poll());
     }
-    assertFalse(admission.mayEnter(new Asking(next, "a", 1, AIM, 0), now));
+    assertFalse(admission.mayEnter(new Arrival(next, "a", 1, AIM, 0), now));
     assertTrue(
-        admission.mayEnter(new Asking(9_999, "a", 1, AIM, 0), now),
+        admission.mayEnter(new Arrival(9_999, "a", 1, AIM, 0), now),
         "waiting " + admission.waiting() + " full " + full);
   }
 
@@ -231,7 +231,7 @@
     long now = 1_000_000;
     for (long i = 0; i < 500; i++) {
       now += 5_000;
-      assertTrue(admission.mayEnter(new Asking(i, "a", 1, AIM, 0), now), "call " + i);
+      assertTrue(admission.mayEnter(new Arrival(i, "a", 1, AIM, 0), now), "call " + i);
       admission.entered(i, "a", now);
       if (i % 2 == 0) {
         admission.sent(i, now + 1_000);
@@ -249,7 +249,7 @@
     int entered = 0;
     for (long i = 0; i < 2_000; i++) {
       now += 5_000;
-      if (admission.mayEnter(new Asking(i, "a", 1, AIM, 0), now)) {
+      if (admission.mayEnter(new Arrival(i, "a", 1, AIM, 0), now)) {
         admission.entered(i, "a", now);
         entered++;
       }
@@ -261,41 +261,41 @@
   @Test
   void aHopelessCallIsRefused() {
     Admission admission = admission(Map.of());
-    assertTrue(admission.mayEnter(new Asking(1, "a", 1, AIM, AIM), 1_000_000));
+    assertTrue(admission.mayEnter(new Arrival(1, "a", 1, AIM, AIM), 1_000_000));
     for (long i = 0; i < 20; i++) {
       admission.entered(i, "a", 1_000_000);
     }
-    assertFalse(admission.mayEnter(new Asking(1, "a", 1, AIM, AIM * 6 / 10), 1_000_000));
-    assertTrue(admission.mayEnter(new Asking(1, "a", 1, AIM, AIM * 4 / 10), 1_000_000));
+    assertFalse(admission.mayEnter(new Arrival(1, "a", 1, AIM, AIM * 6 / 10), 1_000_000));
+    assertTrue(admission.mayEnter(new Arrival(1, "a", 1, AIM, AIM * 4 / 10), 1_000_000));
   }
 
   /** Refusals are held back where most calls are refused, and not any more once few are. */
   @Test
   void refusalsAreHeldBackWhereMostAreRefused() {
     Admission admission = admission(Map.of());
-    assertEquals(0, admission.holdRefusal());
+    assertEquals(0, admission.refusalDelay());
     for (long i = 0; i < 1_000; i++) {
-      if (admission.mayEnter(new Asking(i, "a", 1, AIM, 0), 1_000_000 + i)) {
+      if (admission.mayEnter(new Arrival(i, "a", 1, AIM, 0), 1_000_000 + i)) {
         admission.entered(i, "a", 0);
       }
     }
-    assertTrue(admission.holdRefusal() > 900_000);
+    assertTrue(admission.refusalDelay() > 900_000);
     for (long i = 0; i < 1_000; i++) {
-      admission.gone(i);
-      assertTrue(admission.mayEnter(new Asking(i, "a", 1, AIM, 0), 9_000_000 + i));
+      admission.endedUnsent(i);
+      assertTrue(admission.mayEnter(new Arrival(i, "a", 1, AIM, 0), 9_000_000 + i));
     }
-    assertEquals(0, admission.holdRefusal());
+    assertEquals(0, admission.refusalDelay());
   }
 
   @Test
   void clientsRefusedTogetherAreSpread() {
-    Admission admission = new Admission(new Told(10, Map.of(), 8_000_000), 3);
+    Admission admission = new Admission(new Settings(10, Map.of(), 8_000_000), 3);
     Map<Integer, Integer> waits = new HashMap<>();
     assertEquals(1, admission.retryAfter());
     long now = 1_000_000;
     for (long i = 0; i < 2_000; i++) {
       now += 10;
-      if (admission.mayEnter(new Asking(i, "a", 1, AIM, 0), now)) {
+      if (admission.mayEnter(new Arrival(i, "a", 1, AIM, 0), now)) {
         admission.entered(i, "a", now);
       } else if (i > 1_000) {
         waits.merge(admission.retryAfter(), 1, Integer::sum);
--- a/decisions/src/test/java/gorseladder/admission/TurnsTest.java
+++ b/decisions/src/test/java/gorseladder/admission/TurnsTest.java
@@ -15,16 +15,16 @@
   @Test
   void theNewestGoesFirstAndNowAndThenTheOldest() {
     Turns<Integer> turns = new Turns<>(1);
-    assertTrue(turns.ask(0));
+    assertTrue(turns.tryStart(0));
     for (int i = 1; i <= 10; i++) {
-      assertFalse(turns.ask(i));
+      assertFalse(turns.tryStart(i));
     }
     StringBuilder order = new StringBuilder();
-    for (Integer next = turns.done(); next != null; next = turns.done()) {
+    for (Integer next = turns.finish(); next != null; next = turns.finish()) {
       order.append(next).append(' ');
     }
     assertEquals("10 9 8 7 6 5 4 1 3 2 ", order.toString());
-    assertTrue(turns.ask(11));
+    assertTrue(turns.tryStart(11));
     assertThrows(IllegalArgumentException.class, () -> new Turns<>(0));
   }
 
@@ -38,14 +38,14 @@
     int ended = 0;
     for (int step = 0; step < 50_000; step++) {
       if (random.nextInt(2) == 0 && step < 40_000) {
-        if (turns.ask(next)) {
+        if (turns.tryStart(next)) {
           assertTrue(inside.add(next));
         }
         next++;
       } else if (!inside.isEmpty()) {
         inside.remove(inside.iterator().next());
         ended++;
-        Integer named = turns.done();
+        Integer named = turns.finish();
         assertTrue(named == null || inside.add(named));
       }
       assertTrue(inside.size() <= 3);
@@ -54,11 +54,11 @@
     while (!inside.isEmpty()) {
       inside.remove(inside.iterator().next());
       ended++;
-      Integer named = turns.done();
+      Integer named = turns.finish();
       assertTrue(named == null || inside.add(named));
     }
     assertEquals(next, ended);
-    turns.ask(-1);
-    assertNull(turns.done());
+    turns.tryStart(-1);
+    assertNull(turns.finish());
   }
 }
--- a/decisions/src/test/java/gorseladder/answers/AnswersTest.java
+++ b/decisions/src/test/java/gorseladder/answers/AnswersTest.java
@@ -26,15 +26,16 @@
 
   @Test
   void endingsAreNamedByWhatStoodInTheWay() {
-    assertEquals(Reason.REFUSED_UNSENT, Endings.refused(List.of()));
-    assertEquals(Reason.REFUSED_FULL, Endings.refused(List.of(Outcome.MISS, Outcome.FULL)));
-    assertEquals(Reason.REFUSED_COLD, Endings.refused(List.of(Outcome.MISS)));
-    assertEquals(Reason.REFUSED_HARMLESS, Endings.refused(List.of(Outcome.RESET)));
-    assertEquals(Reason.REFUSED_HARMLESS, Endings.refused(Arrays.asList(Outcome.FULL, null)));
-    assertEquals(Reason.FAILED_TIMEOUT, Endings.failed(Arrays.asList((Outcome) null)));
-    assertEquals(Reason.FAILED_RESET, Endings.failed(List.of(Outcome.RESET, Outcome.FULL)));
-    assertEquals(Reason.FAILED_ERROR, Endings.failed(List.of(Outcome.MISS, Outcome.ERROR)));
-    assertEquals(Reason.FAILED_OVERDUE, Endings.failed(List.of()));
+    assertEquals(Reason.REFUSED_UNSENT, FinalReasons.ofRefusal(List.of()));
+    assertEquals(Reason.REFUSED_FULL, FinalReasons.ofRefusal(List.of(Outcome.MISS, Outcome.FULL)));
+    assertEquals(Reason.REFUSED_COLD, FinalReasons.ofRefusal(List.of(Outcome.MISS)));
+    assertEquals(Reason.REFUSED_HARMLESS, FinalReasons.ofRefusal(List.of(Outcome.RESET)));
+    assertEquals(
+        Reason.REFUSED_HARMLESS, FinalReasons.ofRefusal(Arrays.asList(Outcome.FULL, null)));
+    assertEquals(Reason.FAILED_TIMEOUT, FinalReasons.ofFailure(Arrays.asList((Outcome) null)));
+    assertEquals(Reason.FAILED_RESET, FinalReasons.ofFailure(List.of(Outcome.RESET, Outcome.FULL)));
+    assertEquals(Reason.FAILED_ERROR, FinalReasons.ofFailure(List.of(Outcome.MISS, Outcome.ERROR)));
+    assertEquals(Reason.FAILED_OVERDUE, FinalReasons.ofFailure(List.of()));
   }
 
   @Test
@@ -43,14 +44,14 @@
     assertEquals(1, advice.seconds());
     int sum = 0;
     for (int i = 0; i < 500; i++) {
-      advice.noted(true);
+      advice.record(true);
       int seconds = advice.seconds();
       assertTrue(seconds >= 1 && seconds <= 10);
       sum += i >= 400 ? seconds : 0;
     }
     assertTrue(sum > 500, "long waits while all is refused");
     for (int i = 0; i < 500; i++) {
-      advice.noted(false);
+      advice.record(false);
     }
     assertEquals(1, advice.seconds());
   }
--- a/decisions/src/test/java/gorseladder/attempts/AttemptsTest.java
+++ b/decisions/src/test/java/gorseladder/attempts/AttemptsTest.java
@@ -7,8 +7,8 @@
 
 import gorseladder.RouterApi.Effect;
 import gorseladder.RouterApi.Outcome;
-import gorseladder.attempts.AttemptFate.Ending;
-import gorseladder.attempts.AttemptFate.Progress;
+import gorseladder.attempts.AttemptOutcomes.Ending;
+import gorseladder.attempts.AttemptOutcomes.Progress;
 import gorseladder.attempts.ConnectionChoice.Candidate;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -21,16 +21,16 @@
       for (Ending ending : Ending.values()) {
         for (int status = 100; status < 600; status += 1) {
           for (boolean says : new boolean[] {true, false}) {
-            boolean left = progress.compareTo(Progress.LEAVING) >= 0;
+            boolean left = progress.compareTo(Progress.SENDING) >= 0;
             boolean answer = ending == Ending.RESPONSE || ending == Ending.MALFORMED;
             int code = status;
             if (!left && answer) {
               assertThrows(
                   IllegalArgumentException.class,
-                  () -> AttemptFate.of(progress, ending, code, says));
+                  () -> AttemptOutcomes.of(progress, ending, code, says));
               continue;
             }
-            Outcome outcome = AttemptFate.of(progress, ending, status, says);
+            Outcome outcome = AttemptOutcomes.of(progress, ending, status, says);
             boolean proof =
                 !left || ending == Ending.RESPONSE && says && (status < 200 || status >= 300);
             assertEquals(
@@ -44,13 +44,14 @@
   /** One connection that breaks is no death: the worker's copies are still believed; its last one is. */
   @Test
   void aConnectionThatEndsAloneIsNotAWorkerThatDied() {
-    Ending alone = AttemptFate.ofConnection(Ending.BROKEN, true);
-    assertEquals(Outcome.ERROR, AttemptFate.of(Progress.LEAVING, alone, 0, false));
-    assertEquals(Outcome.CONNECT_FAILED, AttemptFate.of(Progress.CONNECTED, alone, 0, false));
+    Ending alone = AttemptOutcomes.endingOfConnection(Ending.BROKEN, true);
+    assertEquals(Outcome.ERROR, AttemptOutcomes.of(Progress.SENDING, alone, 0, false));
+    assertEquals(Outcome.CONNECT_FAILED, AttemptOutcomes.of(Progress.CONNECTED, alone, 0, false));
     assertEquals(
         Outcome.RESET,
-        AttemptFate.of(Progress.LEAVING, AttemptFate.ofConnection(Ending.BROKEN, false), 0, false));
-    assertEquals(Ending.MALFORMED, AttemptFate.ofConnection(Ending.MALFORMED, true));
+        AttemptOutcomes.of(
+            Progress.SENDING, AttemptOutcomes.endingOfConnection(Ending.BROKEN, false), 0, false));
+    assertEquals(Ending.MALFORMED, AttemptOutcomes.endingOfConnection(Ending.MALFORMED, true));
   }
 
   /**
@@ -74,18 +75,20 @@
   /** A call withdrawn soon after it was sent is no sign that its connection is dead; one long unanswered is. */
   @Test
   void onlySilenceRetiresAConnection() {
-    assertTrue(ConnectionChoice.carriesOn(1_000_000, 500_000, 1_100_000));
-    assertFalse(ConnectionChoice.carriesOn(1_000_000, 500_000, 2_000_000));
-    assertTrue(ConnectionChoice.carriesOn(1_000_000, 1_000_001, 2_000_000));
+    assertTrue(ConnectionChoice.remainsUsable(1_000_000, 500_000, 1_100_000));
+    assertFalse(ConnectionChoice.remainsUsable(1_000_000, 500_000, 2_000_000));
+    assertTrue(ConnectionChoice.remainsUsable(1_000_000, 1_000_001, 2_000_000));
   }
 
   @Test
   void responses() {
-    assertEquals(Outcome.OK, AttemptFate.of(Progress.ANSWERING, Ending.RESPONSE, 200, false));
-    assertEquals(Outcome.MISS, AttemptFate.of(Progress.ANSWERING, Ending.RESPONSE, 404, true));
-    assertEquals(Outcome.FULL, AttemptFate.of(Progress.ANSWERING, Ending.RESPONSE, 429, true));
-    assertEquals(Outcome.ERROR, AttemptFate.of(Progress.ANSWERING, Ending.RESPONSE, 429, false));
-    assertEquals(Outcome.ERROR, AttemptFate.of(Progress.ANSWERING, Ending.RESPONSE, 503, false));
+    assertEquals(Outcome.OK, AttemptOutcomes.of(Progress.RESPONDING, Ending.RESPONSE, 200, false));
+    assertEquals(Outcome.MISS, AttemptOutcomes.of(Progress.RESPONDING, Ending.RESPONSE, 404, true));
+    assertEquals(Outcome.FULL, AttemptOutcomes.of(Progress.RESPONDING, Ending.RESPONSE, 429, true));
+    assertEquals(
+        Outcome.ERROR, AttemptOutcomes.of(Progress.RESPONDING, Ending.RESPONSE, 429, false));
+    assertEquals(
+        Outcome.ERROR, AttemptOutcomes.of(Progress.RESPONDING, Ending.RESPONSE, 503, false));
   }
 
   /** Each unsafe call opens a connection of its own; kept all, they piled up until no file could be opened. */
--- a/decisions/src/test/java/gorseladder/follow/FeedAttemptsTest.java
+++ b/decisions/src/test/java/gorseladder/follow/FeedAttemptsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 class FeedAttemptsTest {
-  private static final long SILENCE = FollowPace.SILENCE;
+  private static final long SILENCE = FollowPace.SILENCE_MICROS;
 
   private final FeedAttempts attempts = new FeedAttempts(1);
 
@@ -17,11 +17,11 @@
   void aFeedIsSilentWhenNoLineTellsAnythingNew() {
     long first = attempts.begin(1_000).number();
     assertEquals(1_000 + SILENCE, attempts.nextAt(1_000));
-    assertEquals(List.of(), attempts.told(first, 7, 7, 500_000));
+    assertEquals(List.of(), attempts.lineReceived(first, 7, 7, 500_000));
     assertEquals(500_000 + SILENCE, attempts.nextAt(900_000));
-    attempts.told(first, 6, 7, 1_500_000);
+    attempts.lineReceived(first, 6, 7, 1_500_000);
     assertEquals(500_000 + SILENCE, attempts.nextAt(1_500_000));
-    attempts.told(first, 8, 7, 1_600_000);
+    attempts.lineReceived(first, 8, 7, 1_600_000);
     assertEquals(1_600_000 + SILENCE, attempts.nextAt(1_600_000));
   }
 
@@ -30,9 +30,9 @@
   void aSlowFeedIsAskedBesideAndNotInsteadUntilOneTells() {
     long first = attempts.begin(0).number();
     long second = attempts.begin(attempts.nextAt(0)).number();
-    assertTrue(attempts.stands(first));
-    assertEquals(List.of(second), attempts.told(first, 7, 7, 2_600_000));
-    assertFalse(attempts.stands(second));
+    assertTrue(attempts.isOpen(first));
+    assertEquals(List.of(second), attempts.lineReceived(first, 7, 7, 2_600_000));
+    assertFalse(attempts.isOpen(second));
   }
 
   @Test
@@ -40,22 +40,22 @@
     long telling = attempts.begin(0).number();
     long second = attempts.begin(SILENCE).number();
     attempts.begin(2 * SILENCE);
-    attempts.moved();
-    attempts.told(telling, 7, 7, 3 * SILENCE - 1);
+    attempts.addressChanged();
+    attempts.lineReceived(telling, 7, 7, 3 * SILENCE - 1);
     assertEquals(second, attempts.begin(3 * SILENCE).evicted());
-    assertTrue(attempts.stands(telling));
+    assertTrue(attempts.isOpen(telling));
   }
 
   @Test
   void aMoveAsksAtOnceAndKeepsTheOldFeedUntilTheNewOneTells() {
     long old = attempts.begin(0).number();
-    attempts.told(old, 7, 7, 100);
-    attempts.moved();
+    attempts.lineReceived(old, 7, 7, 100);
+    attempts.addressChanged();
     assertTrue(attempts.nextAt(200) <= 200);
     long next = attempts.begin(200).number();
-    attempts.told(old, 8, 7, 300);
-    assertTrue(attempts.stands(next));
-    assertEquals(List.of(old), attempts.told(next, 8, 8, 400));
+    attempts.lineReceived(old, 8, 7, 300);
+    assertTrue(attempts.isOpen(next));
+    assertEquals(List.of(old), attempts.lineReceived(next, 8, 8, 400));
   }
 
   @Test
@@ -65,7 +65,7 @@
     long next = attempts.nextAt(1_000);
     assertTrue(next > 1_000 && next < 400_000, "paused until " + next);
     long now = next;
-    for (int i = 0; i <= FeedAttempts.PATIENT_AFTER; i++) {
+    for (int i = 0; i <= FeedAttempts.DOUBLE_TIMEOUT_AFTER; i++) {
       attempts.begin(now);
       now = attempts.nextAt(now);
     }
--- a/decisions/src/test/java/gorseladder/order/SharedOrderTest.java
+++ b/decisions/src/test/java/gorseladder/order/SharedOrderTest.java
@@ -33,7 +33,7 @@
   }
 
   private static long function(int number) {
-    return SharedOrder.function("function" + number);
+    return SharedOrder.functionHash("function" + number);
   }
 
   private static List<Worker> workers(int count) {
@@ -82,7 +82,7 @@
       for (int wanted : new int[] {1, 3, count / 5, count / 2, count, count + 1}) {
         assertEquals(
             byKey.subList(0, Math.min(wanted, count)),
-            first(order, SharedOrder.function(function), wanted));
+            first(order, SharedOrder.functionHash(function), wanted));
       }
     }
   }
--- a/decisions/src/test/java/gorseladder/repeats/RepeatsTest.java
+++ b/decisions/src/test/java/gorseladder/repeats/RepeatsTest.java
@@ -6,10 +6,10 @@
 import gorseladder.RouterApi.Effect;
 import gorseladder.RouterApi.Group;
 import gorseladder.RouterApi.RequestClass;
-import gorseladder.repeats.Repeats.Deed;
-import gorseladder.repeats.Repeats.Known;
+import gorseladder.repeats.Repeats.Action;
+import gorseladder.repeats.Repeats.Decision;
 import gorseladder.repeats.Repeats.Phase;
-import gorseladder.repeats.Repeats.Verdict;
+import gorseladder.repeats.Repeats.RecordedMessage;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -27,41 +27,48 @@
     return new RequestClass("c", effect, group, WINDOW, 1, PATIENCE, 1, 0.2, false);
   }
 
-  private static Verdict judge(Effect effect, Group group, Known known, long now) {
+  private static Decision judge(Effect effect, Group group, RecordedMessage known, long now) {
     return Repeats.onDelivery(of(effect, group), false, known, now, PATIENCE);
   }
 
   @Test
   void replaysConflictsAndJoins() {
     RequestClass c = of(Effect.SAFE, Group.ALL);
-    assertEquals(Deed.REPLAYED, Repeats.onDelivery(c, true, null, 0, PATIENCE).deed());
-    assertEquals(Deed.RUN, Repeats.onDelivery(c, false, null, 0, PATIENCE).deed());
+    assertEquals(Action.REPLAYED, Repeats.onDelivery(c, true, null, 0, PATIENCE).action());
+    assertEquals(Action.RUN, Repeats.onDelivery(c, false, null, 0, PATIENCE).action());
     assertEquals(
-        Deed.CONFLICT,
-        judge(Effect.SAFE, Group.ALL, new Known(Phase.SERVED, false, true, 0, false), 0)
-            .deed());
+        Action.CONFLICT,
+        judge(Effect.SAFE, Group.ALL, new RecordedMessage(Phase.SERVED, false, true, 0, false), 0)
+            .action());
     assertEquals(
-        Deed.JOIN,
-        judge(Effect.UNSAFE, Group.ALL, new Known(Phase.LEAVING, true, true, 0, true), 0)
-            .deed());
+        Action.JOIN,
+        judge(Effect.UNSAFE, Group.ALL, new RecordedMessage(Phase.LEAVING, true, true, 0, true), 0)
+            .action());
     assertEquals(
-        Deed.ANSWER_AGAIN,
-        judge(Effect.UNSAFE, Group.ALL, new Known(Phase.SERVED, false, true, 0, true), 0)
-            .deed());
+        Action.RETURN_STORED_ANSWER,
+        judge(Effect.UNSAFE, Group.ALL, new RecordedMessage(Phase.SERVED, false, true, 0, true), 0)
+            .action());
   }
 
   @Test
   void aKeyedRepeatEndsWithinTheWindowOfItsFirstAttempt() {
-    Known closed = new Known(Phase.CLOSED, false, true, 10, true);
-    assertEquals(new Verdict(Deed.RUN, PATIENCE), judge(Effect.KEYED, Group.ALL, closed, 11));
-    assertEquals(new Verdict(Deed.RUN, 2), judge(Effect.KEYED, Group.ALL, closed, 16));
-    assertEquals(Deed.MAY_HAVE_RUN, judge(Effect.KEYED, Group.ALL, closed, 18).deed());
-    assertEquals(Deed.MAY_HAVE_RUN, judge(Effect.KEYED, Group.ZONE, closed, 11).deed());
+    RecordedMessage closed = new RecordedMessage(Phase.CLOSED, false, true, 10, true);
+    assertEquals(new Decision(Action.RUN, PATIENCE), judge(Effect.KEYED, Group.ALL, closed, 11));
+    assertEquals(new Decision(Action.RUN, 2), judge(Effect.KEYED, Group.ALL, closed, 16));
+    assertEquals(Action.MAY_HAVE_RUN, judge(Effect.KEYED, Group.ALL, closed, 18).action());
     assertEquals(
-        Deed.MAY_HAVE_RUN, judge(Effect.KEYED, Group.ALL, closed, 9).deed(), "the clock went back");
+        Action.MAY_HAVE_RUN, judge(Effect.KEYED, Group.ZONE, closed, 11).action());
     assertEquals(
-        new Verdict(Deed.RUN, PATIENCE),
-        judge(Effect.KEYED, Group.ZONE, new Known(Phase.CLOSED, false, false, 0, true), 11));
+        Action.MAY_HAVE_RUN,
+        judge(Effect.KEYED, Group.ALL, closed, 9).action(),
+        "the clock went back");
+    assertEquals(
+        new Decision(Action.RUN, PATIENCE),
+        judge(
+            Effect.KEYED,
+            Group.ZONE,
+            new RecordedMessage(Phase.CLOSED, false, false, 0, true),
+            11));
   }
 
   /** The life of one message: what the ledger has durably, whether this process holds it, and how often it ran. */
@@ -182,10 +189,11 @@
           t));
     }
     if (!w.live()) {
-      Known known =
-          w.phase() == null ? null : new Known(w.phase(), false, w.mayHaveRun(), w.leftAt(), true);
-      Verdict v = judge(effect, Group.ALL, known, t);
-      if (v.deed() == Deed.RUN) {
+      RecordedMessage known = w.phase() == null
+          ? null
+          : new RecordedMessage(w.phase(), false, w.mayHaveRun(), w.leftAt(), true);
+      Decision v = judge(effect, Group.ALL, known, t);
+      if (v.action() == Action.RUN) {
         all.add(w.step(
             "deliver",
             Phase.ACCEPTED,
--- a/decisions/src/test/java/gorseladder/starts/StartTimesTest.java
+++ b/decisions/src/test/java/gorseladder/starts/StartTimesTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gorseladder.starts.StartTimes.Reading;
+import gorseladder.starts.StartTimes.ClockReading;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -16,15 +16,15 @@
   private final StartTimes starts = new StartTimes();
 
   /** The clocks after so many seconds, the wall clock stepped by so much. */
-  private static Reading at(long seconds, long step) {
-    return new Reading(HOUR + seconds * SECOND, EPOCH + seconds * SECOND + step);
+  private static ClockReading at(long seconds, long step) {
+    return new ClockReading(HOUR + seconds * SECOND, EPOCH + seconds * SECOND + step);
   }
 
   private static long stamp(long seconds, long step) {
     return at(seconds, step).wall() / 1_000;
   }
 
-  private long age(long stampMillis, Reading now, long absentAt) {
+  private long age(long stampMillis, ClockReading now, long absentAt) {
     return now.monotonic() - starts.startedAt("w", stampMillis, now, absentAt);
   }
 
@@ -59,11 +59,11 @@
     assertEquals(25 * SECOND, age(stamp(5, 0), at(30, 0), at(4, 0).monotonic()));
     assertEquals(
         HOUR / 2,
-        new Reading(2 * HOUR, EPOCH).monotonic()
+        new ClockReading(2 * HOUR, EPOCH).monotonic()
             - starts.startedAt(
                 "first",
                 (EPOCH - HOUR / 2) / 1_000,
-                new Reading(2 * HOUR, EPOCH),
+                new ClockReading(2 * HOUR, EPOCH),
                 StartTimes.ALWAYS_LISTED));
   }
 
--- a/decisions/src/test/java/gorseladder/threads/ConnectionWaitTest.java
+++ b/decisions/src/test/java/gorseladder/threads/ConnectionWaitTest.java
@@ -8,9 +8,9 @@
 class ConnectionWaitTest {
   private static long waits(long time) {
     long waited = 0;
-    for (long look = ConnectionWait.nextLook(0, time);
+    for (long look = ConnectionWait.retryDelay(0, time);
         look > 0;
-        look = ConnectionWait.nextLook(waited, time - waited)) {
+        look = ConnectionWait.retryDelay(waited, time - waited)) {
       waited += look;
     }
     return waited;
--- a/edge/src/main/java/gorseladder/edge/EdgeConfig.java
+++ b/edge/src/main/java/gorseladder/edge/EdgeConfig.java
@@ -152,7 +152,7 @@
     s.getTenantList().forEach(t -> shares.put(t.getName(), t.getShare()));
     return s.getAdaptiveAdmission()
         ? new Admission(
-            new Admission.Told(l.getMaxCalls(), shares, ms(l.getMaxRetryAfterMs())),
+            new Admission.Settings(l.getMaxCalls(), shares, ms(l.getMaxRetryAfterMs())),
             System.nanoTime() ^ s.getOrdinal())
         : null;
   }
--- a/edge/src/main/java/gorseladder/edge/core/AdmissionCheck.java
+++ b/edge/src/main/java/gorseladder/edge/core/AdmissionCheck.java
@@ -1,7 +1,7 @@
 package gorseladder.edge.core;
 
 import gorseladder.admission.Admission;
-import gorseladder.admission.Admission.Asking;
+import gorseladder.admission.Admission.Arrival;
 import gorseladder.runtime.Clock;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -48,7 +48,7 @@
         return true;
       }
       synchronized (AdmissionCheck.this) {
-        boolean may = ask(new Asking(message, tenant, worth, aim, waited));
+        boolean may = ask(new Arrival(message, tenant, worth, aim, waited));
         if (!may) {
           end(false);
         }
@@ -72,7 +72,7 @@
           if (sent) {
             admission.sent(id, Clock.micros());
           } else {
-            admission.gone(id);
+            admission.endedUnsent(id);
           }
         }
         open = false;
@@ -95,14 +95,14 @@
     if (admission == null) {
       return pass;
     }
-    if (!remembered && !ask(new Asking(message, tenant, 1, longestAim, waited))) {
+    if (!remembered && !ask(new Arrival(message, tenant, 1, longestAim, waited))) {
       return null;
     }
     admission.entered(pass.id, tenant, Clock.micros() - waited);
     return pass;
   }
 
-  private boolean ask(Asking call) {
+  private boolean ask(Arrival call) {
     long now = Clock.micros();
     boolean may = admission.mayEnter(call, now);
     if (!may && now >= toldAt + TELL_EVERY) {
@@ -123,6 +123,6 @@
 
   /** Microseconds for which a refusal is held back before it is told, as things are now. */
   public synchronized long holdRefusal() {
-    return admission.holdRefusal();
+    return admission.refusalDelay();
   }
 }
--- a/edge/src/main/java/gorseladder/edge/core/Intake.java
+++ b/edge/src/main/java/gorseladder/edge/core/Intake.java
@@ -5,7 +5,7 @@
 import gorseladder.core.Core;
 import gorseladder.core.FinalAnswer;
 import gorseladder.repeats.Repeats;
-import gorseladder.repeats.Repeats.Verdict;
+import gorseladder.repeats.Repeats.Decision;
 import gorseladder.runtime.Clock;
 import gorseladder.runtime.ThreadCache;
 import gorseladder.store.Digests;
@@ -155,7 +155,7 @@
 
   /** Turns a delivery away of whose message something is on record that cannot be read. */
   private static Result unread(Delivery d, String why) {
-    if (Repeats.mayRefuseUnread(d.requestClass().effect())) {
+    if (Repeats.mayRefuseUnreadable(d.requestClass().effect())) {
       return unrecorded(null, why);
     }
     LOG.error("{}", why);
@@ -177,14 +177,14 @@
         }
         LedgerEntry known = out != null ? out.entry() : remembered.entry();
         long now = ledger.clock().micros();
-        Verdict verdict = Repeats.onDelivery(
+        Decision decision = Repeats.onDelivery(
             d.requestClass(),
             requestOut || lookup.requestSeen(d.request(), remembered),
             known == null ? null : known(known, out != null, content),
             now,
             d.patience());
-        if (verdict.deed() != Repeats.Deed.RUN) {
-          return turned(verdict, d, known, out);
+        if (decision.action() != Repeats.Action.RUN) {
+          return turned(decision, d, known, out);
         }
         if (!ledger.hasRoom()) {
           return new Result(null, false, FinalAnswer.of(Reason.LEDGER_UNAVAILABLE));
@@ -202,10 +202,10 @@
             "",
             0,
             null);
-        boolean record = Repeats.recordAtTake(d.requestClass().effect());
+        boolean record = Repeats.recordBeforeAccepting(d.requestClass().effect());
         call = new TakenCall(
             ids.incrementAndGet(),
-            facts(d, verdict.mostTime(), known != null),
+            facts(d, decision.timeLimit(), known != null),
             ledger,
             entry,
             record ? null : d.request(),
@@ -263,8 +263,8 @@
         d.arrivedAt() + Math.max(1, Math.min(mostTime, d.patience()) - reserve));
   }
 
-  private static Repeats.Known known(LedgerEntry entry, boolean out, byte[] content) {
-    return new Repeats.Known(
+  private static Repeats.RecordedMessage known(LedgerEntry entry, boolean out, byte[] content) {
+    return new Repeats.RecordedMessage(
         Repeats.Phase.valueOf(entry.stage().name()),
         out,
         entry.mayHaveRun(),
@@ -273,18 +273,18 @@
   }
 
   /** A joined or repeated delivery's own signature is remembered too; whoever replays it later gets 409. */
-  private Result turned(Verdict verdict, Delivery d, LedgerEntry known, TakenCall out)
+  private Result turned(Decision decision, Delivery d, LedgerEntry known, TakenCall out)
       throws LedgerException {
-    if (verdict.deed() != Repeats.Deed.REPLAYED) {
+    if (decision.action() != Repeats.Action.REPLAYED) {
       ledger.putRequest(d.request(), d.requestKeepUntil());
       ledger.soon();
     }
-    if (verdict.deed() == Repeats.Deed.JOIN) {
+    if (decision.action() == Repeats.Action.JOIN) {
       out.join();
     }
-    return switch (verdict.deed()) {
+    return switch (decision.action()) {
       case JOIN -> new Result(out, true, null);
-      case ANSWER_AGAIN ->
+      case RETURN_STORED_ANSWER ->
         new Result(null, false, new FinalAnswer(Reason.SERVED_AGAIN, known.answer(), 0));
       case REPLAYED -> new Result(null, false, FinalAnswer.of(Reason.REPLAYED));
       case CONFLICT -> new Result(null, false, FinalAnswer.of(Reason.CONFLICT));
--- a/edge/src/main/java/gorseladder/edge/front/TurnQueue.java
+++ b/edge/src/main/java/gorseladder/edge/front/TurnQueue.java
@@ -24,7 +24,7 @@
     /** Waits for the turn, which comes in any case: whoever has one gives it. */
     void take() {
       synchronized (turns) {
-        mine = turns.ask(this);
+        mine = turns.tryStart(this);
       }
       if (!mine) {
         long began = Clock.micros();
@@ -41,7 +41,7 @@
         mine = false;
         Turn next;
         synchronized (turns) {
-          next = turns.done();
+          next = turns.finish();
         }
         if (next != null) {
           next.mine = true;
--- a/edge/src/main/java/gorseladder/edge/list/ListWatcher.java
+++ b/edge/src/main/java/gorseladder/edge/list/ListWatcher.java
@@ -9,7 +9,7 @@
 import gorseladder.runtime.HttpConnection;
 import gorseladder.runtime.Threads;
 import gorseladder.starts.StartTimes;
-import gorseladder.starts.StartTimes.Reading;
+import gorseladder.starts.StartTimes.ClockReading;
 import gorseladder.wire.http1.BadMessage;
 import gorseladder.wire.http1.BodyParser;
 import gorseladder.wire.http1.Head;
@@ -232,7 +232,7 @@
         starts.startedAt(
             id,
             (long) number(Json.at(service, "Meta", "born"), 0),
-            new Reading(Clock.micros(), Clock.wallMicros()),
+            new ClockReading(Clock.micros(), Clock.wallMicros()),
             listedAt));
   }
 
--- a/edge/src/main/java/gorseladder/edge/runners/Runners.java
+++ b/edge/src/main/java/gorseladder/edge/runners/Runners.java
@@ -5,9 +5,9 @@
 import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.Phase;
-import gorseladder.attempts.AttemptFate;
-import gorseladder.attempts.AttemptFate.Ending;
-import gorseladder.attempts.AttemptFate.Progress;
+import gorseladder.attempts.AttemptOutcomes;
+import gorseladder.attempts.AttemptOutcomes.Ending;
+import gorseladder.attempts.AttemptOutcomes.Progress;
 import gorseladder.attempts.ConnectionChoice;
 import gorseladder.core.Call;
 import gorseladder.core.Core.AttemptEnd;
@@ -49,7 +49,7 @@
 
 /**
  * Owns the connections to the runners. Each attempt and each load order runs on a thread of its own that blocks on a
- * socket, and ends in exactly one report to the core. What an end is worth is judged by {@link AttemptFate}; whether
+ * socket, and ends in exactly one report to the core. What an end is worth is judged by {@link AttemptOutcomes}; whether
  * bytes may still leave by {@link SendGate}, asked last before the write.
  *
  * <p>Any thread.
@@ -207,7 +207,7 @@
         return;
       }
       long now = Clock.micros();
-      long look = isCancelled() ? -1 : ConnectionWait.nextLook(now - began, until - now);
+      long look = isCancelled() ? -1 : ConnectionWait.retryDelay(now - began, until - now);
       if (look < 0) {
         end(Ending.NO_RESOURCE);
       } else {
@@ -271,7 +271,7 @@
       unfinished.begin(memory, this::cancel);
       connection.takeMemoryFrom(memory);
       Head head = connection.readResponse(until);
-      progress = Progress.ANSWERING;
+      progress = Progress.RESPONDING;
       byte[] body = connection.readBody(BodyParser.forResponse(head, limits), until);
       if (!unfinished.finish(memory)) {
         memory.requireOpen();
@@ -293,7 +293,7 @@
       try {
         if (!call.departs(() -> leave(message))) {
           // Without the call's lock: who hears of it has locks of its own.
-          end(AttemptFate.ofHeldBack(lastLook));
+          end(AttemptOutcomes.endingOfDenied(lastLook));
           return false;
         }
         connection.writeFrom(message, written);
@@ -311,7 +311,7 @@
       if (!lastLook.allowed()) {
         return false;
       }
-      progress = Progress.LEAVING;
+      progress = Progress.SENDING;
       guard = watchdog.after(Math.max(0, until - Clock.micros()), connection::abort);
       written = connection.writeAtOnce(message);
       return true;
@@ -415,7 +415,7 @@
     private void answered(Head head, byte[] body) throws NoRoomException {
       giveBack(worker, release(), head, call.facts().requestClass().effect());
       boolean neverRan = "no".equals(head.get(Oip.RAN));
-      Outcome outcome = AttemptFate.of(progress, Ending.RESPONSE, head.status(), neverRan);
+      Outcome outcome = AttemptOutcomes.of(progress, Ending.RESPONSE, head.status(), neverRan);
       byte[] result = null;
       if (outcome == Outcome.OK) {
         try {
@@ -436,7 +436,7 @@
           connection.abort();
         }
       }
-      report(AttemptFate.of(progress, told, 0, false), null, null);
+      report(AttemptOutcomes.of(progress, told, 0, false), null, null);
     }
 
     private void report(Outcome outcome, Head head, byte[] result) {
@@ -491,7 +491,7 @@
         return loaded(
             worker, function, 0, connection == null ? Outcome.CONNECT_FAILED : Outcome.MOOT, began);
       }
-      progress = Progress.LEAVING;
+      progress = Progress.SENDING;
       connection.write(HeadWriter.request("POST", Oip.loadTarget(function), worker)
           .field("Content-Type", "application/json")
           .field("Connection", "close")
@@ -500,19 +500,20 @@
       connection.takeMemoryFrom(memory);
       Head head = connection.readResponse(until);
       byte[] body = connection.readBody(BodyParser.forResponse(head, limits), until);
-      Outcome outcome = AttemptFate.of(
-          Progress.ANSWERING, Ending.RESPONSE, head.status(), "no".equals(head.get(Oip.RAN)));
+      Outcome outcome = AttemptOutcomes.of(
+          Progress.RESPONDING, Ending.RESPONSE, head.status(), "no".equals(head.get(Oip.RAN)));
       return loaded(
           worker, function, Oip.copiesIn(outcome == Outcome.OK ? body : NOTHING), outcome, began);
     } catch (SocketTimeoutException e) {
       return loaded(
-          worker, function, 0, AttemptFate.of(progress, Ending.TIMED_OUT, 0, false), began);
+          worker, function, 0, AttemptOutcomes.of(progress, Ending.TIMED_OUT, 0, false), began);
     } catch (NoRoomException e) {
       LOG.warn("an order to {} was given up: {}", worker, e.getMessage());
       return loaded(
-          worker, function, 0, AttemptFate.of(progress, Ending.CANCELLED, 0, false), began);
+          worker, function, 0, AttemptOutcomes.of(progress, Ending.CANCELLED, 0, false), began);
     } catch (IOException | BadMessage | IllegalArgumentException e) {
-      return loaded(worker, function, 0, AttemptFate.of(progress, Ending.BROKEN, 0, false), began);
+      return loaded(
+          worker, function, 0, AttemptOutcomes.of(progress, Ending.BROKEN, 0, false), began);
     } finally {
       memory.end();
     }
--- a/node/src/main/java/gorseladder/node/changelog/ChangeLogFollower.java
+++ b/node/src/main/java/gorseladder/node/changelog/ChangeLogFollower.java
@@ -125,7 +125,7 @@
     }
     last = Math.max(last, knownSeq);
     tell(listed.asSaved(), currentAt);
-    for (int i = 0; i <= FeedAttempts.MOST; i++) {
+    for (int i = 0; i <= FeedAttempts.MAX_CONNECTIONS; i++) {
       Threads.start("changelog", stackBytes, this::follow);
     }
   }
@@ -134,7 +134,7 @@
   public synchronized void moveTo(InetSocketAddress next) {
     LOG.info("change log: moves from {} to {} after event {}", address, next, last);
     address = next;
-    attempts.moved();
+    attempts.addressChanged();
     notifyAll();
   }
 
@@ -145,7 +145,7 @@
 
   /** True while the log tells something, if only that nothing happened. */
   public synchronized boolean isHeard() {
-    return Clock.micros() - heardAt < FollowPace.SILENCE;
+    return Clock.micros() - heardAt < FollowPace.SILENCE_MICROS;
   }
 
   // ---- connections, each on a thread of its own
@@ -175,11 +175,11 @@
   }
 
   private Connection begin(long now) {
-    FeedAttempts.Begun begun = attempts.begin(now);
-    if (begun.evicted() != 0) {
-      letGo(begun.evicted(), "silent");
+    FeedAttempts.Started started = attempts.begin(now);
+    if (started.evicted() != 0) {
+      letGo(started.evicted(), "silent");
     }
-    Connection connection = new Connection(begun.number(), address, now);
+    Connection connection = new Connection(started.number(), address, now);
     connections.put(connection.number, connection);
     return connection;
   }
@@ -306,7 +306,9 @@
   }
 
   private void heard(Connection c, long seq, long at) {
-    attempts.told(c.number, seq, last, at).forEach(other -> letGo(other, "another one tells"));
+    attempts
+        .lineReceived(c.number, seq, last, at)
+        .forEach(other -> letGo(other, "another one tells"));
     if (seq < last) {
       return;
     }
--- a/node/src/main/java/gorseladder/node/changelog/ListedRunners.java
+++ b/node/src/main/java/gorseladder/node/changelog/ListedRunners.java
@@ -10,7 +10,7 @@
 import gorseladder.platform.PlatformList;
 import gorseladder.runtime.Clock;
 import gorseladder.starts.StartTimes;
-import gorseladder.starts.StartTimes.Reading;
+import gorseladder.starts.StartTimes.ClockReading;
 import gorseladder.wire.changelog.ChangeLine;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -50,8 +50,8 @@
     starts.observe(clocks());
   }
 
-  private static Reading clocks() {
-    return new Reading(Clock.micros(), Clock.wallMicros());
+  private static ClockReading clocks() {
+    return new ClockReading(Clock.micros(), Clock.wallMicros());
   }
 
   /** The phase of a runner; null where nothing is known of it. */
@@ -77,7 +77,7 @@
    *     {@link StartTimes#ALWAYS_LISTED}
    */
   Change apply(ChangeLine.Fleet fleet, long absentAt) {
-    Reading now = clocks();
+    ClockReading now = clocks();
     List<Listed> told = new ArrayList<>();
     List<String> unreadable = new ArrayList<>();
     Set<String> named = new HashSet<>();
@@ -120,7 +120,7 @@
     }
   }
 
-  private Listed read(Map<String, Object> target, Reading now, long absentAt) {
+  private Listed read(Map<String, Object> target, ClockReading now, long absentAt) {
     WorkerEntry entry = PlatformList.ofChangeLog(
         target, (uid, stamp) -> starts.startedAt(uid, stamp, now, absentAt));
     return new Listed(entry, NodeConfig.address(Fields.text(target, "endpoint"), "endpoint"));
--- a/node/src/main/java/gorseladder/node/runners/Link.java
+++ b/node/src/main/java/gorseladder/node/runners/Link.java
@@ -1,6 +1,6 @@
 package gorseladder.node.runners;
 
-import gorseladder.attempts.AttemptFate.Ending;
+import gorseladder.attempts.AttemptOutcomes.Ending;
 import gorseladder.attempts.ConnectionChoice;
 import gorseladder.attempts.ConnectionChoice.Candidate;
 import gorseladder.core.ThreadSharer.Idle;
--- a/node/src/main/java/gorseladder/node/runners/LinkConnection.java
+++ b/node/src/main/java/gorseladder/node/runners/LinkConnection.java
@@ -1,7 +1,7 @@
 package gorseladder.node.runners;
 
-import gorseladder.attempts.AttemptFate;
-import gorseladder.attempts.AttemptFate.Ending;
+import gorseladder.attempts.AttemptOutcomes;
+import gorseladder.attempts.AttemptOutcomes.Ending;
 import gorseladder.permits.Permits;
 import gorseladder.runtime.ByteBudget;
 import gorseladder.runtime.Clock;
@@ -371,7 +371,7 @@
     } catch (IOException e) {
       // Nothing is left to release.
     }
-    Ending told = AttemptFate.ofConnection(ending, owner.closed(this, was, why));
+    Ending told = AttemptOutcomes.endingOfConnection(ending, owner.closed(this, was, why));
     ends.forEach(GivenUp::tell);
     left.forEach(request -> request.broken(this, told));
   }
--- a/node/src/main/java/gorseladder/node/runners/RunnerLinks.java
+++ b/node/src/main/java/gorseladder/node/runners/RunnerLinks.java
@@ -4,7 +4,7 @@
 import gorseladder.RouterApi.Loaded;
 import gorseladder.RouterApi.Phase;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.attempts.AttemptFate.Ending;
+import gorseladder.attempts.AttemptOutcomes.Ending;
 import gorseladder.attempts.ConnectionChoice;
 import gorseladder.core.Core.AttemptEnd;
 import gorseladder.core.PauseClock;
@@ -39,7 +39,7 @@
 
 /**
  * Carries attempts and load orders to the runners: one link a runner, several connections a link. What an end is worth
- * is judged by {@link gorseladder.attempts.AttemptFate}, which connection may carry a call by
+ * is judged by {@link gorseladder.attempts.AttemptOutcomes}, which connection may carry a call by
  * {@link gorseladder.attempts.ConnectionChoice}, and whether bytes may still leave by {@link SendGate}.
  *
  * <p>Any thread; nothing here blocks.
@@ -110,7 +110,7 @@
     this.watchdog = watchdog;
     this.settings = new LinkSettings(
         told.connect(),
-        ConnectionChoice.mostIdle(told.idle()),
+        ConnectionChoice.localIdleLimit(told.idle()),
         told.multiplex(),
         mostAnswer,
         new Semaphore(descriptors),
@@ -280,7 +280,8 @@
   void waitToBeCarried(RunnerRequest request, Ending why) {
     long now = Clock.micros();
     long waited = now - request.began();
-    long look = why == Ending.NO_RESOURCE ? ConnectionWait.nextLook(waited, request.left(now)) : -1;
+    long look =
+        why == Ending.NO_RESOURCE ? ConnectionWait.retryDelay(waited, request.left(now)) : -1;
     if (look < 0) {
       request.giveUp(why);
       return;
--- a/node/src/main/java/gorseladder/node/runners/RunnerRequest.java
+++ b/node/src/main/java/gorseladder/node/runners/RunnerRequest.java
@@ -2,9 +2,9 @@
 
 import gorseladder.RouterApi.Effect;
 import gorseladder.RouterApi.Outcome;
-import gorseladder.attempts.AttemptFate;
-import gorseladder.attempts.AttemptFate.Ending;
-import gorseladder.attempts.AttemptFate.Progress;
+import gorseladder.attempts.AttemptOutcomes;
+import gorseladder.attempts.AttemptOutcomes.Ending;
+import gorseladder.attempts.AttemptOutcomes.Progress;
 import gorseladder.attempts.ConnectionChoice;
 import gorseladder.node.NodeCall;
 import gorseladder.permits.Verdict;
@@ -146,7 +146,7 @@
         now = Clock.micros();
         verdict = mayLeave(now);
         if (verdict.allowed()) {
-          progress = Progress.LEAVING;
+          progress = Progress.SENDING;
           leftAt = now;
         }
       }
@@ -159,7 +159,7 @@
     if (verdict == Verdict.CLIENT_UNSEEN) {
       postpone(by);
     } else {
-      giveUp(AttemptFate.ofHeldBack(verdict));
+      giveUp(AttemptOutcomes.endingOfDenied(verdict));
     }
     return null;
   }
@@ -227,8 +227,8 @@
       if (!end()) {
         return;
       }
-      left = progress == Progress.LEAVING;
-      outcome = AttemptFate.ofUnanswered(progress, ending);
+      left = progress == Progress.SENDING;
+      outcome = AttemptOutcomes.ofUnanswered(progress, ending);
       carrier = connection;
     }
     LOG.debug("request={} worker={} given up: {}, {}", id(), worker, ending, outcome);
@@ -236,7 +236,7 @@
       carrier.abandon(
           this,
           halt(),
-          ConnectionChoice.carriesOn(leftAt, carrier.heardAt(), Clock.micros()),
+          ConnectionChoice.remainsUsable(leftAt, carrier.heardAt(), Clock.micros()),
           () -> report(outcome, null));
       return;
     }
--- a/node/src/test/java/gorseladder/node/runners/RunnerRequestTest.java
+++ b/node/src/test/java/gorseladder/node/runners/RunnerRequestTest.java
@@ -12,7 +12,7 @@
 import gorseladder.RouterApi.Limits;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.Rules;
-import gorseladder.attempts.AttemptFate.Ending;
+import gorseladder.attempts.AttemptOutcomes.Ending;
 import gorseladder.core.PauseClock;
 import gorseladder.core.RuleLog;
 import gorseladder.gate.SendGate;
--- a/scale/src/main/java/gorseladder/scale/HollowDispatcher.java
+++ b/scale/src/main/java/gorseladder/scale/HollowDispatcher.java
@@ -17,7 +17,7 @@
 import gorseladder.platform.PlatformList;
 import gorseladder.runtime.Clock;
 import gorseladder.starts.StartTimes;
-import gorseladder.starts.StartTimes.Reading;
+import gorseladder.starts.StartTimes.ClockReading;
 import gorseladder.wire.changelog.ChangeLine;
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -59,7 +59,7 @@
   void changeLogLine(byte[] line) {
     bytesIn += line.length + 1;
     ChangeLine.Fleet change = ChangeLine.read(line).fleet();
-    Reading clocks = new Reading(Clock.micros(), Clock.wallMicros());
+    ClockReading clocks = new ClockReading(Clock.micros(), Clock.wallMicros());
     List<WorkerEntry> entries = change.targets().stream()
         .map(target -> PlatformList.ofChangeLog(
             target, (uid, stamp) -> starts.startedAt(uid, stamp, clocks, StartTimes.ALWAYS_LISTED)))
--- a/soak/src/main/java/gorseladder/soak/PlantedFault.java
+++ b/soak/src/main/java/gorseladder/soak/PlantedFault.java
@@ -85,7 +85,7 @@
   SLOW_LOG_NOT_WAITED_FOR(
       SoakRule.DRAIN,
       "decisions/src/main/java/gorseladder/follow/FeedAttempts.java",
-      "if (attempts.size() >= MOST) {",
+      "if (attempts.size() >= MAX_CONNECTIONS) {",
       "if (!attempts.isEmpty()) {",
       Trouble.LOG_SLOW,
       Trouble.DRAIN),
