--- a/app/src/main/java/gorseladder/app/bench/RouterBench.java
+++ b/app/src/main/java/gorseladder/app/bench/RouterBench.java
@@ -18,7 +18,7 @@
 import gorseladder.RouterApi.Settings;
 import gorseladder.RouterApi.TimerDue;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.structures.TimerWheel;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -77,7 +77,7 @@
     List<Action> actions = new ArrayList<>();
     Random random = new Random(2);
     long now = 0;
-    router.on(now, new Workers(ListKind.SAVED, list), actions::add);
+    router.on(now, new WorkerListUpdate(ListKind.SAVED, list), actions::add);
     long began = System.nanoTime();
     for (long id = 1; id <= calls; id++) {
       now += GAP;
--- a/benchhost/src/main/java/gorseladder/simhost/Wire.java
+++ b/benchhost/src/main/java/gorseladder/simhost/Wire.java
@@ -148,7 +148,7 @@
     for (Map<String, Object> e : list(m, "items", false)) {
       entries.add(PlatformList.ofSimulator(e));
     }
-    return new RouterApi.Workers(kind, entries);
+    return new RouterApi.WorkerListUpdate(kind, entries);
   }
 
   private static Map<String, Double> report(Map<String, Object> m) {
--- a/core/src/main/java/gorseladder/core/Core.java
+++ b/core/src/main/java/gorseladder/core/Core.java
@@ -26,7 +26,7 @@
 import gorseladder.RouterApi.TimerDue;
 import gorseladder.RouterApi.WatchList;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.ahead.Account;
 import gorseladder.ahead.Ahead;
 import gorseladder.ahead.Plan;
@@ -255,7 +255,7 @@
   }
 
   /** The worker list has news. */
-  public void listNews(Workers news) {
+  public void listNews(WorkerListUpdate news) {
     mailbox.put(new News<>(news));
   }
 
@@ -330,7 +330,7 @@
       release(m.call());
     } else if (message instanceof News<C> m) {
       noteNews(m.event());
-      newsKnown += m.event() instanceof Workers ? 1 : 0;
+      newsKnown += m.event() instanceof WorkerListUpdate ? 1 : 0;
       tell(m.event());
     } else if (message instanceof GiveUp<C>) {
       givingUp = true;
@@ -375,7 +375,7 @@
       ahead.loaded(e.worker(), e.function(), e.outcome(), e.latency(), now);
     } else if (event instanceof PeerMessage e) {
       ahead.heard(e.text(), now);
-    } else if (event instanceof Workers e && e.kind() != ListKind.FAILED) {
+    } else if (event instanceof WorkerListUpdate e && e.kind() != ListKind.FAILED) {
       workers = new LinkedHashMap<>();
       e.entries().stream()
           .filter(w -> w.phase() == Phase.RUNNING)
--- a/decisions/src/main/java/gorseladder/Router.java
+++ b/decisions/src/main/java/gorseladder/Router.java
@@ -145,7 +145,7 @@
       onLoaded(e);
     } else if (event instanceof Hold e) {
       onHold(e);
-    } else if (event instanceof Workers e) {
+    } else if (event instanceof WorkerListUpdate e) {
       onWorkers(e);
     } else if (event instanceof ClientGone e) {
       onClientGone(requests.get(e.id()));
@@ -177,7 +177,7 @@
 
   // ---- the worker list
 
-  private void onWorkers(Workers event) {
+  private void onWorkers(WorkerListUpdate event) {
     if (event.kind() == ListKind.FAILED) {
       out.accept(new WatchList());
       return;
--- a/decisions/src/main/java/gorseladder/RouterApi.java
+++ b/decisions/src/main/java/gorseladder/RouterApi.java
@@ -182,8 +182,8 @@
   public sealed interface Event {}
 
   /** News of the worker list. */
-  public record Workers(ListKind kind, List<WorkerEntry> entries) implements Event {
-    public Workers {
+  public record WorkerListUpdate(ListKind kind, List<WorkerEntry> entries) implements Event {
+    public WorkerListUpdate {
       require(kind != null, "list kind");
       entries = List.copyOf(entries);
     }
--- a/decisions/src/test/java/gorseladder/ColdFleetTest.java
+++ b/decisions/src/test/java/gorseladder/ColdFleetTest.java
@@ -94,11 +94,14 @@
       routers.add(new Router(settings, random.nextLong()));
       share[d] = -Math.log(1 - random.nextDouble());
       all += share[d];
-      later(1, d, new Workers(ListKind.SAVED, known));
+      later(1, d, new WorkerListUpdate(ListKind.SAVED, known));
       long lag = (long) (random.nextDouble() * 300 * MS);
-      later(LOST_AT + NOTICE + lag, d, new Workers(ListKind.DELTA, lost));
-      later(BACK_AT + NOTICE + lag, d, new Workers(ListKind.DELTA, back));
-      later(BACK_AT + NOTICE + secondsLater * SECOND + lag, d, new Workers(ListKind.DELTA, others));
+      later(LOST_AT + NOTICE + lag, d, new WorkerListUpdate(ListKind.DELTA, lost));
+      later(BACK_AT + NOTICE + lag, d, new WorkerListUpdate(ListKind.DELTA, back));
+      later(
+          BACK_AT + NOTICE + secondsLater * SECOND + lag,
+          d,
+          new WorkerListUpdate(ListKind.DELTA, others));
     }
     double rate = 0.5 * WORKERS * CAPACITY;
     long id = 0;
--- a/decisions/src/test/java/gorseladder/EmbeddingTest.java
+++ b/decisions/src/test/java/gorseladder/EmbeddingTest.java
@@ -17,7 +17,7 @@
 import gorseladder.RouterApi.Send;
 import gorseladder.RouterApi.Settings;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -54,7 +54,7 @@
     Router router = new Router(settings, 7);
     router.on(
         1_000,
-        new Workers(
+        new WorkerListUpdate(
             ListKind.SAVED, List.of(new WorkerEntry("w1", "hall-a", 0, Phase.RUNNING, 4, 0))),
         this::carryOut);
     router.on(
--- a/decisions/src/test/java/gorseladder/LargeFleetTest.java
+++ b/decisions/src/test/java/gorseladder/LargeFleetTest.java
@@ -16,7 +16,7 @@
 import gorseladder.RouterApi.Send;
 import gorseladder.RouterApi.TimerDue;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.order.SharedOrder;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -76,7 +76,7 @@
   }
 
   private void tell(Router to, ListKind kind, List<WorkerEntry> entries) {
-    to.on(now, new Workers(kind, entries), action -> {});
+    to.on(now, new WorkerListUpdate(kind, entries), action -> {});
   }
 
   private void tell(List<WorkerEntry> fleet) {
--- a/decisions/src/test/java/gorseladder/RouterTest.java
+++ b/decisions/src/test/java/gorseladder/RouterTest.java
@@ -24,7 +24,7 @@
 import gorseladder.RouterApi.Settings;
 import gorseladder.RouterApi.TimerDue;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.order.SharedOrder;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -46,7 +46,7 @@
 
   private void start(boolean loadsOnMiss, boolean duplicates, WorkerEntry... entries) {
     router = new Router(TestSites.settings(loadsOnMiss, duplicates), 1);
-    tell(new Workers(ListKind.SAVED, List.of(entries)));
+    tell(new WorkerListUpdate(ListKind.SAVED, List.of(entries)));
   }
 
   private void tell(Event event) {
@@ -258,17 +258,17 @@
     later(3 * SECOND - 2 * MS);
     tell(new TimerDue("d1"));
     request(2, "unsafe", "f");
-    tell(new Workers(ListKind.DELTA, List.of(running("a"))));
+    tell(new WorkerListUpdate(ListKind.DELTA, List.of(running("a"))));
     assertEquals("a", sentTo());
   }
 
   @Test
   void drainingAndGoneWorkersGetNothing() {
     start(false, false, running("a"), running("b"));
-    tell(new Workers(ListKind.DELTA, List.of(TestSites.entry("a", Phase.DRAINING, 0))));
+    tell(new WorkerListUpdate(ListKind.DELTA, List.of(TestSites.entry("a", Phase.DRAINING, 0))));
     request(1, "safe", functionThatStartsAt("a", "b"));
     assertEquals("b", got(Load.class).get(0).worker());
-    tell(new Workers(ListKind.FULL, List.of()));
+    tell(new WorkerListUpdate(ListKind.FULL, List.of()));
     request(2, "safe", "g");
     later(50 * MS);
     assertTrue(got(Load.class).isEmpty() && got(Send.class).isEmpty());
@@ -292,7 +292,7 @@
     missEverywhere(1, "f");
     tell(new Loaded("a", "f", 1, Outcome.OK, 500 * MS));
     answer(1, 1, sentTo(), Outcome.OK);
-    tell(new Workers(ListKind.DELTA, List.of(TestSites.entry("a", Phase.RUNNING, now))));
+    tell(new WorkerListUpdate(ListKind.DELTA, List.of(TestSites.entry("a", Phase.RUNNING, now))));
     now += 100 * MS;
     request(2, "safe", "f");
     assertTrue(got(Send.class).isEmpty(), "believed empty after the restart, and cold");
@@ -322,7 +322,7 @@
           .get(i)
           .on(
               now,
-              new Workers(
+              new WorkerListUpdate(
                   ListKind.SAVED,
                   List.of(TestSites.entry("cold", Phase.RUNNING, now), running("warm"))),
               actions::add);
@@ -347,7 +347,7 @@
   @Test
   void sickWorkerIsToldOnceAndShunnedAfterTwoMessages() {
     router = new Router(TestSites.settings(true, false, 50), 1);
-    tell(new Workers(ListKind.SAVED, List.of(running("a"), running("b"), running("c"))));
+    tell(new WorkerListUpdate(ListKind.SAVED, List.of(running("a"), running("b"), running("c"))));
     request(1, "safe", "f");
     String bad = sentTo();
     answer(1, 0, bad, Outcome.RESET);
@@ -357,7 +357,7 @@
     List<Action> done = new ArrayList<>();
     peer.on(
         now,
-        new Workers(ListKind.SAVED, List.of(running("a"), running("b"), running("c"))),
+        new WorkerListUpdate(ListKind.SAVED, List.of(running("a"), running("b"), running("c"))),
         done::add);
     peer.on(now, new RouterApi.PeerMessage(3, "no such words"), done::add);
     peer.on(now, new RouterApi.PeerMessage(3, "sick of-it"), done::add);
@@ -377,7 +377,7 @@
   @Test
   void crowdsWidenTheHomeOfAFunction() {
     router = new Router(TestSites.settings(true, false, 50), 1);
-    tell(new Workers(
+    tell(new WorkerListUpdate(
         ListKind.SAVED, List.of(running("a"), running("b"), running("c"), running("d"))));
     java.util.Set<String> used = new java.util.HashSet<>();
     for (long id = 1; id < 40; id++) {
@@ -394,7 +394,7 @@
   @Test
   void callsThatStayOutWidenTheHomeWithoutAnyAnswer() {
     router = new Router(TestSites.settings(true, false, 50), 1);
-    tell(new Workers(
+    tell(new WorkerListUpdate(
         ListKind.SAVED, List.of(running("a"), running("b"), running("c"), running("d"))));
     request(1, "safe", "f");
     String warm = sentTo();
@@ -562,14 +562,14 @@
   @Test
   void twoErrorsNearEachOtherMakeAWorkerSuspect() {
     start(true, false, running("a"), running("b"), running("c"));
-    tell(new Workers(
+    tell(new WorkerListUpdate(
         ListKind.DELTA,
         List.of(TestSites.entry("b", Phase.GONE, 0), TestSites.entry("c", Phase.GONE, 0))));
     request(1, "unsafe", "f");
     answer(1, 0, "a", Outcome.ERROR);
     request(2, "unsafe", "g");
     answer(2, 0, "a", Outcome.ERROR);
-    tell(new Workers(ListKind.DELTA, List.of(running("b"), running("c"))));
+    tell(new WorkerListUpdate(ListKind.DELTA, List.of(running("b"), running("c"))));
     for (long id = 3; id < 20; id++) {
       request(id, "safe", "f" + id);
       assertTrue(got(Send.class).stream().noneMatch(s -> s.worker().equals("a")));
@@ -629,7 +629,7 @@
   @Test
   void failedSubscriptionIsRenewed() {
     start(true, false, running("a"));
-    tell(new Workers(ListKind.FAILED, List.of()));
+    tell(new WorkerListUpdate(ListKind.FAILED, List.of()));
     assertEquals(List.of(new RouterApi.WatchList()), actions);
   }
 
@@ -639,7 +639,7 @@
     start(false, false, running("a"));
     request(1, "safe", "f");
     String worker = sentTo();
-    tell(new Workers(ListKind.FULL, List.of()));
+    tell(new WorkerListUpdate(ListKind.FULL, List.of()));
     for (Event odd : List.of(
         new Loaded("nobody", "f", 1, Outcome.OK, MS),
         new Loaded("a", "nothing", 1, Outcome.OK, MS),
--- a/decisions/src/test/java/gorseladder/RulesTest.java
+++ b/decisions/src/test/java/gorseladder/RulesTest.java
@@ -60,9 +60,13 @@
     for (String name : names) {
       list.add(TestSites.entry(name, Phase.RUNNING, name.equals("cold") ? 1 : 0));
     }
-    later(1, new Workers(ListKind.SAVED, list));
-    later(6000 * MS, new Workers(ListKind.DELTA, List.of(TestSites.entry("a", Phase.DRAINING, 0))));
-    later(9000 * MS, new Workers(ListKind.DELTA, List.of(TestSites.entry("b", Phase.GONE, 0))));
+    later(1, new WorkerListUpdate(ListKind.SAVED, list));
+    later(
+        6000 * MS,
+        new WorkerListUpdate(ListKind.DELTA, List.of(TestSites.entry("a", Phase.DRAINING, 0))));
+    later(
+        9000 * MS,
+        new WorkerListUpdate(ListKind.DELTA, List.of(TestSites.entry("b", Phase.GONE, 0))));
     for (long id = 1; id <= 1500; id++) {
       String kind = settings.classes().get(random.nextInt(3)).name();
       later(
@@ -105,7 +109,7 @@
       call.deadline = now + r.timeLeft();
       calls.put(r.id(), call);
       taken.addLast(now);
-    } else if (event instanceof Workers w) {
+    } else if (event instanceof WorkerListUpdate w) {
       w.entries().stream()
           .filter(e -> e.phase() != Phase.RUNNING)
           .forEach(e -> stopped.add(e.worker()));
--- a/edge/src/main/java/gorseladder/edge/Edge.java
+++ b/edge/src/main/java/gorseladder/edge/Edge.java
@@ -2,7 +2,7 @@
 
 import gorseladder.RouterApi;
 import gorseladder.RouterApi.Phase;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.answers.RetryAdvice;
 import gorseladder.config.Address;
 import gorseladder.config.SettingsFile;
@@ -274,7 +274,7 @@
     }
 
     @Override
-    public void list(Workers workers) {
+    public void list(WorkerListUpdate workers) {
       newsTold++;
       core.listNews(workers);
     }
--- a/edge/src/main/java/gorseladder/edge/list/ListWatcher.java
+++ b/edge/src/main/java/gorseladder/edge/list/ListWatcher.java
@@ -3,7 +3,7 @@
 import gorseladder.RouterApi.ListKind;
 import gorseladder.RouterApi.Phase;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.config.Address;
 import gorseladder.runtime.Clock;
 import gorseladder.runtime.HttpConnection;
@@ -54,7 +54,7 @@
     void worker(String worker, Phase phase, long born, long at);
 
     /** The whole list. */
-    void list(Workers workers);
+    void list(WorkerListUpdate workers);
   }
 
   private final InetSocketAddress address;
@@ -183,7 +183,7 @@
     entries.forEach(e -> born.put(e.worker(), e.born()));
     phases.forEach(
         (worker, phase) -> hearer.worker(worker, phase, born.getOrDefault(worker, 0L), at));
-    hearer.list(new Workers(kind, entries));
+    hearer.list(new WorkerListUpdate(kind, entries));
     addresses.keySet().removeIf(w -> phases.get(w) == Phase.GONE);
     starts.forget(w -> phases.get(w) == Phase.GONE);
   }
--- a/emulator/src/main/java/gorseladder/emulator/EmulatedEdge.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedEdge.java
@@ -22,7 +22,7 @@
 import gorseladder.RouterApi.Settings;
 import gorseladder.RouterApi.TellPeers;
 import gorseladder.RouterApi.TimerDue;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.ahead.Ahead;
 import gorseladder.ahead.Plan;
 import gorseladder.ahead.Seen;
@@ -114,7 +114,7 @@
   }
 
   void tell(Event event) {
-    if (event instanceof Workers w) {
+    if (event instanceof WorkerListUpdate w) {
       w.entries().forEach(e -> {
         if (e.phase() == Phase.RUNNING) {
           notRunning.remove(e.worker());
--- a/emulator/src/main/java/gorseladder/emulator/EmulatedFleet.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedFleet.java
@@ -10,7 +10,7 @@
 import gorseladder.RouterApi.Rules;
 import gorseladder.RouterApi.Settings;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.ahead.Account;
 import gorseladder.ahead.Plan;
 import gorseladder.ahead.Seen;
@@ -189,7 +189,8 @@
   }
 
   private void play(DoubleConsumer progress) {
-    edges.forEach(edge -> edge.tell(new Workers(ListKind.SAVED, List.copyOf(list.values()))));
+    edges.forEach(
+        edge -> edge.tell(new WorkerListUpdate(ListKind.SAVED, List.copyOf(list.values()))));
     e.getTroubleList().forEach(this::plan);
     long slots = (long) e.getDays() * e.getSlots();
     for (long s = 0; s < slots; s++) {
@@ -290,6 +291,6 @@
   private void news(String runner, Phase phase, long born) {
     WorkerEntry entry = new WorkerEntry(runner, "zone", 0, phase, 1, born);
     list.put(runner, entry);
-    edges.forEach(edge -> edge.tell(new Workers(ListKind.DELTA, List.of(entry))));
+    edges.forEach(edge -> edge.tell(new WorkerListUpdate(ListKind.DELTA, List.of(entry))));
   }
 }
--- a/node/src/main/java/gorseladder/node/Node.java
+++ b/node/src/main/java/gorseladder/node/Node.java
@@ -1,7 +1,7 @@
 package gorseladder.node;
 
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.core.Core;
 import gorseladder.core.PauseClock;
 import gorseladder.core.RuleLog;
@@ -76,7 +76,7 @@
   /** News of the list told to the core; the thread's that follows the change log. */
   private long newsTold;
   /** The list as it was known at the start. */
-  private volatile Workers startList;
+  private volatile WorkerListUpdate startList;
 
   /**
    * Starts a dispatcher; it is live when this returns.
@@ -101,7 +101,7 @@
           }
 
           @Override
-          public void list(Workers workers) {
+          public void list(WorkerListUpdate workers) {
             newsTold++;
             startList = newsTold == 1 ? workers : startList;
             core.listNews(workers);
--- a/node/src/main/java/gorseladder/node/RouterWarmUp.java
+++ b/node/src/main/java/gorseladder/node/RouterWarmUp.java
@@ -17,7 +17,7 @@
 import gorseladder.RouterApi.TimeUp;
 import gorseladder.RouterApi.TimerDue;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.Map;
@@ -46,7 +46,7 @@
   RouterWarmUp(Settings settings, List<WorkerEntry> workers) {
     this.settings = settings;
     router = new Router(settings, 1);
-    router.on(now, new Workers(ListKind.SAVED, workers), this::note);
+    router.on(now, new WorkerListUpdate(ListKind.SAVED, workers), this::note);
   }
 
   private void note(Action action) {
--- a/node/src/main/java/gorseladder/node/WarmUp.java
+++ b/node/src/main/java/gorseladder/node/WarmUp.java
@@ -3,7 +3,7 @@
 import gorseladder.RouterApi.ListKind;
 import gorseladder.RouterApi.Phase;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.core.PauseClock;
 import gorseladder.core.RuleLog;
 import gorseladder.runtime.Clock;
@@ -75,7 +75,7 @@
    */
   static int run(
       NodeConfig config,
-      Workers list,
+      WorkerListUpdate list,
       Watchdog watchdog,
       PauseClock pauses,
       ThreadCache threads,
@@ -98,7 +98,7 @@
   }
 
   /** Calls that are decided among all workers. */
-  private void decide(Workers list) {
+  private void decide(WorkerListUpdate list) {
     RouterWarmUp router = new RouterWarmUp(config.router(), list.entries());
     for (int number = 1; number <= CALLS && Clock.micros() < until; number++) {
       router.play(number);
@@ -113,7 +113,7 @@
     }
   }
 
-  private void play(Workers list) {
+  private void play(WorkerListUpdate list) {
     if (!threads.execute(this::serve)) {
       return;
     }
@@ -162,7 +162,7 @@
     for (WorkerEntry entry : entries) {
       path.links().told(entry, nowhere, 1, Clock.micros());
     }
-    path.core().listNews(new Workers(kind, entries));
+    path.core().listNews(new WorkerListUpdate(kind, entries));
   }
 
   /** The steps of an orderly stop, as far as they need no listener. */
--- a/node/src/main/java/gorseladder/node/changelog/ChangeLogFollower.java
+++ b/node/src/main/java/gorseladder/node/changelog/ChangeLogFollower.java
@@ -2,7 +2,7 @@
 
 import gorseladder.RouterApi.Phase;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.follow.FeedAttempts;
 import gorseladder.follow.FollowPace;
 import gorseladder.node.changelog.ListedRunners.Change;
@@ -54,7 +54,7 @@
     void runner(WorkerEntry entry, InetSocketAddress address, long at);
 
     /** News of the list. */
-    void list(Workers workers);
+    void list(WorkerListUpdate workers);
   }
 
   /** One connection. Its fields are the follower's lock's, but for the socket, which its thread uses. */
--- a/node/src/main/java/gorseladder/node/changelog/ListedRunners.java
+++ b/node/src/main/java/gorseladder/node/changelog/ListedRunners.java
@@ -3,7 +3,7 @@
 import gorseladder.RouterApi.ListKind;
 import gorseladder.RouterApi.Phase;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.node.NodeConfig;
 import gorseladder.platform.BadInput;
 import gorseladder.platform.Fields;
@@ -40,7 +40,7 @@
    * @param workers the same as news of the list
    * @param unreadable why entries were passed over, or read in part
    */
-  record Change(List<Listed> told, Workers workers, List<String> unreadable) {}
+  record Change(List<Listed> told, WorkerListUpdate workers, List<String> unreadable) {}
 
   private final StartTimes starts = new StartTimes();
   private final Map<String, Listed> known = new HashMap<>();
@@ -66,8 +66,9 @@
     return new Change(all, workers(ListKind.SAVED, all), List.of());
   }
 
-  private static Workers workers(ListKind kind, List<Listed> listed) {
-    return new Workers(kind, new ArrayList<>(listed.stream().map(Listed::entry).toList()));
+  private static WorkerListUpdate workers(ListKind kind, List<Listed> listed) {
+    return new WorkerListUpdate(
+        kind, new ArrayList<>(listed.stream().map(Listed::entry).toList()));
   }
 
   /**
--- a/node/src/test/java/gorseladder/node/WarmUpTest.java
+++ b/node/src/test/java/gorseladder/node/WarmUpTest.java
@@ -12,7 +12,7 @@
 import gorseladder.RouterApi.Settings;
 import gorseladder.RouterApi.Tenant;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.core.PauseClock;
 import gorseladder.runtime.ThreadCache;
 import gorseladder.runtime.Watchdog;
@@ -76,7 +76,7 @@
         ThreadCache threads = new ThreadCache("connection", 4, STACK)) {
       PauseClock pauses = new PauseClock(watchdog);
       return WarmUp.run(
-          config(), new Workers(ListKind.SAVED, workers), watchdog, pauses, threads, MOST);
+          config(), new WorkerListUpdate(ListKind.SAVED, workers), watchdog, pauses, threads, MOST);
     }
   }
 
--- a/node/src/test/java/gorseladder/node/front/FrontConnectionTest.java
+++ b/node/src/test/java/gorseladder/node/front/FrontConnectionTest.java
@@ -14,7 +14,7 @@
 import gorseladder.RouterApi.Rules;
 import gorseladder.RouterApi.Settings;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.core.Core;
 import gorseladder.core.PauseClock;
 import gorseladder.core.RuleLog;
@@ -106,8 +106,8 @@
         false,
         null,
         512 << 10);
-    core.listNews(
-        new Workers(ListKind.SAVED, List.of(new WorkerEntry("r", "z", 0, Phase.RUNNING, 1, 0))));
+    core.listNews(new WorkerListUpdate(
+        ListKind.SAVED, List.of(new WorkerEntry("r", "z", 0, Phase.RUNNING, 1, 0))));
     RequestReader reader = new RequestReader(settings);
     front = new FastCgiFront(
         (params, body, at) -> {
@@ -332,7 +332,7 @@
       // By the second time the core has nothing to do it has looked at all that was put before
       // the first.
       int before = pauses.get();
-      core.listNews(new Workers(ListKind.DELTA, List.of()));
+      core.listNews(new WorkerListUpdate(ListKind.DELTA, List.of()));
       while (pauses.get() < before + 2) {
         Thread.sleep(1);
       }
--- a/node/src/test/java/gorseladder/node/runners/ThreadShortageTest.java
+++ b/node/src/test/java/gorseladder/node/runners/ThreadShortageTest.java
@@ -12,7 +12,7 @@
 import gorseladder.RouterApi.Rules;
 import gorseladder.RouterApi.Settings;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.core.Call.Facts;
 import gorseladder.core.Core;
 import gorseladder.node.NodeCall;
@@ -129,8 +129,8 @@
         false,
         null,
         512 << 10);
-    core.listNews(
-        new Workers(ListKind.SAVED, List.of(new WorkerEntry("r", "z", 0, Phase.RUNNING, 1, 0))));
+    core.listNews(new WorkerListUpdate(
+        ListKind.SAVED, List.of(new WorkerEntry("r", "z", 0, Phase.RUNNING, 1, 0))));
     for (int i = 1; i <= 2; i++) {
       long now = Clock.micros();
       Facts facts =
--- a/scale/src/main/java/gorseladder/scale/HollowDispatcher.java
+++ b/scale/src/main/java/gorseladder/scale/HollowDispatcher.java
@@ -13,7 +13,7 @@
 import gorseladder.RouterApi.TellPeers;
 import gorseladder.RouterApi.TimerDue;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.platform.PlatformList;
 import gorseladder.runtime.Clock;
 import gorseladder.starts.StartTimes;
@@ -65,7 +65,9 @@
             target, (uid, stamp) -> starts.startedAt(uid, stamp, clocks, StartTimes.ALWAYS_LISTED)))
         .toList();
     router.on(
-        now, new Workers(change.all() ? ListKind.FULL : ListKind.DELTA, entries), this::carryOut);
+        now,
+        new WorkerListUpdate(change.all() ? ListKind.FULL : ListKind.DELTA, entries),
+        this::carryOut);
   }
 
   /** Takes a call; returns the worker it went to first, null where it waits. */
--- a/testbed/src/test/java/gorseladder/testbed/LastLookTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/LastLookTest.java
@@ -11,7 +11,7 @@
 import gorseladder.RouterApi.Rules;
 import gorseladder.RouterApi.Settings;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.config.Address;
 import gorseladder.core.Core;
 import gorseladder.core.FinalAnswer;
@@ -132,7 +132,7 @@
             public void ended(TakenCall call) {}
           });
       intake.admitTo(core);
-      core.listNews(new Workers(
+      core.listNews(new WorkerListUpdate(
           ListKind.SAVED,
           List.of(
               new WorkerEntry(a.id(), "z", 0, Phase.RUNNING, 1, 0),
