--- a/app/src/main/java/gorseladder/app/bench/RouterBench.java
+++ b/app/src/main/java/gorseladder/app/bench/RouterBench.java
@@ -3,11 +3,11 @@
 import gorseladder.Router;
 import gorseladder.RouterApi.Action;
 import gorseladder.RouterApi.Answer;
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Effect;
 import gorseladder.RouterApi.Group;
 import gorseladder.RouterApi.Limits;
 import gorseladder.RouterApi.ListKind;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.Phase;
 import gorseladder.RouterApi.Request;
@@ -101,7 +101,8 @@
         Out o = out.pollFirst();
         router.on(
             now,
-            new Answer(o.id(), 0, o.worker(), Outcome.OK, true, 30_000, Note.WARM, 0, Map.of()),
+            new Answer(
+                o.id(), 0, o.worker(), Outcome.OK, true, 30_000, CopyStatus.WARM, 0, Map.of()),
             actions::add);
       }
       for (Action a : actions) {
--- a/benchhost/src/main/java/gorseladder/simhost/Wire.java
+++ b/benchhost/src/main/java/gorseladder/simhost/Wire.java
@@ -43,7 +43,7 @@
       "NOT_FOUND",
       Outcome.MISS);
   private static final Map<String, String> REPORT_NAMES = Map.of("rif", "inFlight", "q", "queued");
-  private static final RouterApi.Note[] NOTES = RouterApi.Note.values();
+  private static final RouterApi.CopyStatus[] NOTES = RouterApi.CopyStatus.values();
 
   private Wire() {}
 
--- a/core/src/main/java/gorseladder/core/Core.java
+++ b/core/src/main/java/gorseladder/core/Core.java
@@ -5,6 +5,7 @@
 import gorseladder.RouterApi.Answer;
 import gorseladder.RouterApi.Cancel;
 import gorseladder.RouterApi.ClientGone;
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Event;
 import gorseladder.RouterApi.Fail;
 import gorseladder.RouterApi.Hold;
@@ -12,7 +13,6 @@
 import gorseladder.RouterApi.Load;
 import gorseladder.RouterApi.Loaded;
 import gorseladder.RouterApi.Log;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.PeerMessage;
 import gorseladder.RouterApi.Phase;
@@ -90,7 +90,7 @@
       int attempt,
       Outcome outcome,
       byte[] body,
-      Note note,
+      CopyStatus note,
       int crowd,
       Map<String, Double> report) {}
 
@@ -483,7 +483,7 @@
     release(call);
   }
 
-  private void noteServed(C call, Call.Attempt attempt, Note note) {
+  private void noteServed(C call, Call.Attempt attempt, CopyStatus note) {
     if (ahead != null) {
       seen.served(call.facts().function(), note, now - attempt.decidedAt());
       String found = ahead.served(attempt.worker(), call.facts().function(), note, now);
--- a/core/src/test/java/gorseladder/core/CoreTest.java
+++ b/core/src/test/java/gorseladder/core/CoreTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Effect;
 import gorseladder.RouterApi.Group;
 import gorseladder.RouterApi.Limits;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.RequestClass;
 import gorseladder.RouterApi.Rules;
@@ -131,7 +131,7 @@
 
   private static AttemptEnd<Call> served(Call call) {
     call.begin("r", Clock.micros(), 1);
-    return new AttemptEnd<>(call, 0, Outcome.OK, new byte[] {1}, Note.NONE, 0, Map.of());
+    return new AttemptEnd<>(call, 0, Outcome.OK, new byte[] {1}, CopyStatus.NONE, 0, Map.of());
   }
 
   /** Guards against a core that wakes at the deadline of each call though the call ended long before. */
--- a/decisions/src/main/java/gorseladder/Router.java
+++ b/decisions/src/main/java/gorseladder/Router.java
@@ -385,7 +385,7 @@
       if (call.out == 0) {
         requests.remove(call.id);
       }
-    } else if (event.settled()) {
+    } else if (event.finalAnswer()) {
       finish(call);
     } else if (call.out == 0) {
       goOn(call);
@@ -421,21 +421,22 @@
     boolean heard = event.outcome() != Outcome.TIMEOUT && event.outcome() != Outcome.CANCELLED;
     w.lastHeard = heard ? now : w.lastHeard;
     boolean full = event.outcome() == Outcome.FULL;
-    boolean warm =
-        event.outcome() == Outcome.OK && (event.note() == Note.WARM || event.note() == Note.NONE);
+    boolean warm = event.outcome() == Outcome.OK
+        && (event.copyStatus() == CopyStatus.WARM || event.copyStatus() == CopyStatus.NONE);
     // Guards against shedding what is served well since rare functions find no room: full, with
     // no call of the function there and no copy believed to stand, speaks of memory and not of
     // lanes. It covers loads in line too; it could harm where all are short of memory and calls
     // turned away come back at once.
-    boolean noRoom = full && event.crowd() == 0 && attempt.blind;
+    boolean noRoom = full && event.concurrency() == 0 && attempt.blind;
     if (!attempt.slow && (full && !noRoom || warm)) {
       noteStrain(full || event.latency() > LATE_PART * call.requestClass.aim());
     }
-    if (event.crowd() >= 0) {
-      copy.crowd = Math.max(0, event.crowd() - copy.inFlight - (full ? 0 : 1));
+    if (event.concurrency() >= 0) {
+      copy.crowd = Math.max(0, event.concurrency() - copy.inFlight - (full ? 0 : 1));
       copy.crowdUntil = now + (long) (usual(f) * Math.max(1, copy.crowd / f.lanes));
       double most = HOME_STEP * fill(f);
-      noteNeed(f, Math.max(f.inFlight + f.queue.size(), home(f) * Math.min(event.crowd(), most)));
+      noteNeed(
+          f, Math.max(f.inFlight + f.queue.size(), home(f) * Math.min(event.concurrency(), most)));
     }
     switch (event.outcome()) {
       case OK -> learnServed(call, attempt, event, warm);
@@ -443,7 +444,7 @@
         attempt.missed = true;
         copy.copies = 0;
         copy.missingUntil = now + 2 * (long) loadTime(f);
-        if (event.note() == Note.LOAD_FAILED) {
+        if (event.copyStatus() == CopyStatus.LOAD_FAILED) {
           copy.busyUntil = now + (long) loadTime(f);
         } else if (!settings.loadsOnMiss()) {
           order(copy, 1);
@@ -456,7 +457,7 @@
         // one call after the other.
         boolean again = call.attempts.stream().anyMatch(a -> a.erred);
         attempt.erred = true;
-        if (event.note() == Note.LOAD_FAILED) {
+        if (event.copyStatus() == CopyStatus.LOAD_FAILED) {
           copy.copies = 0;
         } else if (!again) {
           failed(w, FAILURE_WEIGHT, true);
@@ -482,14 +483,14 @@
     double gap = Math.max(1, now - lastServed) / 1e6;
     servedRate += Math.min(1, gap / RATE_SECONDS) * (1 / gap - servedRate);
     lastServed = now;
-    boolean grew = event.note() == Note.BEGAN && warm(copy);
+    boolean grew = event.copyStatus() == CopyStatus.BEGAN && warm(copy);
     stands(copy, warm(copy) ? copy.copies + (grew ? 1 : 0) : 1);
     if (warm
-        && event.crowd() >= f.lanes * copy.copies
+        && event.concurrency() >= f.lanes * copy.copies
         && event.latency() < LATE_MARGIN * usual(f)) {
-      copy.copies = event.crowd() / f.lanes + 1;
+      copy.copies = event.concurrency() / f.lanes + 1;
     }
-    if (warm && event.crowd() < f.lanes * copy.copies) {
+    if (warm && event.concurrency() < f.lanes * copy.copies) {
       double ratio = event.latency() / usual(f);
       w.pace += NEWEST * (Math.min(10, ratio) - w.pace);
       double capped = Math.min(event.latency(), 4 * usual(f));
@@ -909,7 +910,8 @@
       return;
     }
     coldRoom(w);
-    boolean withoutLoad = event.note() == Note.WARM || event.note() == Note.NONE;
+    boolean withoutLoad =
+        event.copyStatus() == CopyStatus.WARM || event.copyStatus() == CopyStatus.NONE;
     if (event.outcome() == Outcome.OK && withoutLoad) {
       w.cold.answered(event.latency());
     }
--- a/decisions/src/main/java/gorseladder/RouterApi.java
+++ b/decisions/src/main/java/gorseladder/RouterApi.java
@@ -60,7 +60,7 @@
   }
 
   /** What an answer tells of the copy that served it. */
-  public enum Note {
+  public enum CopyStatus {
     NONE,
     WARM,
     BEGAN,
@@ -215,10 +215,10 @@
       int attempt,
       String worker,
       Outcome outcome,
-      boolean settled,
+      boolean finalAnswer,
       long latency,
-      Note note,
-      int crowd,
+      CopyStatus copyStatus,
+      int concurrency,
       Map<String, Double> report)
       implements Event {}
 
--- a/decisions/src/main/java/gorseladder/ahead/Account.java
+++ b/decisions/src/main/java/gorseladder/ahead/Account.java
@@ -1,6 +1,6 @@
 package gorseladder.ahead;
 
-import gorseladder.RouterApi.Note;
+import gorseladder.RouterApi.CopyStatus;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.Iterator;
@@ -126,12 +126,12 @@
   }
 
   /** A served attempt and what it met there. */
-  public void served(String worker, String function, Note note, long now) {
+  public void served(String worker, String function, CopyStatus note, long now) {
     At at = new At(worker, function);
     Open o = open.get(at);
-    if (note == Note.WARM && o != null) {
+    if (note == CopyStatus.WARM && o != null) {
       used(o, function, now);
-    } else if (note == Note.BEGAN) {
+    } else if (note == CopyStatus.BEGAN) {
       Long stood = standing.get(at);
       if (o != null) {
         close(at, o, now);
--- a/decisions/src/main/java/gorseladder/ahead/Ahead.java
+++ b/decisions/src/main/java/gorseladder/ahead/Ahead.java
@@ -1,7 +1,7 @@
 package gorseladder.ahead;
 
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Hold;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -197,9 +197,9 @@
    * @return what to tell the other dispatchers: that a copy one of them ordered was found; null where there is nothing.
    *     The message may be lost; the copy then counts as unused, which errs against loading ahead.
    */
-  public String served(String worker, String function, Note note, long now) {
+  public String served(String worker, String function, CopyStatus note, long now) {
     account.served(worker, function, note, now);
-    Wish w = note == Note.WARM ? wishes.get(new Key(worker, function)) : null;
+    Wish w = note == CopyStatus.WARM ? wishes.get(new Key(worker, function)) : null;
     if (w == null
         || w.item.mine()
         || now < w.toldAt + (long) (TELL * keepAlive)
--- a/decisions/src/main/java/gorseladder/ahead/Seen.java
+++ b/decisions/src/main/java/gorseladder/ahead/Seen.java
@@ -1,6 +1,6 @@
 package gorseladder.ahead;
 
-import gorseladder.RouterApi.Note;
+import gorseladder.RouterApi.CopyStatus;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -45,11 +45,11 @@
   }
 
   /** A served attempt: at a copy that stood it shows the work, at one that had to load the load. */
-  public void served(String function, Note note, long latency) {
+  public void served(String function, CopyStatus note, long latency) {
     Figures f = all.get(function);
-    if (f != null && note == Note.WARM) {
+    if (f != null && note == CopyStatus.WARM) {
       f.work = mix(f.work, latency);
-    } else if (f != null && note == Note.BEGAN && latency > f.work) {
+    } else if (f != null && note == CopyStatus.BEGAN && latency > f.work) {
       f.load = mix(f.load, latency - f.work);
     }
   }
--- a/decisions/src/test/java/gorseladder/ColdFleetTest.java
+++ b/decisions/src/test/java/gorseladder/ColdFleetTest.java
@@ -149,7 +149,7 @@
               away ? Outcome.CONNECT_FAILED : Outcome.OK,
               !away,
               time,
-              away ? Note.NONE : stood ? Note.WARM : Note.BEGAN,
+              away ? CopyStatus.NONE : stood ? CopyStatus.WARM : CopyStatus.BEGAN,
               away ? -1 : 0,
               Map.of()));
     }
--- a/decisions/src/test/java/gorseladder/EmbeddingTest.java
+++ b/decisions/src/test/java/gorseladder/EmbeddingTest.java
@@ -4,11 +4,11 @@
 
 import gorseladder.RouterApi.Action;
 import gorseladder.RouterApi.Answer;
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Effect;
 import gorseladder.RouterApi.Group;
 import gorseladder.RouterApi.Limits;
 import gorseladder.RouterApi.ListKind;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.Phase;
 import gorseladder.RouterApi.Request;
@@ -63,7 +63,7 @@
         this::carryOut);
     router.on(
         90_000,
-        new Answer(1, 0, "w1", Outcome.OK, true, 88_000, Note.WARM, 0, Map.of()),
+        new Answer(1, 0, "w1", Outcome.OK, true, 88_000, CopyStatus.WARM, 0, Map.of()),
         this::carryOut);
     assertEquals(List.of("sent 1 to w1"), done);
   }
--- a/decisions/src/test/java/gorseladder/LargeFleetTest.java
+++ b/decisions/src/test/java/gorseladder/LargeFleetTest.java
@@ -8,8 +8,8 @@
 
 import gorseladder.RouterApi.Action;
 import gorseladder.RouterApi.Answer;
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.ListKind;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.Phase;
 import gorseladder.RouterApi.Request;
@@ -120,7 +120,7 @@
             outcome,
             served,
             20 * MILLISECOND,
-            served ? Note.WARM : Note.NONE,
+            served ? CopyStatus.WARM : CopyStatus.NONE,
             served ? 0 : -1,
             Map.of()),
         actions::add);
--- a/decisions/src/test/java/gorseladder/RouterTest.java
+++ b/decisions/src/test/java/gorseladder/RouterTest.java
@@ -7,6 +7,7 @@
 
 import gorseladder.RouterApi.Action;
 import gorseladder.RouterApi.Answer;
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Effect;
 import gorseladder.RouterApi.Event;
 import gorseladder.RouterApi.Fail;
@@ -15,7 +16,6 @@
 import gorseladder.RouterApi.ListKind;
 import gorseladder.RouterApi.Load;
 import gorseladder.RouterApi.Loaded;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.Phase;
 import gorseladder.RouterApi.Refuse;
@@ -68,7 +68,7 @@
   }
 
   private void answer(long id, int attempt, String worker, Outcome outcome) {
-    Note note = outcome == Outcome.OK ? Note.WARM : Note.NONE;
+    CopyStatus note = outcome == Outcome.OK ? CopyStatus.WARM : CopyStatus.NONE;
     tell(new Answer(
         id, attempt, worker, outcome, outcome == Outcome.OK, 100 * MS, note, 0, Map.of()));
   }
@@ -385,7 +385,7 @@
       String worker = sentTo();
       used.add(worker);
       now += 300 * MS;
-      tell(new Answer(id, 0, worker, Outcome.OK, true, 100 * MS, Note.WARM, 6, Map.of()));
+      tell(new Answer(id, 0, worker, Outcome.OK, true, 100 * MS, CopyStatus.WARM, 6, Map.of()));
     }
     assertTrue(used.size() > 2, "spread over " + used);
   }
@@ -398,7 +398,7 @@
         ListKind.SAVED, List.of(running("a"), running("b"), running("c"), running("d"))));
     request(1, "safe", "f");
     String warm = sentTo();
-    tell(new Answer(1, 0, warm, Outcome.OK, true, 300 * MS, Note.WARM, 0, Map.of()));
+    tell(new Answer(1, 0, warm, Outcome.OK, true, 300 * MS, CopyStatus.WARM, 0, Map.of()));
     java.util.Set<String> used = new java.util.HashSet<>();
     for (long id = 2; id < 14; id++) {
       request(id, "unsafe", "f");
@@ -418,7 +418,7 @@
     start(true, true, running("a"), running("b"), running("c"), running("d"));
     for (long id = 100; id < 140; id++) {
       request(id, "safe", "f");
-      tell(new Answer(id, 0, sentTo(), Outcome.OK, true, 50 * MS, Note.WARM, 6, Map.of()));
+      tell(new Answer(id, 0, sentTo(), Outcome.OK, true, 50 * MS, CopyStatus.WARM, 6, Map.of()));
       now += 300 * MS;
     }
     int most = 0;
@@ -447,7 +447,7 @@
       if (!got(Send.class).isEmpty()) {
         String worker = sentTo();
         now += 300 * MS;
-        tell(new Answer(id, 0, worker, Outcome.OK, true, 900 * MS, Note.WARM, 0, Map.of()));
+        tell(new Answer(id, 0, worker, Outcome.OK, true, 900 * MS, CopyStatus.WARM, 0, Map.of()));
       }
     }
     int refused = 0;
@@ -495,7 +495,15 @@
         for (int attempt = 0; !got(Send.class).isEmpty(); attempt++) {
           now += 2 * MS;
           tell(new Answer(
-              id, attempt, sentTo(), Outcome.FULL, false, 2 * MS, Note.NONE, crowd, Map.of()));
+              id,
+              attempt,
+              sentTo(),
+              Outcome.FULL,
+              false,
+              2 * MS,
+              CopyStatus.NONE,
+              crowd,
+              Map.of()));
         }
         request(1000 + id, "safe", "hot");
         refused += got(Refuse.class).size();
@@ -647,8 +655,8 @@
         new TimerDue("no such timer"),
         new RouterApi.FirstByte(99, 0, "a", MS),
         new RouterApi.PeerMessage(99, ""),
-        new Answer(1, 7, "a", Outcome.OK, true, MS, Note.WARM, 0, Map.of()),
-        new Answer(1, -1, "a", Outcome.OK, true, MS, Note.WARM, 0, Map.of()))) {
+        new Answer(1, 7, "a", Outcome.OK, true, MS, CopyStatus.WARM, 0, Map.of()),
+        new Answer(1, -1, "a", Outcome.OK, true, MS, CopyStatus.WARM, 0, Map.of()))) {
       tell(odd);
       assertTrue(got(Send.class).isEmpty() && got(Load.class).isEmpty(), "on " + odd);
     }
--- a/decisions/src/test/java/gorseladder/RulesTest.java
+++ b/decisions/src/test/java/gorseladder/RulesTest.java
@@ -129,8 +129,8 @@
           a.outcome(),
           call.over,
           a.latency(),
-          a.note(),
-          a.crowd(),
+          a.copyStatus(),
+          a.concurrency(),
           a.report());
     }
     return event;
@@ -190,7 +190,7 @@
       in = call.deadline - now + 2 * MS;
       outcome = Outcome.TIMEOUT;
     }
-    Note note = Note.values()[random.nextInt(Note.values().length)];
+    CopyStatus note = CopyStatus.values()[random.nextInt(CopyStatus.values().length)];
     later(
         in,
         new Answer(
--- a/decisions/src/test/java/gorseladder/ahead/AheadTest.java
+++ b/decisions/src/test/java/gorseladder/ahead/AheadTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Hold;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.ahead.Ahead.Verdict;
 import java.util.ArrayList;
@@ -90,7 +90,7 @@
     load("w", "g");
     assertEquals(List.of(), due());
     now += 4 * SECOND;
-    ahead.served("w", "g", Note.WARM, now);
+    ahead.served("w", "g", CopyStatus.WARM, now);
     now += 3 * SECOND;
     assertEquals(
         List.of("f"), due().stream().map(Hold::function).toList(), "g was used a short while ago");
@@ -99,7 +99,7 @@
     assertEquals(2, due().size());
     load("w", "f");
     load("w", "g");
-    ahead.served("w", "f", Note.WARM, now);
+    ahead.served("w", "f", CopyStatus.WARM, now);
     now += 60 * SECOND;
     assertEquals(List.of(), due(), "the time of the holds is over");
     Account.Entry f = ahead.account().take().stream()
@@ -122,15 +122,15 @@
   void aGapThatACopyOutlivedIsCredited() {
     ahead.take(plan(1, 1, item("w", "f")), now);
     load("w", "f");
-    ahead.served("w", "f", Note.WARM, now);
+    ahead.served("w", "f", CopyStatus.WARM, now);
     now += 9 * SECOND;
-    ahead.served("w", "f", Note.WARM, now);
+    ahead.served("w", "f", CopyStatus.WARM, now);
     for (int i = 0; i < 2; i++) {
       now += 8 * SECOND;
       assertEquals(1, due().size());
       load("w", "f");
     }
-    ahead.served("w", "f", Note.WARM, now);
+    ahead.served("w", "f", CopyStatus.WARM, now);
     now += 60 * SECOND;
     due();
     Account.Entry e = ahead.account().take().get(0);
@@ -172,11 +172,11 @@
     ahead.take(plan(1, 1, item("w", "f"), item("w", "wasted")), now);
     load("w", "f");
     load("w", "wasted");
-    ahead.served("w", "f", Note.WARM, now);
+    ahead.served("w", "f", CopyStatus.WARM, now);
     now += LOAD / 4;
-    ahead.served("w", "f", Note.WARM, now);
+    ahead.served("w", "f", CopyStatus.WARM, now);
     now += LOAD;
-    ahead.served("w", "f", Note.WARM, now);
+    ahead.served("w", "f", CopyStatus.WARM, now);
     now += 30 * SECOND;
     due();
     List<Account.Entry> all = ahead.account().take();
@@ -196,14 +196,14 @@
   /** A call that must load what stood there before a copy came is charged to that copy. */
   @Test
   void whatALoadPushesOutIsCharged() {
-    ahead.served("w", "victim", Note.WARM, now);
+    ahead.served("w", "victim", CopyStatus.WARM, now);
     now += SECOND;
     ahead.take(plan(1, 1, item("w", "f")), now);
     load("w", "f");
     now += SECOND;
-    ahead.served("w", "victim", Note.BEGAN, now);
-    ahead.served("w", "stranger", Note.BEGAN, now);
-    ahead.served("elsewhere", "victim", Note.BEGAN, now);
+    ahead.served("w", "victim", CopyStatus.BEGAN, now);
+    ahead.served("w", "stranger", CopyStatus.BEGAN, now);
+    ahead.served("elsewhere", "victim", CopyStatus.BEGAN, now);
     now += 60 * SECOND;
     due();
     Account.Entry e = ahead.account().take().get(0);
@@ -216,7 +216,7 @@
   void aCopyThatIsGoneWhenItsCallComesIsWaste() {
     ahead.take(plan(1, 1, item("w", "f")), now);
     load("w", "f");
-    ahead.served("w", "f", Note.BEGAN, now + SECOND);
+    ahead.served("w", "f", CopyStatus.BEGAN, now + SECOND);
     assertEquals(0, ahead.account().take().get(0).found());
   }
 
@@ -229,10 +229,10 @@
         plan(1, 1, new Plan.Item("w", "f", 1, 1, now, now + 60 * SECOND, LOAD, 400, false)), now);
     assertEquals(List.of(), other.due(now), "not its order to give");
     load("w", "f");
-    assertEquals(null, other.served("w", "g", Note.WARM, now));
-    assertEquals(null, other.served("w", "f", Note.BEGAN, now));
-    String told = other.served("w", "f", Note.WARM, now);
-    assertEquals(null, other.served("w", "f", Note.WARM, now), "once in a while");
+    assertEquals(null, other.served("w", "g", CopyStatus.WARM, now));
+    assertEquals(null, other.served("w", "f", CopyStatus.BEGAN, now));
+    String told = other.served("w", "f", CopyStatus.WARM, now);
+    assertEquals(null, other.served("w", "f", CopyStatus.WARM, now), "once in a while");
     ahead.heard("sick w", now);
     ahead.heard("found ", now);
     ahead.heard("found w", now);
--- a/decisions/src/test/java/gorseladder/ahead/SeenTest.java
+++ b/decisions/src/test/java/gorseladder/ahead/SeenTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gorseladder.RouterApi.Note;
+import gorseladder.RouterApi.CopyStatus;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
@@ -26,11 +26,11 @@
   void workAndLoadAreToldApartAndCallsCountOnce() {
     for (int i = 0; i < 3; i++) {
       seen.taken("f", 400, 2);
-      seen.served("f", Note.WARM, 200_000);
-      seen.served("f", Note.BEGAN, 900_000);
-      seen.served("f", Note.WAITED, 900_000);
+      seen.served("f", CopyStatus.WARM, 200_000);
+      seen.served("f", CopyStatus.BEGAN, 900_000);
+      seen.served("f", CopyStatus.WAITED, 900_000);
     }
-    seen.served("unknown", Note.WARM, 1);
+    seen.served("unknown", CopyStatus.WARM, 1);
     Map<String, Seen.Of> taken = seen.take();
     assertEquals(Map.of("f", new Seen.Of(3, 400, 2, 200_000, 700_000)), taken);
     seen.taken("f", 400, 2);
--- a/edge/src/main/java/gorseladder/edge/runners/Runners.java
+++ b/edge/src/main/java/gorseladder/edge/runners/Runners.java
@@ -1,8 +1,8 @@
 package gorseladder.edge.runners;
 
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Effect;
 import gorseladder.RouterApi.Loaded;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.Phase;
 import gorseladder.attempts.AttemptFate;
@@ -450,7 +450,7 @@
         all.remove(number);
         return all.isEmpty() ? null : all;
       });
-      Note note = head == null ? Note.NONE : note(head.get(Oip.COPY));
+      CopyStatus note = head == null ? CopyStatus.NONE : note(head.get(Oip.COPY));
       Map<String, Double> load =
           head == null ? Map.of() : LoadReport.parse(head.get(LoadReport.HEADER));
       hearer.attemptEnded(new AttemptEnd<>(
@@ -458,15 +458,15 @@
     }
   }
 
-  private static Note note(String copy) {
+  private static CopyStatus note(String copy) {
     return copy == null
-        ? Note.NONE
+        ? CopyStatus.NONE
         : switch (copy) {
-          case "found" -> Note.WARM;
-          case "began" -> Note.BEGAN;
-          case "awaited" -> Note.WAITED;
-          case "load-failed" -> Note.LOAD_FAILED;
-          default -> Note.NONE;
+          case "found" -> CopyStatus.WARM;
+          case "began" -> CopyStatus.BEGAN;
+          case "awaited" -> CopyStatus.WAITED;
+          case "load-failed" -> CopyStatus.LOAD_FAILED;
+          default -> CopyStatus.NONE;
         };
   }
 
--- a/emulator/src/main/java/gorseladder/emulator/EmulatedEdge.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedEdge.java
@@ -5,12 +5,12 @@
 import gorseladder.RouterApi.Answer;
 import gorseladder.RouterApi.Cancel;
 import gorseladder.RouterApi.ClientGone;
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Event;
 import gorseladder.RouterApi.Fail;
 import gorseladder.RouterApi.Hold;
 import gorseladder.RouterApi.Load;
 import gorseladder.RouterApi.Loaded;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.PeerMessage;
 import gorseladder.RouterApi.Phase;
@@ -230,7 +230,9 @@
     }
     attempt.ended = true;
     h.out--;
-    h.cold |= r.note() == Note.BEGAN || r.note() == Note.WAITED || r.outcome() == Outcome.MISS;
+    h.cold |= r.note() == CopyStatus.BEGAN
+        || r.note() == CopyStatus.WAITED
+        || r.outcome() == Outcome.MISS;
     long latency = agenda.now() - attempt.sentAt;
     if (r.outcome() == Outcome.OK) {
       seen.served(h.function.name(), r.note(), latency);
@@ -268,7 +270,7 @@
             a.id(),
             h,
             a.attempt(),
-            new EmulatedRunner.Result(Outcome.CANCELLED, Note.NONE, -1, 0)));
+            new EmulatedRunner.Result(Outcome.CANCELLED, CopyStatus.NONE, -1, 0)));
   }
 
   private void load(Load a) {
--- a/emulator/src/main/java/gorseladder/emulator/EmulatedRunner.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedRunner.java
@@ -1,6 +1,6 @@
 package gorseladder.emulator;
 
-import gorseladder.RouterApi.Note;
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.emulator.proto.Fleet;
 import java.util.ArrayDeque;
@@ -19,7 +19,7 @@
  */
 final class EmulatedRunner {
   /** What a call or an order is told at its end. */
-  record Result(Outcome outcome, Note note, int crowd, int held) {}
+  record Result(Outcome outcome, CopyStatus note, int crowd, int held) {}
 
   /** Hears the end of a call. */
   interface Hearer {
@@ -36,10 +36,10 @@
     private final double work;
     private final Hearer hearer;
     private final int crowd;
-    private Note note;
+    private CopyStatus note;
     private boolean runs;
 
-    Call(Drawn function, double work, Hearer hearer, int crowd, Note note) {
+    Call(Drawn function, double work, Hearer hearer, int crowd, CopyStatus note) {
       this.function = function;
       this.work = work;
       this.hearer = hearer;
@@ -118,20 +118,21 @@
   int call(Drawn function, double work, boolean loadsOnMiss, Hearer hearer) {
     int number = numbers++;
     if (!up) {
-      hearer.ended(new Result(Outcome.CONNECT_FAILED, Note.NONE, -1, 0));
+      hearer.ended(new Result(Outcome.CONNECT_FAILED, CopyStatus.NONE, -1, 0));
       return number;
     }
     Copies s = sets.computeIfAbsent(function.name(), f -> new Copies(function));
     int crowd = s.running + s.queue.size();
     if (calls.size() >= fleet.getMostCalls()) {
-      hearer.ended(new Result(Outcome.FULL, Note.NONE, crowd, calls.size()));
+      hearer.ended(new Result(Outcome.FULL, CopyStatus.NONE, crowd, calls.size()));
       return number;
     }
     if (s.copies + s.loading == 0 && !loadsOnMiss) {
-      hearer.ended(new Result(Outcome.MISS, Note.NONE, crowd, calls.size()));
+      hearer.ended(new Result(Outcome.MISS, CopyStatus.NONE, crowd, calls.size()));
       return number;
     }
-    Note note = s.copies > 0 ? Note.WARM : s.loading > 0 ? Note.WAITED : Note.BEGAN;
+    CopyStatus note =
+        s.copies > 0 ? CopyStatus.WARM : s.loading > 0 ? CopyStatus.WAITED : CopyStatus.BEGAN;
     int[] mine = {number};
     Call c = new Call(
         function,
@@ -157,8 +158,8 @@
   }
 
   private void end(Call c, Outcome outcome) {
-    c.hearer.ended(
-        new Result(outcome, outcome == Outcome.OK ? c.note : Note.NONE, c.crowd, calls.size() - 1));
+    c.hearer.ended(new Result(
+        outcome, outcome == Outcome.OK ? c.note : CopyStatus.NONE, c.crowd, calls.size() - 1));
   }
 
   /** Ends a call whose caller does not wait any more; nobody hears of it. */
--- a/node/src/main/java/gorseladder/node/RouterWarmUp.java
+++ b/node/src/main/java/gorseladder/node/RouterWarmUp.java
@@ -4,10 +4,10 @@
 import gorseladder.RouterApi.Action;
 import gorseladder.RouterApi.Answer;
 import gorseladder.RouterApi.ClientGone;
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.ListKind;
 import gorseladder.RouterApi.Load;
 import gorseladder.RouterApi.Loaded;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.Request;
 import gorseladder.RouterApi.RequestClass;
@@ -34,7 +34,7 @@
 
   private static final long LATENCY = 20_000;
   private static final Outcome[] OUTCOMES = Outcome.values();
-  private static final Note[] NOTES = Note.values();
+  private static final CopyStatus[] NOTES = CopyStatus.values();
 
   private final Router router;
   private final Settings settings;
--- a/node/src/main/java/gorseladder/node/runners/AttemptRequest.java
+++ b/node/src/main/java/gorseladder/node/runners/AttemptRequest.java
@@ -1,7 +1,7 @@
 package gorseladder.node.runners;
 
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Effect;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.core.Call;
 import gorseladder.core.Core.AttemptEnd;
@@ -120,9 +120,9 @@
   @Override
   void report(Outcome outcome, Answer answer) {
     boolean heard = answer != null;
-    Note note = heard && links.tellsNote()
+    CopyStatus note = heard && links.tellsNote()
         ? PlatformAnswers.note(answer.fields().get("remark"))
-        : Note.NONE;
+        : CopyStatus.NONE;
     int crowd = heard
         ? PlatformAnswers.crowd(outcome, links.tellsCrowd() ? answer.fields().get("depth") : null)
         : -1;
--- a/scale/src/main/java/gorseladder/scale/HollowDispatcher.java
+++ b/scale/src/main/java/gorseladder/scale/HollowDispatcher.java
@@ -3,8 +3,8 @@
 import gorseladder.Router;
 import gorseladder.RouterApi.Action;
 import gorseladder.RouterApi.Answer;
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.ListKind;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.Request;
 import gorseladder.RouterApi.Send;
@@ -111,7 +111,7 @@
             Outcome.OK,
             true,
             now - attempt.sentAt(),
-            Note.WARM,
+            CopyStatus.WARM,
             0,
             Map.of()),
         this::carryOut);
