--- a/app/src/main/java/gorseladder/app/bench/RouterBench.java
+++ b/app/src/main/java/gorseladder/app/bench/RouterBench.java
@@ -109,7 +109,7 @@
         if (a instanceof Send s) {
           out.addLast(new Out(now + 30_000, s.id(), s.worker()));
         } else if (a instanceof SetTimer t) {
-          timers.schedule(now + t.in(), t.token());
+          timers.schedule(now + t.delay(), t.token());
         }
       }
       actions.clear();
--- a/benchhost/src/main/java/gorseladder/simhost/Wire.java
+++ b/benchhost/src/main/java/gorseladder/simhost/Wire.java
@@ -188,7 +188,7 @@
       out.writeNumberField("opId", a.id());
     } else if (action instanceof RouterApi.SetTimer a) {
       head(out, "arm", who);
-      millis(out, "inMs", a.in());
+      millis(out, "inMs", a.delay());
       out.writeStringField("token", a.token());
     } else if (action instanceof RouterApi.TellPeers a) {
       head(out, "announce", who);
@@ -199,7 +199,7 @@
       out.writeStringField("runner", a.worker());
       out.writeStringField("targetFn", a.function());
       out.writeNumberField("howMany", a.copies());
-    } else if (action instanceof RouterApi.WatchList) {
+    } else if (action instanceof RouterApi.SubscribeWorkerList) {
       head(out, "streamChanges", who);
       out.writeBooleanField("enable", true);
     } else if (action instanceof RouterApi.Log a) {
--- a/core/src/main/java/gorseladder/core/Core.java
+++ b/core/src/main/java/gorseladder/core/Core.java
@@ -3,12 +3,12 @@
 import gorseladder.Router;
 import gorseladder.RouterApi.Action;
 import gorseladder.RouterApi.Answer;
+import gorseladder.RouterApi.AnswerDue;
 import gorseladder.RouterApi.Cancel;
 import gorseladder.RouterApi.ClientGone;
 import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Event;
 import gorseladder.RouterApi.Fail;
-import gorseladder.RouterApi.Hold;
 import gorseladder.RouterApi.ListKind;
 import gorseladder.RouterApi.Load;
 import gorseladder.RouterApi.Loaded;
@@ -16,15 +16,15 @@
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.PeerMessage;
 import gorseladder.RouterApi.Phase;
+import gorseladder.RouterApi.PlannedLoad;
 import gorseladder.RouterApi.Refuse;
 import gorseladder.RouterApi.Request;
 import gorseladder.RouterApi.Send;
 import gorseladder.RouterApi.SetTimer;
 import gorseladder.RouterApi.Settings;
+import gorseladder.RouterApi.SubscribeWorkerList;
 import gorseladder.RouterApi.TellPeers;
-import gorseladder.RouterApi.TimeUp;
 import gorseladder.RouterApi.TimerDue;
-import gorseladder.RouterApi.WatchList;
 import gorseladder.RouterApi.WorkerEntry;
 import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.ahead.Account;
@@ -339,7 +339,7 @@
           .filter(call -> !call.over())
           .map(Call::id)
           .toList()
-          .forEach(id -> tell(new TimeUp(id)));
+          .forEach(id -> tell(new AnswerDue(id)));
     } else if (message instanceof Planned<C> m) {
       Ahead.Verdict verdict = ahead.take(m.plan(), now);
       lookAt = ahead.busy() ? now : Long.MAX_VALUE;
@@ -388,7 +388,7 @@
     if (now < lookAt) {
       return;
     }
-    for (Hold hold : ahead.due(now)) {
+    for (PlannedLoad hold : ahead.due(now)) {
       holding = true;
       tell(hold);
       holding = false;
@@ -529,7 +529,7 @@
       noteStart(call, a.worker());
       outbound.send(call, number, a.worker(), a.timeout());
     } else if (action instanceof SetTimer a) {
-      TimerWheel.Node<String> timer = timers.schedule(now + a.in(), a.token());
+      TimerWheel.Node<String> timer = timers.schedule(now + a.delay(), a.token());
       if (arriving != null && a.isDeadline()) {
         arriving.deadline = timer;
       }
@@ -550,7 +550,7 @@
       outbound.load(a.worker(), a.function(), a.copies());
     } else if (action instanceof TellPeers a) {
       outbound.tellPeers(a.text());
-    } else if (action instanceof WatchList) {
+    } else if (action instanceof SubscribeWorkerList) {
       outbound.watchList();
     } else if (action instanceof Log a) {
       LOG.info("{}", a.text());
--- a/decisions/src/main/java/gorseladder/Router.java
+++ b/decisions/src/main/java/gorseladder/Router.java
@@ -143,13 +143,13 @@
       onTimer(e.token());
     } else if (event instanceof Loaded e) {
       onLoaded(e);
-    } else if (event instanceof Hold e) {
+    } else if (event instanceof PlannedLoad e) {
       onHold(e);
     } else if (event instanceof WorkerListUpdate e) {
       onWorkers(e);
     } else if (event instanceof ClientGone e) {
       onClientGone(requests.get(e.id()));
-    } else if (event instanceof TimeUp e) {
+    } else if (event instanceof AnswerDue e) {
       timeUp(requests.get(e.id()));
     } else if (event instanceof FirstByte e && requests.containsKey(e.id())) {
       requests.get(e.id()).streaming = true;
@@ -179,11 +179,11 @@
 
   private void onWorkers(WorkerListUpdate event) {
     if (event.kind() == ListKind.FAILED) {
-      out.accept(new WatchList());
+      out.accept(new SubscribeWorkerList());
       return;
     }
     if (event.kind() == ListKind.SAVED && settings.asksForList()) {
-      out.accept(new WatchList());
+      out.accept(new SubscribeWorkerList());
     }
     listNumber++;
     event.entries().forEach(this::onWorker);
@@ -601,7 +601,7 @@
    * the part of the ration kept for them, or at a worker that is cold or suspect. It could harm where a
    * plan is wrong: each order may push out what a later call needs; the plan's maker pays for that.
    */
-  private void onHold(Hold event) {
+  private void onHold(PlannedLoad event) {
     Worker w = workers.get(event.worker());
     if (w == null
         || !waiting.isEmpty()
--- a/decisions/src/main/java/gorseladder/RouterApi.java
+++ b/decisions/src/main/java/gorseladder/RouterApi.java
@@ -226,7 +226,7 @@
   public record ClientGone(long id) implements Event {}
 
   /** The final answer is owed now, ahead of the client's time. */
-  public record TimeUp(long id) implements Event {}
+  public record AnswerDue(long id) implements Event {}
 
   /** A timer set by the router is due. */
   public record TimerDue(String token) implements Event {}
@@ -246,12 +246,12 @@
    * A plan wants copies held at a worker ahead of need; the router may pass it over, and then nothing follows.
    * {@code loadTime} is 0 where not told.
    */
-  public record Hold(String worker, String function, int copies, int lanes, long loadTime)
+  public record PlannedLoad(String worker, String function, int copies, int lanes, long loadTime)
       implements Event {
-    public Hold {
-      require(worker != null, "hold worker");
-      require(function != null, "hold function");
-      require(copies > 0 && lanes > 0, "hold copies or lanes");
+    public PlannedLoad {
+      require(worker != null, "planned load worker");
+      require(function != null, "planned load function");
+      require(copies > 0 && lanes > 0, "planned load copies or lanes");
     }
   }
 
@@ -271,7 +271,7 @@
   public record Fail(long id) implements Action {}
 
   /** Asks for a {@link TimerDue}. */
-  public record SetTimer(long in, String token) implements Action {
+  public record SetTimer(long delay, String token) implements Action {
     /** The first letter of a call's deadline; its id follows. */
     static final String DEADLINE = "d";
 
@@ -288,7 +288,7 @@
   public record Load(String worker, String function, int copies) implements Action {}
 
   /** Asks for list changes from now on. */
-  public record WatchList() implements Action {}
+  public record SubscribeWorkerList() implements Action {}
 
   /** A line for the log. */
   public record Log(String text) implements Action {}
--- a/decisions/src/main/java/gorseladder/ahead/Ahead.java
+++ b/decisions/src/main/java/gorseladder/ahead/Ahead.java
@@ -1,8 +1,8 @@
 package gorseladder.ahead;
 
 import gorseladder.RouterApi.CopyStatus;
-import gorseladder.RouterApi.Hold;
 import gorseladder.RouterApi.Outcome;
+import gorseladder.RouterApi.PlannedLoad;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.Iterator;
@@ -126,9 +126,9 @@
   }
 
   /** What is to be proposed to the router now. Call it a few times a second; it spreads a plan by itself. */
-  public List<Hold> due(long now) {
+  public List<PlannedLoad> due(long now) {
     account.closeOver(now);
-    List<Hold> due = new ArrayList<>();
+    List<PlannedLoad> due = new ArrayList<>();
     if (plan.until() <= now) {
       wishes.clear();
       mine.clear();
@@ -141,7 +141,7 @@
         wishes.remove(new Key(i.worker(), i.function()));
       } else if (now >= i.from() && wanted(w, now)) {
         w.askAt = now + ASK_AGAIN;
-        due.add(new Hold(i.worker(), i.function(), i.copies(), i.lanes(), i.loadTime()));
+        due.add(new PlannedLoad(i.worker(), i.function(), i.copies(), i.lanes(), i.loadTime()));
       }
     }
     return due;
--- a/decisions/src/test/java/gorseladder/ColdFleetTest.java
+++ b/decisions/src/test/java/gorseladder/ColdFleetTest.java
@@ -130,7 +130,7 @@
 
   private void carryOut(int router, Action action, Random random) {
     if (action instanceof SetTimer t) {
-      later(now + Math.max(1, t.in()), router, new TimerDue(t.token()));
+      later(now + Math.max(1, t.delay()), router, new TimerDue(t.token()));
     } else if (action instanceof Send s) {
       sends.computeIfAbsent(s.worker(), w -> new ArrayList<>()).add(now);
       int attempt = attempts.merge(s.id(), 1, Integer::sum) - 1;
--- a/decisions/src/test/java/gorseladder/RouterTest.java
+++ b/decisions/src/test/java/gorseladder/RouterTest.java
@@ -12,12 +12,12 @@
 import gorseladder.RouterApi.Event;
 import gorseladder.RouterApi.Fail;
 import gorseladder.RouterApi.Group;
-import gorseladder.RouterApi.Hold;
 import gorseladder.RouterApi.ListKind;
 import gorseladder.RouterApi.Load;
 import gorseladder.RouterApi.Loaded;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.Phase;
+import gorseladder.RouterApi.PlannedLoad;
 import gorseladder.RouterApi.Refuse;
 import gorseladder.RouterApi.Request;
 import gorseladder.RouterApi.Send;
@@ -128,13 +128,13 @@
     start(true, false, running("a"), running("b"));
     request(1, "safe", "f");
     request(2, "unsafe", "g");
-    tell(new RouterApi.TimeUp(1));
+    tell(new RouterApi.AnswerDue(1));
     assertEquals(1, got(Refuse.class).size());
-    tell(new RouterApi.TimeUp(2));
+    tell(new RouterApi.AnswerDue(2));
     assertEquals(1, got(RouterApi.Fail.class).size());
-    tell(new RouterApi.TimeUp(2));
+    tell(new RouterApi.AnswerDue(2));
     tell(new TimerDue("d1"));
-    tell(new RouterApi.TimeUp(3));
+    tell(new RouterApi.AnswerDue(3));
     assertTrue(got(Refuse.class).isEmpty() && got(RouterApi.Fail.class).isEmpty());
   }
 
@@ -638,7 +638,7 @@
   void failedSubscriptionIsRenewed() {
     start(true, false, running("a"));
     tell(new WorkerListUpdate(ListKind.FAILED, List.of()));
-    assertEquals(List.of(new RouterApi.WatchList()), actions);
+    assertEquals(List.of(new RouterApi.SubscribeWorkerList()), actions);
   }
 
   /** Whatever comes late or is unknown neither throws nor sends. */
@@ -692,8 +692,8 @@
     assertThrows(IllegalArgumentException.class, () -> new Router(null, 1));
   }
 
-  private static Hold hold(String worker, String function) {
-    return new Hold(worker, function, 1, 1, 500 * MS);
+  private static PlannedLoad hold(String worker, String function) {
+    return new PlannedLoad(worker, function, 1, 1, 500 * MS);
   }
 
   /** A copy held by a plan is believed warm once it stands, so the next call goes there. */
--- a/decisions/src/test/java/gorseladder/RulesTest.java
+++ b/decisions/src/test/java/gorseladder/RulesTest.java
@@ -149,7 +149,7 @@
       assertTrue(call.request.requestClass().equals("safe") || !ran, "refused what may have run");
       end(call);
     } else if (action instanceof SetTimer t) {
-      later(Math.max(1, t.in()), new TimerDue(t.token()));
+      later(Math.max(1, t.delay()), new TimerDue(t.token()));
     }
   }
 
--- a/decisions/src/test/java/gorseladder/ahead/AheadTest.java
+++ b/decisions/src/test/java/gorseladder/ahead/AheadTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gorseladder.RouterApi.CopyStatus;
-import gorseladder.RouterApi.Hold;
 import gorseladder.RouterApi.Outcome;
+import gorseladder.RouterApi.PlannedLoad;
 import gorseladder.ahead.Ahead.Verdict;
 import java.util.ArrayList;
 import java.util.List;
@@ -27,7 +27,7 @@
     return new Plan.Item(worker, function, 1, 1, now, now + 60 * SECOND, LOAD, 400, true);
   }
 
-  private List<Hold> due() {
+  private List<PlannedLoad> due() {
     return ahead.due(now);
   }
 
@@ -73,7 +73,7 @@
     for (; ordered < 10; looks++) {
       assertTrue(looks < 40);
       now += SECOND / 4;
-      for (Hold h : due()) {
+      for (PlannedLoad h : due()) {
         ahead.ordered(h.worker(), h.function(), now);
         ordered++;
       }
@@ -93,7 +93,9 @@
     ahead.served("w", "g", CopyStatus.WARM, now);
     now += 3 * SECOND;
     assertEquals(
-        List.of("f"), due().stream().map(Hold::function).toList(), "g was used a short while ago");
+        List.of("f"),
+        due().stream().map(PlannedLoad::function).toList(),
+        "g was used a short while ago");
     load("w", "f");
     now += 7 * SECOND;
     assertEquals(2, due().size());
@@ -144,10 +146,12 @@
     ahead.take(plan(1, 1, item("w", "f"), item("w", "g")), now);
     ahead.ordered("w", "f", now);
     ahead.loaded("w", "f", Outcome.FULL, LOAD, now);
-    assertEquals(List.of("g"), due().stream().map(Hold::function).toList());
+    assertEquals(List.of("g"), due().stream().map(PlannedLoad::function).toList());
     ahead.take(plan(1, 2, item("w", "f")), now);
     assertEquals(
-        List.of("f"), due().stream().map(Hold::function).toList(), "a later plan may ask anew");
+        List.of("f"),
+        due().stream().map(PlannedLoad::function).toList(),
+        "a later plan may ask anew");
     now += 1_000 * SECOND;
     assertEquals(List.of(), due());
   }
@@ -157,7 +161,7 @@
     ahead.take(plan(1, 1, item("w", "f")), now);
     ahead.ordered("w", "f", now);
     ahead.take(plan(1, 2, item("w", "f"), item("w", "g")), now);
-    assertEquals(List.of("g"), due().stream().map(Hold::function).toList());
+    assertEquals(List.of("g"), due().stream().map(PlannedLoad::function).toList());
     now += LOAD;
     ahead.loaded("w", "f", Outcome.OK, LOAD, now);
     assertEquals(1, ahead.account().open());
--- a/emulator/src/main/java/gorseladder/emulator/EmulatedEdge.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedEdge.java
@@ -8,12 +8,12 @@
 import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Event;
 import gorseladder.RouterApi.Fail;
-import gorseladder.RouterApi.Hold;
 import gorseladder.RouterApi.Load;
 import gorseladder.RouterApi.Loaded;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.PeerMessage;
 import gorseladder.RouterApi.Phase;
+import gorseladder.RouterApi.PlannedLoad;
 import gorseladder.RouterApi.Refuse;
 import gorseladder.RouterApi.Request;
 import gorseladder.RouterApi.RequestClass;
@@ -181,7 +181,7 @@
     if (action instanceof Send a) {
       send(a);
     } else if (action instanceof SetTimer a) {
-      agenda.after(a.in(), () -> tell(new TimerDue(a.token())));
+      agenda.after(a.delay(), () -> tell(new TimerDue(a.token())));
     } else if (action instanceof Refuse a) {
       over(a.id(), held.get(a.id()), Outcome.FULL);
     } else if (action instanceof Fail a) {
@@ -327,7 +327,7 @@
   }
 
   private void look() {
-    for (Hold hold : ahead.due(agenda.now())) {
+    for (PlannedLoad hold : ahead.due(agenda.now())) {
       holding = true;
       tell(hold);
       holding = false;
--- a/node/src/main/java/gorseladder/node/RouterWarmUp.java
+++ b/node/src/main/java/gorseladder/node/RouterWarmUp.java
@@ -3,6 +3,7 @@
 import gorseladder.Router;
 import gorseladder.RouterApi.Action;
 import gorseladder.RouterApi.Answer;
+import gorseladder.RouterApi.AnswerDue;
 import gorseladder.RouterApi.ClientGone;
 import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.ListKind;
@@ -14,7 +15,6 @@
 import gorseladder.RouterApi.Send;
 import gorseladder.RouterApi.SetTimer;
 import gorseladder.RouterApi.Settings;
-import gorseladder.RouterApi.TimeUp;
 import gorseladder.RouterApi.TimerDue;
 import gorseladder.RouterApi.WorkerEntry;
 import gorseladder.RouterApi.WorkerListUpdate;
@@ -82,7 +82,7 @@
     runTimers();
     endLoads();
     answerAll(number);
-    router.on(now, number % 2 == 0 ? new ClientGone(number) : new TimeUp(number), this::note);
+    router.on(now, number % 2 == 0 ? new ClientGone(number) : new AnswerDue(number), this::note);
     sent.clear();
   }
 
--- a/scale/src/main/java/gorseladder/scale/HollowDispatcher.java
+++ b/scale/src/main/java/gorseladder/scale/HollowDispatcher.java
@@ -124,7 +124,7 @@
       contacted.add(send.worker());
       firstWorker = firstWorker == null ? send.worker() : firstWorker;
     } else if (action instanceof SetTimer timer && timer.token().equals(SWEEP)) {
-      sweepAt = now + timer.in();
+      sweepAt = now + timer.delay();
     } else if (action instanceof TellPeers) {
       messagesOut++;
     }
