--- a/core/src/main/java/gorseladder/core/Core.java
+++ b/core/src/main/java/gorseladder/core/Core.java
@@ -3,30 +3,30 @@
 import gorseladder.Router;
 import gorseladder.RouterApi.Action;
 import gorseladder.RouterApi.Answer;
+import gorseladder.RouterApi.AnswerDue;
 import gorseladder.RouterApi.Cancel;
 import gorseladder.RouterApi.ClientGone;
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Event;
 import gorseladder.RouterApi.Fail;
-import gorseladder.RouterApi.Hold;
 import gorseladder.RouterApi.ListKind;
 import gorseladder.RouterApi.Load;
 import gorseladder.RouterApi.Loaded;
 import gorseladder.RouterApi.Log;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.PeerMessage;
 import gorseladder.RouterApi.Phase;
+import gorseladder.RouterApi.PlannedLoad;
 import gorseladder.RouterApi.Refuse;
 import gorseladder.RouterApi.Request;
 import gorseladder.RouterApi.Send;
 import gorseladder.RouterApi.SetTimer;
 import gorseladder.RouterApi.Settings;
+import gorseladder.RouterApi.SubscribeWorkerList;
 import gorseladder.RouterApi.TellPeers;
-import gorseladder.RouterApi.TimeUp;
 import gorseladder.RouterApi.TimerDue;
-import gorseladder.RouterApi.WatchList;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.ahead.FunctionStats;
 import gorseladder.ahead.LoadAheadAccounting;
 import gorseladder.ahead.Plan;
@@ -90,7 +90,7 @@
       int attempt,
       Outcome outcome,
       byte[] body,
-      Note note,
+      CopyStatus note,
       int crowd,
       Map<String, Double> report) {}
 
@@ -255,7 +255,7 @@
   }
 
   /** The worker list has news. */
-  public void listNews(Workers news) {
+  public void listNews(WorkerListUpdate news) {
     mailbox.put(new News<>(news));
   }
 
@@ -330,7 +330,7 @@
       release(m.call());
     } else if (message instanceof News<C> m) {
       noteNews(m.event());
-      newsKnown += m.event() instanceof Workers ? 1 : 0;
+      newsKnown += m.event() instanceof WorkerListUpdate ? 1 : 0;
       tell(m.event());
     } else if (message instanceof GiveUp<C>) {
       givingUp = true;
@@ -339,7 +339,7 @@
           .filter(call -> !call.isFinished())
           .map(Call::id)
           .toList()
-          .forEach(id -> tell(new TimeUp(id)));
+          .forEach(id -> tell(new AnswerDue(id)));
     } else if (message instanceof Planned<C> m) {
       PlanExecutor.Verdict verdict = ahead.offer(m.plan(), now);
       lookAt = ahead.hasPendingHolds() ? now : Long.MAX_VALUE;
@@ -375,7 +375,7 @@
       ahead.loaded(e.worker(), e.function(), e.outcome(), e.latency(), now);
     } else if (event instanceof PeerMessage e) {
       ahead.peerMessage(e.text(), now);
-    } else if (event instanceof Workers e && e.kind() != ListKind.FAILED) {
+    } else if (event instanceof WorkerListUpdate e && e.kind() != ListKind.FAILED) {
       workers = new LinkedHashMap<>();
       e.entries().stream()
           .filter(w -> w.phase() == Phase.RUNNING)
@@ -388,7 +388,7 @@
     if (now < lookAt) {
       return;
     }
-    for (Hold hold : ahead.due(now)) {
+    for (PlannedLoad hold : ahead.due(now)) {
       holding = true;
       tell(hold);
       holding = false;
@@ -483,7 +483,7 @@
     release(call);
   }
 
-  private void noteServed(C call, Call.Attempt attempt, Note note) {
+  private void noteServed(C call, Call.Attempt attempt, CopyStatus note) {
     if (ahead != null) {
       seen.served(call.facts().function(), note, now - attempt.decidedAt());
       String found = ahead.served(attempt.worker(), call.facts().function(), note, now);
@@ -529,7 +529,7 @@
       noteStart(call, a.worker());
       outbound.send(call, number, a.worker(), a.timeout());
     } else if (action instanceof SetTimer a) {
-      TimerWheel.Node<String> timer = timers.schedule(now + a.in(), a.token());
+      TimerWheel.Node<String> timer = timers.schedule(now + a.delay(), a.token());
       if (arriving != null && a.isDeadline()) {
         arriving.deadline = timer;
       }
@@ -550,7 +550,7 @@
       outbound.load(a.worker(), a.function(), a.copies());
     } else if (action instanceof TellPeers a) {
       outbound.tellPeers(a.text());
-    } else if (action instanceof WatchList) {
+    } else if (action instanceof SubscribeWorkerList) {
       outbound.watchList();
     } else if (action instanceof Log a) {
       LOG.info("{}", a.text());
--- a/decisions/src/main/java/gorseladder/ahead/PlanExecutor.java
+++ b/decisions/src/main/java/gorseladder/ahead/PlanExecutor.java
@@ -1,8 +1,8 @@
 package gorseladder.ahead;
 
-import gorseladder.RouterApi.Hold;
-import gorseladder.RouterApi.Note;
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Outcome;
+import gorseladder.RouterApi.PlannedLoad;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.Iterator;
@@ -126,9 +126,9 @@
   }
 
   /** What is to be proposed to the router now. Call it a few times a second; it spreads a plan by itself. */
-  public List<Hold> due(long now) {
+  public List<PlannedLoad> due(long now) {
     account.closeExpired(now);
-    List<Hold> due = new ArrayList<>();
+    List<PlannedLoad> due = new ArrayList<>();
     if (plan.expiresAt() <= now) {
       wishes.clear();
       mine.clear();
@@ -141,7 +141,7 @@
         wishes.remove(new Key(i.worker(), i.function()));
       } else if (now >= i.from() && wanted(w, now)) {
         w.askAt = now + ASK_AGAIN;
-        due.add(new Hold(i.worker(), i.function(), i.copies(), i.lanes(), i.loadTime()));
+        due.add(new PlannedLoad(i.worker(), i.function(), i.copies(), i.lanes(), i.loadTime()));
       }
     }
     return due;
@@ -197,9 +197,9 @@
    * @return what to tell the other dispatchers: that a copy one of them ordered was found; null where there is nothing.
    *     The message may be lost; the copy then counts as unused, which errs against loading ahead.
    */
-  public String served(String worker, String function, Note note, long now) {
+  public String served(String worker, String function, CopyStatus note, long now) {
     account.served(worker, function, note, now);
-    Wish w = note == Note.WARM ? wishes.get(new Key(worker, function)) : null;
+    Wish w = note == CopyStatus.WARM ? wishes.get(new Key(worker, function)) : null;
     if (w == null
         || w.item.owned()
         || now < w.toldAt + (long) (TELL * keepAlive)
--- a/decisions/src/test/java/gorseladder/EmbeddingTest.java
+++ b/decisions/src/test/java/gorseladder/EmbeddingTest.java
@@ -4,11 +4,11 @@
 
 import gorseladder.RouterApi.Action;
 import gorseladder.RouterApi.Answer;
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Effect;
 import gorseladder.RouterApi.Group;
 import gorseladder.RouterApi.Limits;
 import gorseladder.RouterApi.ListKind;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.Phase;
 import gorseladder.RouterApi.Request;
@@ -17,7 +17,7 @@
 import gorseladder.RouterApi.Send;
 import gorseladder.RouterApi.Settings;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -54,7 +54,7 @@
     Router router = new Router(settings, 7);
     router.on(
         1_000,
-        new Workers(
+        new WorkerListUpdate(
             ListKind.SAVED, List.of(new WorkerEntry("w1", "hall-a", 0, Phase.RUNNING, 4, 0))),
         this::carryOut);
     router.on(
@@ -63,7 +63,7 @@
         this::carryOut);
     router.on(
         90_000,
-        new Answer(1, 0, "w1", Outcome.OK, true, 88_000, Note.WARM, 0, Map.of()),
+        new Answer(1, 0, "w1", Outcome.OK, true, 88_000, CopyStatus.WARM, 0, Map.of()),
         this::carryOut);
     assertEquals(List.of("sent 1 to w1"), done);
   }
--- a/decisions/src/test/java/gorseladder/LargeFleetTest.java
+++ b/decisions/src/test/java/gorseladder/LargeFleetTest.java
@@ -8,15 +8,15 @@
 
 import gorseladder.RouterApi.Action;
 import gorseladder.RouterApi.Answer;
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.ListKind;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.Phase;
 import gorseladder.RouterApi.Request;
 import gorseladder.RouterApi.Send;
 import gorseladder.RouterApi.TimerDue;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.order.SharedOrder;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -76,7 +76,7 @@
   }
 
   private void tell(Router to, ListKind kind, List<WorkerEntry> entries) {
-    to.on(now, new Workers(kind, entries), action -> {});
+    to.on(now, new WorkerListUpdate(kind, entries), action -> {});
   }
 
   private void tell(List<WorkerEntry> fleet) {
@@ -120,7 +120,7 @@
             outcome,
             served,
             20 * MILLISECOND,
-            served ? Note.WARM : Note.NONE,
+            served ? CopyStatus.WARM : CopyStatus.NONE,
             served ? 0 : -1,
             Map.of()),
         actions::add);
--- a/decisions/src/test/java/gorseladder/RulesTest.java
+++ b/decisions/src/test/java/gorseladder/RulesTest.java
@@ -60,9 +60,13 @@
     for (String name : names) {
       list.add(TestSites.entry(name, Phase.RUNNING, name.equals("cold") ? 1 : 0));
     }
-    later(1, new Workers(ListKind.SAVED, list));
-    later(6000 * MS, new Workers(ListKind.DELTA, List.of(TestSites.entry("a", Phase.DRAINING, 0))));
-    later(9000 * MS, new Workers(ListKind.DELTA, List.of(TestSites.entry("b", Phase.GONE, 0))));
+    later(1, new WorkerListUpdate(ListKind.SAVED, list));
+    later(
+        6000 * MS,
+        new WorkerListUpdate(ListKind.DELTA, List.of(TestSites.entry("a", Phase.DRAINING, 0))));
+    later(
+        9000 * MS,
+        new WorkerListUpdate(ListKind.DELTA, List.of(TestSites.entry("b", Phase.GONE, 0))));
     for (long id = 1; id <= 1500; id++) {
       String kind = settings.classes().get(random.nextInt(3)).name();
       later(
@@ -105,7 +109,7 @@
       call.deadline = now + r.timeLeft();
       calls.put(r.id(), call);
       taken.addLast(now);
-    } else if (event instanceof Workers w) {
+    } else if (event instanceof WorkerListUpdate w) {
       w.entries().stream()
           .filter(e -> e.phase() != Phase.RUNNING)
           .forEach(e -> stopped.add(e.worker()));
@@ -125,8 +129,8 @@
           a.outcome(),
           call.over,
           a.latency(),
-          a.note(),
-          a.crowd(),
+          a.copyStatus(),
+          a.concurrency(),
           a.report());
     }
     return event;
@@ -145,7 +149,7 @@
       assertTrue(call.request.requestClass().equals("safe") || !ran, "refused what may have run");
       end(call);
     } else if (action instanceof SetTimer t) {
-      later(Math.max(1, t.in()), new TimerDue(t.token()));
+      later(Math.max(1, t.delay()), new TimerDue(t.token()));
     }
   }
 
@@ -186,7 +190,7 @@
       in = call.deadline - now + 2 * MS;
       outcome = Outcome.TIMEOUT;
     }
-    Note note = Note.values()[random.nextInt(Note.values().length)];
+    CopyStatus note = CopyStatus.values()[random.nextInt(CopyStatus.values().length)];
     later(
         in,
         new Answer(
--- a/decisions/src/test/java/gorseladder/ahead/AheadTest.java
+++ b/decisions/src/test/java/gorseladder/ahead/AheadTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gorseladder.RouterApi.Hold;
-import gorseladder.RouterApi.Note;
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Outcome;
+import gorseladder.RouterApi.PlannedLoad;
 import gorseladder.ahead.PlanExecutor.Verdict;
 import java.util.ArrayList;
 import java.util.List;
@@ -27,7 +27,7 @@
     return new Plan.Item(worker, function, 1, 1, now, now + 60 * SECOND, LOAD, 400, true);
   }
 
-  private List<Hold> due() {
+  private List<PlannedLoad> due() {
     return ahead.due(now);
   }
 
@@ -73,7 +73,7 @@
     for (; ordered < 10; looks++) {
       assertTrue(looks < 40);
       now += SECOND / 4;
-      for (Hold h : due()) {
+      for (PlannedLoad h : due()) {
         ahead.ordered(h.worker(), h.function(), now);
         ordered++;
       }
@@ -90,16 +90,18 @@
     load("w", "g");
     assertEquals(List.of(), due());
     now += 4 * SECOND;
-    ahead.served("w", "g", Note.WARM, now);
+    ahead.served("w", "g", CopyStatus.WARM, now);
     now += 3 * SECOND;
     assertEquals(
-        List.of("f"), due().stream().map(Hold::function).toList(), "g was used a short while ago");
+        List.of("f"),
+        due().stream().map(PlannedLoad::function).toList(),
+        "g was used a short while ago");
     load("w", "f");
     now += 7 * SECOND;
     assertEquals(2, due().size());
     load("w", "f");
     load("w", "g");
-    ahead.served("w", "f", Note.WARM, now);
+    ahead.served("w", "f", CopyStatus.WARM, now);
     now += 60 * SECOND;
     assertEquals(List.of(), due(), "the time of the holds is over");
     LoadAheadAccounting.Entry f = ahead.account().takeClosed().stream()
@@ -122,15 +124,15 @@
   void aGapThatACopyOutlivedIsCredited() {
     ahead.offer(plan(1, 1, item("w", "f")), now);
     load("w", "f");
-    ahead.served("w", "f", Note.WARM, now);
+    ahead.served("w", "f", CopyStatus.WARM, now);
     now += 9 * SECOND;
-    ahead.served("w", "f", Note.WARM, now);
+    ahead.served("w", "f", CopyStatus.WARM, now);
     for (int i = 0; i < 2; i++) {
       now += 8 * SECOND;
       assertEquals(1, due().size());
       load("w", "f");
     }
-    ahead.served("w", "f", Note.WARM, now);
+    ahead.served("w", "f", CopyStatus.WARM, now);
     now += 60 * SECOND;
     due();
     LoadAheadAccounting.Entry e = ahead.account().takeClosed().get(0);
@@ -144,10 +146,12 @@
     ahead.offer(plan(1, 1, item("w", "f"), item("w", "g")), now);
     ahead.ordered("w", "f", now);
     ahead.loaded("w", "f", Outcome.FULL, LOAD, now);
-    assertEquals(List.of("g"), due().stream().map(Hold::function).toList());
+    assertEquals(List.of("g"), due().stream().map(PlannedLoad::function).toList());
     ahead.offer(plan(1, 2, item("w", "f")), now);
     assertEquals(
-        List.of("f"), due().stream().map(Hold::function).toList(), "a later plan may ask anew");
+        List.of("f"),
+        due().stream().map(PlannedLoad::function).toList(),
+        "a later plan may ask anew");
     now += 1_000 * SECOND;
     assertEquals(List.of(), due());
   }
@@ -157,7 +161,7 @@
     ahead.offer(plan(1, 1, item("w", "f")), now);
     ahead.ordered("w", "f", now);
     ahead.offer(plan(1, 2, item("w", "f"), item("w", "g")), now);
-    assertEquals(List.of("g"), due().stream().map(Hold::function).toList());
+    assertEquals(List.of("g"), due().stream().map(PlannedLoad::function).toList());
     now += LOAD;
     ahead.loaded("w", "f", Outcome.OK, LOAD, now);
     assertEquals(1, ahead.account().openCount());
@@ -172,11 +176,11 @@
     ahead.offer(plan(1, 1, item("w", "f"), item("w", "wasted")), now);
     load("w", "f");
     load("w", "wasted");
-    ahead.served("w", "f", Note.WARM, now);
+    ahead.served("w", "f", CopyStatus.WARM, now);
     now += LOAD / 4;
-    ahead.served("w", "f", Note.WARM, now);
+    ahead.served("w", "f", CopyStatus.WARM, now);
     now += LOAD;
-    ahead.served("w", "f", Note.WARM, now);
+    ahead.served("w", "f", CopyStatus.WARM, now);
     now += 30 * SECOND;
     due();
     List<LoadAheadAccounting.Entry> all = ahead.account().takeClosed();
@@ -196,14 +200,14 @@
   /** A call that must load what stood there before a copy came is charged to that copy. */
   @Test
   void whatALoadPushesOutIsCharged() {
-    ahead.served("w", "victim", Note.WARM, now);
+    ahead.served("w", "victim", CopyStatus.WARM, now);
     now += SECOND;
     ahead.offer(plan(1, 1, item("w", "f")), now);
     load("w", "f");
     now += SECOND;
-    ahead.served("w", "victim", Note.BEGAN, now);
-    ahead.served("w", "stranger", Note.BEGAN, now);
-    ahead.served("elsewhere", "victim", Note.BEGAN, now);
+    ahead.served("w", "victim", CopyStatus.BEGAN, now);
+    ahead.served("w", "stranger", CopyStatus.BEGAN, now);
+    ahead.served("elsewhere", "victim", CopyStatus.BEGAN, now);
     now += 60 * SECOND;
     due();
     LoadAheadAccounting.Entry e = ahead.account().takeClosed().get(0);
@@ -216,7 +220,7 @@
   void aCopyThatIsGoneWhenItsCallComesIsWaste() {
     ahead.offer(plan(1, 1, item("w", "f")), now);
     load("w", "f");
-    ahead.served("w", "f", Note.BEGAN, now + SECOND);
+    ahead.served("w", "f", CopyStatus.BEGAN, now + SECOND);
     assertEquals(0, ahead.account().takeClosed().get(0).found());
   }
 
@@ -229,10 +233,10 @@
         plan(1, 1, new Plan.Item("w", "f", 1, 1, now, now + 60 * SECOND, LOAD, 400, false)), now);
     assertEquals(List.of(), other.due(now), "not its order to give");
     load("w", "f");
-    assertEquals(null, other.served("w", "g", Note.WARM, now));
-    assertEquals(null, other.served("w", "f", Note.BEGAN, now));
-    String told = other.served("w", "f", Note.WARM, now);
-    assertEquals(null, other.served("w", "f", Note.WARM, now), "once in a while");
+    assertEquals(null, other.served("w", "g", CopyStatus.WARM, now));
+    assertEquals(null, other.served("w", "f", CopyStatus.BEGAN, now));
+    String told = other.served("w", "f", CopyStatus.WARM, now);
+    assertEquals(null, other.served("w", "f", CopyStatus.WARM, now), "once in a while");
     ahead.peerMessage("sick w", now);
     ahead.peerMessage("found ", now);
     ahead.peerMessage("found w", now);
