--- a/app/src/main/java/gorseladder/app/bench/PlacementBench.java
+++ b/app/src/main/java/gorseladder/app/bench/PlacementBench.java
@@ -4,11 +4,11 @@
 import gorseladder.forecast.SlotCalendar;
 import gorseladder.order.SharedOrder;
 import gorseladder.placement.Demand;
-import gorseladder.placement.Host;
 import gorseladder.placement.Placement;
 import gorseladder.placement.Placement.Limits;
-import gorseladder.placement.Placement.Placed;
+import gorseladder.placement.Placement.PlacedCopy;
 import gorseladder.placement.Prices;
+import gorseladder.placement.WorkerCapacity;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -61,10 +61,10 @@
     }
   }
 
-  private static List<Host> hosts(int count, double freeMb, int loads) {
-    List<Host> hosts = new ArrayList<>();
+  private static List<WorkerCapacity> hosts(int count, double freeMb, int loads) {
+    List<WorkerCapacity> hosts = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      hosts.add(new Host("runner-" + i, freeMb, loads, 1));
+      hosts.add(new WorkerCapacity("runner-" + i, freeMb, loads, 1));
     }
     return hosts;
   }
@@ -98,14 +98,14 @@
     double own = 0;
     double exact = 0;
     for (int i = 0; i < fleets; i++) {
-      List<Host> hosts =
+      List<WorkerCapacity> hosts =
           hosts(3 + random.nextInt(4), 900 + random.nextInt(1_500), 2 + random.nextInt(3));
       List<Demand> demands = demands(8 + random.nextInt(17), 10, random);
       Limits limits = new Limits(4 + random.nextInt(12), Double.MAX_VALUE);
       long began = System.nanoTime();
-      List<Placed> placed = Placement.choose(demands, hosts, limits, PRICES, STRETCH, KEEP);
+      List<PlacedCopy> placed = Placement.choose(demands, hosts, limits, PRICES, STRETCH, KEEP);
       own += (System.nanoTime() - began) / 1e6;
-      double got = placed.stream().mapToDouble(Placed::net).sum();
+      double got = placed.stream().mapToDouble(PlacedCopy::netBenefit).sum();
       began = System.nanoTime();
       double best = solve(demands, hosts, limits);
       exact += (System.nanoTime() - began) / 1e6;
@@ -133,18 +133,18 @@
    * The best sum by an integer programme: a variable for each copy at each place it may stand; 0 where it was not
    * solved in time.
    */
-  private static double solve(List<Demand> demands, List<Host> hosts, Limits limits) {
+  private static double solve(List<Demand> demands, List<WorkerCapacity> hosts, Limits limits) {
     ExpressionsBasedModel model = new ExpressionsBasedModel();
     model.options.time_abort = SOLVER_MILLIS;
     Expression orders = model.newExpression("orders").upper(limits.orders());
     Map<String, Expression> memory = new HashMap<>();
     Map<String, Expression> loads = new HashMap<>();
-    for (Host h : hosts) {
+    for (WorkerCapacity h : hosts) {
       memory.put(h.name(), model.newExpression("memory " + h.name()).upper(h.freeMb()));
-      loads.put(h.name(), model.newExpression("loads " + h.name()).upper(h.loads()));
+      loads.put(h.name(), model.newExpression("loads " + h.name()).upper(h.maxLoads()));
     }
     for (Demand d : demands) {
-      List<Host> order = hosts.stream()
+      List<WorkerCapacity> order = hosts.stream()
           .sorted(Comparator.comparingDouble(h -> SharedOrder.key(d.function(), h.name(), 1)))
           .toList();
       Map<String, Expression> once = new HashMap<>();
@@ -154,12 +154,14 @@
         Expression follows =
             model.newExpression(d.function() + " follows " + number).upper(number == 1 ? 1 : 0);
         List<Variable> mine = new ArrayList<>();
-        for (int place = 0; place < Math.min(order.size(), Placement.places(number)); place++) {
+        for (int place = 0;
+            place < Math.min(order.size(), Placement.candidatePositions(number));
+            place++) {
           String host = order.get(place).name();
           Variable v = model
               .newVariable(d.function() + " " + number + " at " + place)
               .binary()
-              .weight(Placement.net(d, number, place, PRICES, STRETCH, KEEP));
+              .weight(Placement.netBenefit(d, number, place, PRICES, STRETCH, KEEP));
           one.set(v, 1);
           orders.set(v, 1);
           memory.get(host).set(v, d.memoryMb());
@@ -198,7 +200,7 @@
       double forecast = (System.nanoTime() - began) / 1e6;
       forecastMillis.add(forecast);
       for (int runners : new int[] {12, 80, 240}) {
-        List<Host> hosts = hosts(runners, 4_096, 24);
+        List<WorkerCapacity> hosts = hosts(runners, 4_096, 24);
         List<Demand> demands = demands(functions, 1, new Random(2));
         double least = Double.MAX_VALUE;
         int placed = 0;
--- a/decisions/src/main/java/gorseladder/placement/Worth.java
+++ b/decisions/src/main/java/gorseladder/placement/BenefitModel.java
@@ -10,7 +10,7 @@
  * memory is paid from its order on, for the part of the hold in which it would not have stood anyway, and to the end of
  * an unused keep-alive.
  */
-final class Worth {
+final class BenefitModel {
   /** Chances below this end a sum. */
   private static final double NEGLIGIBLE = 1e-9;
   /**
@@ -34,14 +34,14 @@
    * @param stretch seconds planned for
    * @param keepAlive seconds that an idle copy stays
    */
-  Worth(Prices prices, double stretch, double keepAlive) {
+  BenefitModel(Prices prices, double stretch, double keepAlive) {
     this.prices = prices;
     this.stretch = stretch;
     this.keepAlive = keepAlive;
   }
 
   /** Worth of a copy and how long to hold it, in seconds. */
-  record Copy(double gain, double cost, double hold) {
+  record Copy(double gain, double cost, double holdSeconds) {
     double net() {
       return gain - cost;
     }
@@ -63,9 +63,9 @@
     double needed = rate * atLeast(taken, rate * d.workSeconds());
     double before = d.callsBefore() / stretch;
     double neededBefore = before * atLeast(taken, before * d.workSeconds());
-    double used = d.trust() * (1 - none(needed * hold, d.scatter()));
-    double later = Math.max(0, d.trust() * needed * hold - used);
-    double agedOut = Math.exp(-d.trust() * needed * keepAlive);
+    double used = d.occurrenceFactor() * (1 - none(needed * hold, d.dispersion()));
+    double later = Math.max(0, d.occurrenceFactor() * needed * hold - used);
+    double agedOut = Math.exp(-d.occurrenceFactor() * needed * keepAlive);
     double waitToo = Math.min(d.lanes(), needed * d.loadSeconds());
     double spared = Math.exp(-neededBefore * keepAlive) * used + agedOut * later;
     double gain = spared * d.loadSeconds() * (1 + waitToo / 2);
@@ -83,10 +83,10 @@
   /**
    * The chance of no call where so many are expected: a Poisson's, or a negative binomial's where they scatter more.
    */
-  private static double none(double mean, double scatter) {
-    return scatter <= 1 + NEGLIGIBLE
+  private static double none(double mean, double dispersion) {
+    return dispersion <= 1 + NEGLIGIBLE
         ? Math.exp(-mean)
-        : Math.exp(-mean * Math.log(scatter) / (scatter - 1));
+        : Math.exp(-mean * Math.log(dispersion) / (dispersion - 1));
   }
 
   /** The chance of so many or more where a Poisson's mean is expected. */
--- a/decisions/src/main/java/gorseladder/placement/Trust.java
+++ b/decisions/src/main/java/gorseladder/placement/ForecastConfidence.java
@@ -14,7 +14,7 @@
  * calls load as they would without a plan. It could harm a function whose calls come all at once after long silence;
  * its trust comes back after some right guesses. Not thread safe.
  */
-public final class Trust {
+public final class ForecastConfidence {
   /** Expected events that stand behind a trust of 1. */
   private static final double PRIOR = 1;
   /** Part of the weight kept at each stretch with something said. */
@@ -33,7 +33,7 @@
   private final Map<String, Record> records = new HashMap<>();
 
   /** Notes what was said for a stretch and what came: {@code calls} expected, and the chance of any call. */
-  public void note(String function, double calls, double any, double came) {
+  public void record(String function, double calls, double any, double came) {
     if (calls <= 0) {
       return;
     }
@@ -48,7 +48,7 @@
   }
 
   /** Part of a function's expected calls that is believed, above 0 and at most 1. */
-  public double calls(String function) {
+  public double callsFactor(String function) {
     Record r = records.get(function);
     return r == null ? 1 : Math.min(1, (r.came + PRIOR) / (r.said + PRIOR));
   }
@@ -57,7 +57,7 @@
    * Part of the stretches in which calls of a function are expected that is believed to bring any, above 0 and at most
    * 1.
    */
-  public double any(String function) {
+  public double occurrenceFactor(String function) {
     Record r = records.get(function);
     return r == null ? 1 : Math.min(1, (r.cameAny + PRIOR) / (r.saidAny + PRIOR));
   }
--- a/decisions/src/main/java/gorseladder/placement/Placement.java
+++ b/decisions/src/main/java/gorseladder/placement/Placement.java
@@ -38,47 +38,48 @@
    *
    * @param number of this copy of its function, from 1
    * @param gain expected seconds of waiting saved; {@code cost} what that costs, in the same unit
-   * @param hold seconds for which it is held without a call
+   * @param holdSeconds seconds for which it is held without a call
    */
-  public record Placed(
-      String function, String host, int number, double gain, double cost, double hold) {
+  public record PlacedCopy(
+      String function, String worker, int number, double gain, double cost, double holdSeconds) {
     /** What it brings. */
-    public double net() {
+    public double netBenefit() {
       return gain - cost;
     }
   }
 
-  private static final Comparator<Placed> LEAST_FIRST = Comparator.comparingDouble(Placed::net)
-      .thenComparing(Placed::function)
-      .thenComparingInt(Placed::number)
-      .thenComparing(Placed::host);
+  private static final Comparator<PlacedCopy> LEAST_FIRST = Comparator.comparingDouble(
+          PlacedCopy::netBenefit)
+      .thenComparing(PlacedCopy::function)
+      .thenComparingInt(PlacedCopy::number)
+      .thenComparing(PlacedCopy::worker);
 
-  private record Candidate(Demand demand, int number, Worth.Copy worth, double density) {}
+  private record Candidate(Demand demand, int number, BenefitModel.Copy worth, double density) {}
 
-  private final List<Host> hosts;
+  private final List<WorkerCapacity> hosts;
   private final Limits limits;
-  private final Worth worth;
+  private final BenefitModel worth;
   private final double[] free;
   private final int[] loads;
   private final double memory;
   private final Map<String, int[]> nearest = new HashMap<>();
   private final Map<String, Demand> demands = new HashMap<>();
   /** What is placed, the least first; and the same by worker. */
-  private final TreeSet<Placed> placed = new TreeSet<>(LEAST_FIRST);
+  private final TreeSet<PlacedCopy> placed = new TreeSet<>(LEAST_FIRST);
 
-  private final List<TreeSet<Placed>> byHost = new ArrayList<>();
+  private final List<TreeSet<PlacedCopy>> byHost = new ArrayList<>();
   /** Copies placed of each function. */
   private final Map<String, Integer> copies = new HashMap<>();
 
   private final Map<String, Integer> index = new HashMap<>();
   private double gigabytes;
 
-  private Placement(List<Host> hosts, Limits limits, Worth worth) {
+  private Placement(List<WorkerCapacity> hosts, Limits limits, BenefitModel worth) {
     this.hosts = List.copyOf(hosts);
     this.limits = limits;
     this.worth = worth;
-    free = hosts.stream().mapToDouble(Host::freeMb).toArray();
-    loads = hosts.stream().mapToInt(Host::loads).toArray();
+    free = hosts.stream().mapToDouble(WorkerCapacity::freeMb).toArray();
+    loads = hosts.stream().mapToInt(WorkerCapacity::maxLoads).toArray();
     memory = Math.max(1, Arrays.stream(free).sum());
     for (int i = 0; i < hosts.size(); i++) {
       index.put(hosts.get(i).name(), i);
@@ -92,14 +93,15 @@
    * @param stretch its length in seconds
    * @param keepAlive seconds that an idle copy stays
    */
-  public static List<Placed> choose(
+  public static List<PlacedCopy> choose(
       List<Demand> demands,
-      List<Host> hosts,
+      List<WorkerCapacity> hosts,
       Limits limits,
       Prices prices,
       double stretch,
       double keepAlive) {
-    Placement placement = new Placement(hosts, limits, new Worth(prices, stretch, keepAlive));
+    Placement placement =
+        new Placement(hosts, limits, new BenefitModel(prices, stretch, keepAlive));
     List<Candidate> left = placement.greedy(demands);
     placement.improve(left);
     return List.copyOf(placement.placed.descendingSet());
@@ -109,14 +111,14 @@
    * What the copy of this number (from 1) brings at a place of the function's shared order (from 0), in seconds of
    * waiting; for whoever solves the same problem another way.
    */
-  public static double net(
+  public static double netBenefit(
       Demand d, int number, int place, Prices prices, double stretch, double keepAlive) {
-    Worth.Copy copy = new Worth(prices, stretch, keepAlive).of(d, number);
+    BenefitModel.Copy copy = new BenefitModel(prices, stretch, keepAlive).of(d, number);
     return copy.gain() * kept(number, place) - copy.cost();
   }
 
   /** Places of the shared order at which the copy of this number may stand. */
-  public static int places(int number) {
+  public static int candidatePositions(int number) {
     return number - 1 + MOST_PLACES;
   }
 
@@ -125,7 +127,7 @@
   }
 
   private Candidate candidate(Demand d, int number) {
-    Worth.Copy copy = worth.of(d, number);
+    BenefitModel.Copy copy = worth.of(d, number);
     // Orders and memory are what copies compete for; each counts by the part of the whole it
     // takes.
     double takes = d.memoryMb() / memory + 1.0 / Math.max(1, limits.orders());
@@ -180,15 +182,15 @@
     return placed.size() < limits.orders() && gigabytes + d.memoryMb() / 1024 <= limits.gigabytes();
   }
 
-  private Placed at(Candidate c, int place) {
+  private PlacedCopy at(Candidate c, int place) {
     double gain = c.worth().gain() * kept(c.number(), place);
-    return new Placed(
+    return new PlacedCopy(
         c.demand().function(),
         hosts.get(nearest(c.demand().function())[place]).name(),
         c.number(),
         gain,
         c.worth().cost(),
-        c.worth().hold());
+        c.worth().holdSeconds());
   }
 
   private boolean standsAt(String function, int host) {
@@ -200,13 +202,13 @@
       return false;
     }
     int[] order = nearest(c.demand().function());
-    for (int place = 0; place < Math.min(order.length, places(c.number())); place++) {
+    for (int place = 0; place < Math.min(order.length, candidatePositions(c.number())); place++) {
       int host = order[place];
       if (free[host] >= c.demand().memoryMb()
           && loads[host] > 0
           && (c.number() == 1 || !standsAt(c.demand().function(), host))) {
-        Placed p = at(c, place);
-        if (p.net() > 0) {
+        PlacedCopy p = at(c, place);
+        if (p.netBenefit() > 0) {
           take(p);
           return true;
         }
@@ -216,9 +218,9 @@
     return false;
   }
 
-  private void take(Placed p) {
+  private void take(PlacedCopy p) {
     double mb = demands.get(p.function()).memoryMb();
-    int host = index.get(p.host());
+    int host = index.get(p.worker());
     free[host] -= mb;
     loads[host]--;
     gigabytes += mb / 1024;
@@ -227,9 +229,9 @@
     copies.merge(p.function(), 1, Integer::sum);
   }
 
-  private void leave(Placed p) {
+  private void leave(PlacedCopy p) {
     double mb = demands.get(p.function()).memoryMb();
-    int host = index.get(p.host());
+    int host = index.get(p.worker());
     free[host] += mb;
     loads[host]++;
     gigabytes -= mb / 1024;
@@ -247,7 +249,7 @@
     for (Candidate c : left.subList(0, Math.min(left.size(), 4 * MOST_PLACES * MOST_COPIES))) {
       Demand d = c.demand();
       int[] order = nearest(d.function());
-      for (int place = 0; place < Math.min(order.length, places(c.number())); place++) {
+      for (int place = 0; place < Math.min(order.length, candidatePositions(c.number())); place++) {
         if (!standsAt(d.function(), order[place]) && swap(at(c, place), d, order[place])) {
           break;
         }
@@ -255,25 +257,29 @@
     }
   }
 
-  private boolean swap(Placed fresh, Demand d, int host) {
+  private boolean swap(PlacedCopy fresh, Demand d, int host) {
     // Where all orders are given out nothing can come for less than the least of them.
     boolean ordersBind = placed.size() >= limits.orders();
-    if (fresh.net() <= 0
-        || ordersBind && (placed.isEmpty() || fresh.net() <= placed.first().net())
+    if (fresh.netBenefit() <= 0
+        || ordersBind
+            && (placed.isEmpty() || fresh.netBenefit() <= placed.first().netBenefit())
         || d.memoryMb() > hosts.get(host).freeMb()
         || copies.getOrDefault(d.function(), 0) != fresh.number() - 1) {
       return false;
     }
-    List<Placed> out = new ArrayList<>();
+    List<PlacedCopy> out = new ArrayList<>();
     double lost = makeWay(
         byHost.get(host),
         d,
         out,
         () -> free[host] >= d.memoryMb() && loads[host] > 0,
-        fresh.net(),
+        fresh.netBenefit(),
         0);
-    lost = makeWay(placed, d, out, () -> withinLimits(d), fresh.net(), lost);
-    if (withinLimits(d) && free[host] >= d.memoryMb() && loads[host] > 0 && lost < fresh.net()) {
+    lost = makeWay(placed, d, out, () -> withinLimits(d), fresh.netBenefit(), lost);
+    if (withinLimits(d)
+        && free[host] >= d.memoryMb()
+        && loads[host] > 0
+        && lost < fresh.netBenefit()) {
       take(fresh);
       return true;
     }
@@ -286,22 +292,22 @@
    * brings.
    */
   private double makeWay(
-      TreeSet<Placed> from,
+      TreeSet<PlacedCopy> from,
       Demand d,
-      List<Placed> out,
+      List<PlacedCopy> out,
       BooleanSupplier room,
       double most,
       double lostSoFar) {
     double lost = lostSoFar;
-    for (Placed p = from.isEmpty() ? null : from.first(); p != null && !room.getAsBoolean(); ) {
-      Placed next = from.higher(p);
-      if (lost + p.net() >= most) {
+    for (PlacedCopy p = from.isEmpty() ? null : from.first(); p != null && !room.getAsBoolean(); ) {
+      PlacedCopy next = from.higher(p);
+      if (lost + p.netBenefit() >= most) {
         break;
       }
       if (!p.function().equals(d.function()) && p.number() == copies.get(p.function())) {
         leave(p);
         out.add(p);
-        lost += p.net();
+        lost += p.netBenefit();
       }
       p = next;
     }
--- a/decisions/src/main/java/gorseladder/placement/PlanMaker.java
+++ b/decisions/src/main/java/gorseladder/placement/PlanMaker.java
@@ -3,7 +3,7 @@
 import gorseladder.forecast.Forecasts;
 import gorseladder.forecast.SlotCalendar;
 import gorseladder.placement.Placement.Limits;
-import gorseladder.placement.Placement.Placed;
+import gorseladder.placement.Placement.PlacedCopy;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -32,44 +32,51 @@
   private static final int LOADS_PER_HOST = 24;
 
   /** Foresees a function's calls in a slot; {@link Forecasts#forecast} in a planner. */
-  public interface Foresight {
+  public interface ForecastSource {
     Forecasts.Forecast forecast(String function, long slot);
   }
 
   /**
    * What a planner is told at its start.
    *
-   * @param slot seconds of a slot
-   * @param keepAlive seconds that an idle copy stays
-   * @param archive loads a second that the archive serves well
+   * @param slotSeconds seconds of a slot
+   * @param keepAliveSeconds seconds that an idle copy stays
+   * @param archiveLoadsPerSecond loads a second that the archive serves well
    * @param ordersPerPlan what the users' ration leaves for one plan over all dispatchers
    */
   public record Settings(
-      double slot, double keepAlive, double archive, int ordersPerPlan, Prices prices) {
+      double slotSeconds,
+      double keepAliveSeconds,
+      double archiveLoadsPerSecond,
+      int ordersPerPlan,
+      Prices prices) {
     public Settings {
-      if (!(slot > 0) || !(keepAlive > 0) || !(archive > 0) || ordersPerPlan < 0) {
+      if (!(slotSeconds > 0)
+          || !(keepAliveSeconds > 0)
+          || !(archiveLoadsPerSecond > 0)
+          || ordersPerPlan < 0) {
         throw new IllegalArgumentException("impossible settings of a planner");
       }
     }
   }
 
   /** What a function's copies need and take. */
-  public record Facts(double memoryMb, int lanes, double workSeconds, double loadSeconds) {}
+  public record CopyProfile(double memoryMb, int lanes, double workSeconds, double loadSeconds) {}
 
   /**
    * A copy to order.
    *
    * @param from seconds from the beginning of the slot, below 0 as it must stand by then; {@code until} likewise
    */
-  public record Order(Placed placed, Facts facts, double from, double until) {}
+  public record Order(PlacedCopy placed, CopyProfile profile, double from, double until) {}
 
   private record Said(double calls, double any) {}
 
   private final Settings settings;
   private final Forecasts forecasts;
-  private final Foresight foresight;
-  private final Trust trust = new Trust();
-  private final Map<String, Facts> facts = new HashMap<>();
+  private final ForecastSource foresight;
+  private final ForecastConfidence trust = new ForecastConfidence();
+  private final Map<String, CopyProfile> facts = new HashMap<>();
   /** What was said, by slot, until the slot is observed. */
   private final TreeMap<Long, Map<String, Said>> said = new TreeMap<>();
 
@@ -79,7 +86,7 @@
   }
 
   /** A maker with another foresight than its own, so that bad ones can be tried. */
-  public PlanMaker(SlotCalendar slots, Settings settings, Foresight other) {
+  public PlanMaker(SlotCalendar slots, Settings settings, ForecastSource other) {
     this.settings = settings;
     this.forecasts = new Forecasts(slots, 1 << 14);
     this.foresight = other == null ? forecasts::forecast : other;
@@ -91,21 +98,21 @@
   }
 
   /** Seconds before a slot from which its plan's orders may begin; a plan is made by then. */
-  public double lead() {
-    return (LEAD + 1) * settings.keepAlive();
+  public double leadSeconds() {
+    return (LEAD + 1) * settings.keepAliveSeconds();
   }
 
   /** How far the forecasts of functions are believed now. */
-  public Trust trust() {
+  public ForecastConfidence confidence() {
     return trust;
   }
 
   /** What was seen of a function's copies. */
-  public void learn(String function, Facts seen) {
+  public void learn(String function, CopyProfile seen) {
     facts.merge(
         function,
         seen,
-        (a, b) -> new Facts(
+        (a, b) -> new CopyProfile(
             b.memoryMb(),
             b.lanes(),
             mix(a.workSeconds(), b.workSeconds()),
@@ -125,7 +132,7 @@
       return;
     }
     said.getOrDefault(slot, Map.of())
-        .forEach((f, s) -> trust.note(f, s.calls(), s.any(), calls.getOrDefault(f, 0)));
+        .forEach((f, s) -> trust.record(f, s.calls(), s.any(), calls.getOrDefault(f, 0)));
     said.headMap(slot, true).clear();
     HashSet<String> known = new HashSet<>(forecasts.functions());
     trust.keepOnly(known);
@@ -144,11 +151,12 @@
    * @param now calls of the slot before it so far, by function; empty where they are not known
    * @param part of that slot that they cover, above 0 and at most 1
    */
-  public List<Order> plan(long slot, Map<String, Integer> now, double part, List<Host> hosts) {
+  public List<Order> plan(
+      long slot, Map<String, Integer> now, double part, List<WorkerCapacity> hosts) {
     List<Demand> demands = new ArrayList<>();
     Map<String, Said> saying = new HashMap<>();
     for (String function : forecasts.functions()) {
-      Facts f = facts.get(function);
+      CopyProfile f = facts.get(function);
       Forecasts.Forecast e = foresight.forecast(function, slot);
       if (f == null || !(e.mean() > 0)) {
         continue;
@@ -158,36 +166,37 @@
       saying.put(function, new Said(e.mean(), 1 - Math.exp(-e.mean())));
       demands.add(new Demand(
           function,
-          e.mean() * trust.calls(function),
+          e.mean() * trust.callsFactor(function),
           scatter,
           now.getOrDefault(function, 0) / part,
-          trust.any(function),
+          trust.occurrenceFactor(function),
           f.memoryMb(),
           f.lanes(),
           f.workSeconds(),
           f.loadSeconds()));
     }
     said.put(slot, saying);
-    double lead = LEAD * settings.keepAlive();
-    double pace = ARCHIVE_PART * settings.archive();
+    double lead = LEAD * settings.keepAliveSeconds();
+    double pace = ARCHIVE_PART * settings.archiveLoadsPerSecond();
     int orders = (int) Math.min(settings.ordersPerPlan(), Math.floor(lead * pace));
-    List<Host> able = hosts.stream()
-        .map(h -> new Host(h.name(), h.freeMb(), Math.min(h.loads(), LOADS_PER_HOST), h.weight()))
+    List<WorkerCapacity> able = hosts.stream()
+        .map(h -> new WorkerCapacity(
+            h.name(), h.freeMb(), Math.min(h.maxLoads(), LOADS_PER_HOST), h.weight()))
         .toList();
-    List<Placed> placed = orders == 0
+    List<PlacedCopy> placed = orders == 0
         ? List.of()
         : Placement.choose(
             demands,
             able,
             new Limits(orders, Double.MAX_VALUE),
             settings.prices(),
-            settings.slot(),
-            settings.keepAlive());
+            settings.slotSeconds(),
+            settings.keepAliveSeconds());
     List<Order> all = new ArrayList<>();
     for (int i = 0; i < placed.size(); i++) {
-      Facts f = facts.get(placed.get(i).function());
+      CopyProfile f = facts.get(placed.get(i).function());
       all.add(new Order(
-          placed.get(i), f, -f.loadSeconds() - (i + 1) / pace, placed.get(i).hold()));
+          placed.get(i), f, -f.loadSeconds() - (i + 1) / pace, placed.get(i).holdSeconds()));
     }
     return all;
   }
--- a/decisions/src/main/java/gorseladder/placement/Schedule.java
+++ b/decisions/src/main/java/gorseladder/placement/Schedule.java
@@ -12,25 +12,25 @@
  */
 public final class Schedule {
   /** A hold with its times. */
-  public record Timed(Order order, double from, double until) {}
+  public record ScheduledHold(Order order, double from, double until) {}
 
   private record Key(String host, String function) {}
 
-  private Map<Key, Timed> current = new LinkedHashMap<>();
+  private Map<Key, ScheduledHold> current = new LinkedHashMap<>();
 
   /**
    * Adds the orders for a slot that begins then, and returns all holds that are not over; what is over by now is
    * dropped.
    */
-  public List<Timed> add(double slotBegins, List<Order> orders, double now) {
-    Map<Key, Timed> next = new LinkedHashMap<>();
+  public List<ScheduledHold> add(double slotBegins, List<Order> orders, double now) {
+    Map<Key, ScheduledHold> next = new LinkedHashMap<>();
     for (Order o : orders) {
-      Key key = new Key(o.placed().host(), o.placed().function());
-      Timed before = current.remove(key);
+      Key key = new Key(o.placed().worker(), o.placed().function());
+      ScheduledHold before = current.remove(key);
       boolean goesOn =
           before != null && before.until() > now && before.until() >= slotBegins + o.from();
       double from = goesOn ? before.from() : slotBegins + o.from();
-      next.put(key, new Timed(o, from, slotBegins + o.until()));
+      next.put(key, new ScheduledHold(o, from, slotBegins + o.until()));
     }
     current.forEach((key, timed) -> {
       if (timed.until() > now) {
--- a/decisions/src/test/java/gorseladder/placement/PlacementTest.java
+++ b/decisions/src/test/java/gorseladder/placement/PlacementTest.java
@@ -5,7 +5,7 @@
 
 import gorseladder.order.SharedOrder;
 import gorseladder.placement.Placement.Limits;
-import gorseladder.placement.Placement.Placed;
+import gorseladder.placement.Placement.PlacedCopy;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -25,30 +25,31 @@
     return new Demand(function, calls, 1, before, 1, 500, 2, 0.2, 0.8);
   }
 
-  private static List<Host> hosts(int count, double freeMb) {
-    List<Host> hosts = new ArrayList<>();
+  private static List<WorkerCapacity> hosts(int count, double freeMb) {
+    List<WorkerCapacity> hosts = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      hosts.add(new Host("h" + i, freeMb, 4, 1));
+      hosts.add(new WorkerCapacity("h" + i, freeMb, 4, 1));
     }
     return hosts;
   }
 
-  private static List<Placed> choose(List<Demand> demands, List<Host> hosts, int orders) {
+  private static List<PlacedCopy> choose(
+      List<Demand> demands, List<WorkerCapacity> hosts, int orders) {
     return Placement.choose(demands, hosts, new Limits(orders, 1e9), PRICES, STRETCH, KEEP);
   }
 
   @Test
   void aCopyGoesWhereDispatchersLookFirst() {
-    List<Host> hosts = hosts(9, 10_000);
+    List<WorkerCapacity> hosts = hosts(9, 10_000);
     for (int i = 0; i < 20; i++) {
       String f = "f" + i;
-      Placed placed = choose(List.of(demand(f, 40, 0)), hosts, 10).get(0);
+      PlacedCopy placed = choose(List.of(demand(f, 40, 0)), hosts, 10).get(0);
       assertEquals(
           hosts.stream()
-              .map(Host::name)
+              .map(WorkerCapacity::name)
               .min(Comparator.comparingDouble(h -> SharedOrder.key(f, h, 1)))
               .orElseThrow(),
-          placed.host());
+          placed.worker());
     }
   }
 
@@ -64,7 +65,7 @@
     assertEquals(
         List.of("wakes"),
         choose(demands, hosts(20, 10_000), 500).stream()
-            .map(Placed::function)
+            .map(PlacedCopy::function)
             .distinct()
             .toList());
   }
@@ -81,11 +82,13 @@
   /** Work at once beyond a copy's lanes asks for further copies, each at a worker of its own. */
   @Test
   void aSurgeGetsCopiesForItsLanes() {
-    List<Placed> placed = choose(List.of(demand("surge", 40 * STRETCH, 0)), hosts(12, 10_000), 100);
+    List<PlacedCopy> placed =
+        choose(List.of(demand("surge", 40 * STRETCH, 0)), hosts(12, 10_000), 100);
     assertTrue(
         placed.size() >= 4 && placed.size() <= 12,
         placed.size() + " copies for 8 calls at once in the mean, in lanes of 2");
-    assertEquals(placed.size(), placed.stream().map(Placed::host).distinct().count());
+    assertEquals(
+        placed.size(), placed.stream().map(PlacedCopy::worker).distinct().count());
   }
 
   /** Drawn fleets: no limit is passed, nothing is placed at a loss, nothing twice. */
@@ -94,10 +97,10 @@
     Random random = new Random(5);
     int bound = 0;
     for (int round = 0; round < 300; round++) {
-      List<Host> hosts = new ArrayList<>();
+      List<WorkerCapacity> hosts = new ArrayList<>();
       for (int i = 0; i < 1 + random.nextInt(6); i++) {
-        hosts.add(
-            new Host("h" + i, random.nextInt(3_000), random.nextInt(4), 0.5 + random.nextDouble()));
+        hosts.add(new WorkerCapacity(
+            "h" + i, random.nextInt(3_000), random.nextInt(4), 0.5 + random.nextDouble()));
       }
       List<Demand> demands = new ArrayList<>();
       Map<String, Demand> byName = new HashMap<>();
@@ -116,7 +119,7 @@
         byName.put(d.function(), d);
       }
       Limits limits = new Limits(random.nextInt(20), 1 + random.nextInt(10));
-      List<Placed> placed = Placement.choose(demands, hosts, limits, PRICES, STRETCH, KEEP);
+      List<PlacedCopy> placed = Placement.choose(demands, hosts, limits, PRICES, STRETCH, KEEP);
       assertTrue(placed.size() <= limits.orders());
       assertTrue(placed.stream()
                   .mapToDouble(p -> byName.get(p.function()).memoryMb())
@@ -124,21 +127,21 @@
               / 1024
           <= limits.gigabytes() + 1e-9);
       Set<String> once = new HashSet<>();
-      for (Placed p : placed) {
-        assertTrue(p.net() > 0);
-        assertTrue(once.add(p.function() + " at " + p.host()));
+      for (PlacedCopy p : placed) {
+        assertTrue(p.netBenefit() > 0);
+        assertTrue(once.add(p.function() + " at " + p.worker()));
         assertTrue(p.number() == 1
             || placed.stream()
                 .anyMatch(o -> o.function().equals(p.function()) && o.number() == p.number() - 1));
       }
-      for (Host h : hosts) {
-        List<Placed> here =
-            placed.stream().filter(p -> p.host().equals(h.name())).toList();
-        assertTrue(here.size() <= h.loads());
+      for (WorkerCapacity h : hosts) {
+        List<PlacedCopy> here =
+            placed.stream().filter(p -> p.worker().equals(h.name())).toList();
+        assertTrue(here.size() <= h.maxLoads());
         assertTrue(
             here.stream().mapToDouble(p -> byName.get(p.function()).memoryMb()).sum()
                 <= h.freeMb() + 1e-9);
-        bound += here.size() == h.loads() ? 1 : 0;
+        bound += here.size() == h.maxLoads() ? 1 : 0;
       }
     }
     assertTrue(bound > 100, "limits that never bind show nothing: " + bound);
@@ -146,31 +149,35 @@
 
   @Test
   void trustIsLostByWrongForecastsAndEarnedBack() {
-    Trust trust = new Trust();
-    assertEquals(1, trust.calls("new"));
+    ForecastConfidence trust = new ForecastConfidence();
+    assertEquals(1, trust.callsFactor("new"));
     for (int i = 0; i < 30; i++) {
-      trust.note("tenfold", 100, 1, 10);
-      trust.note("right", 100, 1, 90 + i % 20);
-      trust.note("tenth", 10, 1, 100);
-      trust.note("stays away", 5, 0.99, 0);
+      trust.record("tenfold", 100, 1, 10);
+      trust.record("right", 100, 1, 90 + i % 20);
+      trust.record("tenth", 10, 1, 100);
+      trust.record("stays away", 5, 0.99, 0);
     }
-    assertTrue(trust.calls("tenfold") < 0.2, "" + trust.calls("tenfold"));
-    assertTrue(trust.calls("right") > 0.9 && trust.any("right") > 0.99, "" + trust.calls("right"));
-    assertEquals(1, trust.calls("tenth"));
-    assertTrue(trust.any("stays away") < 0.15, "" + trust.any("stays away"));
+    assertTrue(trust.callsFactor("tenfold") < 0.2, "" + trust.callsFactor("tenfold"));
+    assertTrue(
+        trust.callsFactor("right") > 0.9 && trust.occurrenceFactor("right") > 0.99,
+        "" + trust.callsFactor("right"));
+    assertEquals(1, trust.callsFactor("tenth"));
+    assertTrue(
+        trust.occurrenceFactor("stays away") < 0.15, "" + trust.occurrenceFactor("stays away"));
     for (int i = 0; i < 40; i++) {
-      trust.note("stays away", 5, 0.99, 5);
+      trust.record("stays away", 5, 0.99, 5);
     }
-    assertTrue(trust.any("stays away") > 0.8, "" + trust.any("stays away"));
+    assertTrue(
+        trust.occurrenceFactor("stays away") > 0.8, "" + trust.occurrenceFactor("stays away"));
     trust.keepOnly(Set.of("right"));
-    assertEquals(1, trust.calls("tenfold"));
+    assertEquals(1, trust.callsFactor("tenfold"));
   }
 
   @Test
   void chancesAgreeWithSums() {
-    assertEquals(1 - Math.exp(-2), Worth.atLeast(1, 2), 1e-9);
-    assertEquals(1 - Math.exp(-2) * (1 + 2 + 2), Worth.atLeast(3, 2), 1e-9);
-    assertEquals(1, Worth.atLeast(3, 500), 1e-6);
-    assertEquals(0, Worth.atLeast(40, 0.1), 1e-9);
+    assertEquals(1 - Math.exp(-2), BenefitModel.atLeast(1, 2), 1e-9);
+    assertEquals(1 - Math.exp(-2) * (1 + 2 + 2), BenefitModel.atLeast(3, 2), 1e-9);
+    assertEquals(1, BenefitModel.atLeast(3, 500), 1e-6);
+    assertEquals(0, BenefitModel.atLeast(40, 0.1), 1e-9);
   }
 }
--- a/decisions/src/test/java/gorseladder/placement/PlanMakerTest.java
+++ b/decisions/src/test/java/gorseladder/placement/PlanMakerTest.java
@@ -6,7 +6,7 @@
 
 import gorseladder.forecast.Forecasts.Forecast;
 import gorseladder.forecast.SlotCalendar;
-import gorseladder.placement.PlanMaker.Facts;
+import gorseladder.placement.PlanMaker.CopyProfile;
 import gorseladder.placement.PlanMaker.Order;
 import gorseladder.placement.PlanMaker.Settings;
 import java.util.List;
@@ -18,8 +18,9 @@
   private static final SlotCalendar SLOTS = new SlotCalendar(96, 0, Map.of());
   private static final Settings SETTINGS =
       new Settings(900, 10, 20, 50, new Prices(0.05, 0.002, 0));
-  private static final List<Host> HOSTS =
-      IntStream.range(0, 6).mapToObj(i -> new Host("h" + i, 4_000, 9, 1)).toList();
+  private static final List<WorkerCapacity> HOSTS = IntStream.range(0, 6)
+      .mapToObj(i -> new WorkerCapacity("h" + i, 4_000, 9, 1))
+      .toList();
 
   /** Office hours: silent until slot 32, then busy until 72. */
   private static int office(long slot) {
@@ -28,7 +29,7 @@
 
   private static PlanMaker taught(int days) {
     PlanMaker maker = new PlanMaker(SLOTS, SETTINGS);
-    maker.learn("office", new Facts(500, 2, 0.2, 0.8));
+    maker.learn("office", new CopyProfile(500, 2, 0.2, 0.8));
     for (long slot = 0; slot < days * 96L + 32; slot++) {
       maker.plan(slot, Map.of("office", office(slot - 1)), 1, HOSTS);
       maker.observe(slot, Map.of("office", office(slot)));
@@ -50,7 +51,7 @@
     for (long slot = 9 * 96 + 33; slot < 9 * 96 + 72; slot++) {
       List<Order> warm = maker.plan(slot, Map.of("office", 60), 1, HOSTS);
       assertTrue(warm.size() <= 1
-          && (warm.isEmpty() || warm.get(0).placed().net() < o.placed().net()));
+          && (warm.isEmpty() || warm.get(0).placed().netBenefit() < o.placed().netBenefit()));
       maker.observe(slot, Map.of("office", 60));
     }
   }
@@ -77,7 +78,7 @@
           : made[0].forecasts().forecast(f, slot);
     });
     PlanMaker maker = made[0];
-    maker.learn("f", new Facts(500, 2, 0.2, 0.8));
+    maker.learn("f", new CopyProfile(500, 2, 0.2, 0.8));
     int early = 0;
     int late = 0;
     for (long slot = 0; slot < 200; slot++) {
@@ -89,14 +90,14 @@
     }
     assertTrue(early > 0, "the wrong forecast was acted on at first");
     assertEquals(0, late);
-    double lost = maker.trust().any("f");
+    double lost = maker.confidence().occurrenceFactor("f");
     wrong[0] = false;
     for (long slot = 200; slot < 400; slot++) {
       maker.plan(slot, Map.of("f", slot % 2 == 1 ? 6 : 0), 1, HOSTS);
       maker.observe(slot, Map.of("f", slot % 2 == 0 ? 6 : 0));
     }
     assertTrue(
-        maker.trust().any("f") > 0.7 && lost < 0.2,
-        lost + " then " + maker.trust().any("f"));
+        maker.confidence().occurrenceFactor("f") > 0.7 && lost < 0.2,
+        lost + " then " + maker.confidence().occurrenceFactor("f"));
   }
 }
--- a/emulator/src/main/java/gorseladder/emulator/EmulatedFleet.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedFleet.java
@@ -19,7 +19,7 @@
 import gorseladder.emulator.proto.Emulation;
 import gorseladder.emulator.proto.Surge;
 import gorseladder.emulator.proto.Trouble;
-import gorseladder.placement.Host;
+import gorseladder.placement.WorkerCapacity;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -257,9 +257,9 @@
   }
 
   private void makePlan(long forSlot) {
-    List<Host> hosts = list.values().stream()
+    List<WorkerCapacity> hosts = list.values().stream()
         .filter(w -> w.phase() == Phase.RUNNING)
-        .map(w -> new Host(w.worker(), e.getAhead().getMemoryMb(), Integer.MAX_VALUE, 1))
+        .map(w -> new WorkerCapacity(w.worker(), e.getAhead().getMemoryMb(), Integer.MAX_VALUE, 1))
         .toList();
     List<Plan> plans = planner.plan(forSlot, agenda.now(), hosts, edges.size());
     for (int i = 0; i < plans.size(); i++) {
--- a/emulator/src/main/java/gorseladder/emulator/EmulatedPlanner.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedPlanner.java
@@ -7,10 +7,10 @@
 import gorseladder.emulator.proto.Surge;
 import gorseladder.forecast.Forecasts;
 import gorseladder.forecast.SlotCalendar;
-import gorseladder.placement.Host;
 import gorseladder.placement.PlanMaker;
 import gorseladder.placement.Prices;
 import gorseladder.placement.Schedule;
+import gorseladder.placement.WorkerCapacity;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -88,7 +88,7 @@
     for (Map<String, FunctionStats.Snapshot> edge : seen) {
       edge.forEach((f, s) -> maker.learn(
           f,
-          new PlanMaker.Facts(
+          new PlanMaker.CopyProfile(
               s.memoryMb(), s.lanes(), s.workMicros() / 1e6, s.loadMicros() / 1e6)));
     }
     if (!away((slot + 1) * slotSeconds)) {
@@ -99,34 +99,34 @@
 
   /** Seconds before a slot at which its plan is made. */
   double lead() {
-    return maker.lead();
+    return maker.leadSeconds();
   }
 
   /** Plans for a slot, one for each edge; none while it is away. The clock of the edges is that of the emulation. */
-  List<Plan> plan(long slot, long now, List<Host> hosts, int edges) {
+  List<Plan> plan(long slot, long now, List<WorkerCapacity> hosts, int edges) {
     if (away(now / 1e6)) {
       return List.of();
     }
     List<PlanMaker.Order> orders =
         maker.plan(slot, counts, (slotSeconds - lead()) / slotSeconds, hosts);
-    List<Schedule.Timed> holds = schedule.add(slot * slotSeconds, orders, now / 1e6);
+    List<Schedule.ScheduledHold> holds = schedule.add(slot * slotSeconds, orders, now / 1e6);
     long until = (long) ((slot + 1) * slotSeconds * 1e6);
     version++;
     List<Plan> plans = new ArrayList<>();
     for (int edge = 0; edge < edges; edge++) {
       List<Plan.Item> items = new ArrayList<>();
-      for (Schedule.Timed t : holds) {
+      for (Schedule.ScheduledHold t : holds) {
         PlanMaker.Order o = t.order();
         boolean mine = Math.floorMod(o.placed().function().hashCode(), edges) == edge;
         items.add(new Plan.Item(
-            o.placed().host(),
+            o.placed().worker(),
             o.placed().function(),
             1,
-            o.facts().lanes(),
+            o.profile().lanes(),
             (long) (t.from() * 1e6),
             (long) (t.until() * 1e6),
-            (long) (o.facts().loadSeconds() * 1e6),
-            o.facts().memoryMb(),
+            (long) (o.profile().loadSeconds() * 1e6),
+            o.profile().memoryMb(),
             mine));
       }
       plans.add(new Plan(1, version, until, items));
--- a/planner/src/main/java/gorseladder/planner/Planner.java
+++ b/planner/src/main/java/gorseladder/planner/Planner.java
@@ -12,13 +12,13 @@
 import gorseladder.config.proto.PlannerSettings;
 import gorseladder.forecast.Forecasts;
 import gorseladder.forecast.SlotCalendar;
-import gorseladder.placement.Host;
 import gorseladder.placement.PlanMaker;
-import gorseladder.placement.PlanMaker.Facts;
+import gorseladder.placement.PlanMaker.CopyProfile;
 import gorseladder.placement.PlanMaker.Order;
 import gorseladder.placement.Prices;
 import gorseladder.placement.Schedule;
-import gorseladder.placement.Schedule.Timed;
+import gorseladder.placement.Schedule.ScheduledHold;
+import gorseladder.placement.WorkerCapacity;
 import gorseladder.store.history.HistoryRow;
 import java.io.Closeable;
 import java.io.IOException;
@@ -73,7 +73,7 @@
   private double soFarSince;
   private long plannedFor = Long.MIN_VALUE;
   private long version;
-  private List<Timed> holds = List.of();
+  private List<ScheduledHold> holds = List.of();
   private double planUntil;
   private double planMillis;
   private double tidiedAt;
@@ -144,7 +144,7 @@
   private void learn(Seen s) {
     maker.learn(
         s.getFunction(),
-        new Facts(s.getMemoryMb(), s.getLanes(), s.getWorkUs() / 1e6, s.getLoadUs() / 1e6));
+        new CopyProfile(s.getMemoryMb(), s.getLanes(), s.getWorkUs() / 1e6, s.getLoadUs() / 1e6));
   }
 
   /**
@@ -253,7 +253,7 @@
         .setEpoch(store.epoch())
         .setVersion(version)
         .setLivesMs((long) ((planUntil - now) * 1000));
-    for (Timed t : holds) {
+    for (ScheduledHold t : holds) {
       Order o = t.order();
       long until = (long) ((t.until() - now) * 1000);
       int owner = asking.isEmpty()
@@ -261,13 +261,13 @@
           : asking.get(Math.floorMod(o.placed().function().hashCode(), asking.size()));
       if (until > 0) {
         plan.addItem(Item.newBuilder()
-            .setWorker(o.placed().host())
+            .setWorker(o.placed().worker())
             .setFunction(o.placed().function())
-            .setLanes(o.facts().lanes())
+            .setLanes(o.profile().lanes())
             .setFromMs((long) ((t.from() - now) * 1000))
             .setUntilMs(until)
-            .setLoadUs((long) (o.facts().loadSeconds() * 1e6))
-            .setMemoryMb(o.facts().memoryMb())
+            .setLoadUs((long) (o.profile().loadSeconds() * 1e6))
+            .setMemoryMb(o.profile().memoryMb())
             .setMine(owner == edge));
       }
     }
@@ -289,7 +289,7 @@
     observe(now);
     long next = local.slot((long) now) + 1;
     double begins = local.begins(next);
-    if (next > plannedFor && now >= begins - maker.lead() && ready(now)) {
+    if (next > plannedFor && now >= begins - maker.leadSeconds() && ready(now)) {
       plan(next, begins, now);
     }
     if (now - tidiedAt > 600) {
@@ -330,8 +330,8 @@
         .map(edges::get)
         .filter(e -> !e.weights.isEmpty())
         .forEach(e -> weights.keySet().retainAll(e.weights.keySet()));
-    List<Host> hosts = weights.entrySet().stream()
-        .map(w -> new Host(
+    List<WorkerCapacity> hosts = weights.entrySet().stream()
+        .map(w -> new WorkerCapacity(
             w.getKey(),
             settings.getRunnerMemoryMb(),
             Integer.MAX_VALUE,
@@ -387,8 +387,8 @@
     out.put("mean", e.mean());
     out.put("upper", e.upper());
     out.put("by", e.forecasterName());
-    out.put("calls_believed", maker.trust().calls(function));
-    out.put("any_believed", maker.trust().any(function));
+    out.put("calls_believed", maker.confidence().callsFactor(function));
+    out.put("any_believed", maker.confidence().occurrenceFactor(function));
     return out;
   }
 
