--- a/app/src/main/java/gorseladder/app/AccountCommand.java
+++ b/app/src/main/java/gorseladder/app/AccountCommand.java
@@ -1,6 +1,6 @@
 package gorseladder.app;
 
-import gorseladder.planner.AccountSheet;
+import gorseladder.planner.LoadAheadSummary;
 import gorseladder.planner.Planner;
 import gorseladder.wire.json.Json;
 import java.io.IOException;
@@ -29,13 +29,13 @@
       System.err.println("gorseladder: " + directory + " holds no planner's store");
       return Main.BAD_USAGE;
     }
-    AccountSheet sheet = Planner.account(directory);
+    LoadAheadSummary sheet = Planner.account(directory);
     sheet.byFunction().forEach((f, line) -> print(f, line));
     print("", sheet.all());
     return Main.GOOD;
   }
 
-  private static void print(String function, AccountSheet.Line line) {
+  private static void print(String function, LoadAheadSummary.Totals line) {
     Map<String, Object> out = new LinkedHashMap<>();
     out.put(function.isEmpty() ? "all" : "function", function.isEmpty() ? true : function);
     out.putAll(line.values());
--- a/planner/src/main/java/gorseladder/planner/AccountSheet.java
+++ b/planner/src/main/java/gorseladder/planner/LoadAheadSummary.java
@@ -6,9 +6,9 @@
 import java.util.TreeMap;
 
 /** Sums of the records of loads ahead, by function and in all. Not thread safe. */
-public final class AccountSheet {
+public final class LoadAheadSummary {
   /** One line; {@code wasted} loads were found by no call. Times in microseconds. */
-  public static final class Line {
+  public static final class Totals {
     private long loads;
     private long wasted;
     private long renewals;
@@ -63,21 +63,21 @@
     }
   }
 
-  private final Map<String, Line> byFunction = new TreeMap<>();
-  private final Line all = new Line();
+  private final Map<String, Totals> byFunction = new TreeMap<>();
+  private final Totals all = new Totals();
 
   void add(LoadAhead l) {
-    byFunction.computeIfAbsent(l.getFunction(), f -> new Line()).add(l);
+    byFunction.computeIfAbsent(l.getFunction(), f -> new Totals()).add(l);
     all.add(l);
   }
 
   /** A line for each function with any load ahead. */
-  public Map<String, Line> byFunction() {
+  public Map<String, Totals> byFunction() {
     return byFunction;
   }
 
   /** The sum of all lines. */
-  public Line all() {
+  public Totals all() {
     return all;
   }
 }
--- a/planner/src/main/java/gorseladder/planner/Planner.java
+++ b/planner/src/main/java/gorseladder/planner/Planner.java
@@ -393,16 +393,16 @@
   }
 
   /** The account of all loads ahead that are kept. */
-  public synchronized AccountSheet account() throws IOException {
-    AccountSheet sheet = new AccountSheet();
+  public synchronized LoadAheadSummary account() throws IOException {
+    LoadAheadSummary sheet = new LoadAheadSummary();
     store.eachLoad(sheet::add);
     return sheet;
   }
 
   /** The account in a directory that no planner holds open. */
-  public static AccountSheet account(Path directory) throws IOException {
+  public static LoadAheadSummary account(Path directory) throws IOException {
     try (PlannerStore store = PlannerStore.open(directory)) {
-      AccountSheet sheet = new AccountSheet();
+      LoadAheadSummary sheet = new LoadAheadSummary();
       store.eachLoad(sheet::add);
       return sheet;
     }
--- a/planner/src/main/java/gorseladder/planner/PlannerServer.java
+++ b/planner/src/main/java/gorseladder/planner/PlannerServer.java
@@ -134,7 +134,7 @@
         .with((text + "\n").getBytes(StandardCharsets.UTF_8));
   }
 
-  private static Map<String, Object> sheet(AccountSheet account) {
+  private static Map<String, Object> sheet(LoadAheadSummary account) {
     Map<String, Object> out = new LinkedHashMap<>();
     account.byFunction().forEach((f, line) -> out.put(f, line.values()));
     Map<String, Object> whole = new LinkedHashMap<>();
--- a/planner/src/test/java/gorseladder/planner/PlannerTest.java
+++ b/planner/src/test/java/gorseladder/planner/PlannerTest.java
@@ -180,7 +180,7 @@
           planner
               .exchange(ask(0, "h", 0).setBoot(2).addLoad(load.setNumber(1)).build())
               .getLoadsKept());
-      AccountSheet sheet = planner.account();
+      LoadAheadSummary sheet = planner.account();
       assertEquals(3, sheet.all().loads());
       assertEquals(2, sheet.all().wasted());
       assertEquals(2, sheet.byFunction().get("f").found());
