--- a/core/src/main/java/gorseladder/core/Core.java
+++ b/core/src/main/java/gorseladder/core/Core.java
@@ -56,9 +56,9 @@
   private static final Logger LOG = LoggerFactory.getLogger(Core.class);
   private static final long IDLE_NANOS = 1_000_000_000L;
   /** Between two looks at a plan. */
-  private static final long LOOK = 250_000;
+  private static final long PLAN_CHECK_MICROS = 250_000;
   /** So long at the most, in microseconds, {@link Outbound} gathers while there is always more to be done. */
-  private static final long MOST_GATHERING = 5_000;
+  private static final long MAX_BATCH_MICROS = 5_000;
 
   /** Carries out what leaves this process; must not block. Its reports come back by the core's methods. */
   public interface Outbound<C extends Call> {
@@ -78,7 +78,7 @@
     void watchList();
 
     /** Nothing more is to be done at present: what was gathered may go. */
-    default void pausing() {}
+    default void beforeIdle() {}
 
     /** More is to be done, but what was gathered must go now. */
     default void flush() {}
@@ -96,7 +96,7 @@
 
   private sealed interface Message<C extends Call> {}
 
-  private record Arrived<C extends Call>(C call, long offeredAt) implements Message<C> {
+  private record Offered<C extends Call>(C call, long offeredAt) implements Message<C> {
     /** Whether a call with so much time left may wait behind this one. */
     private boolean mayBeFollowed(long timeLeft, long now) {
       return Permits.mayQueue(now - offeredAt, timeLeft).allowed();
@@ -105,25 +105,25 @@
 
   private record Ended<C extends Call>(AttemptEnd<C> end) implements Message<C> {}
 
-  private record News<C extends Call>(Event event) implements Message<C> {}
+  private record RouterEvent<C extends Call>(Event event) implements Message<C> {}
 
-  private record Left<C extends Call>(C call) implements Message<C> {}
+  private record ClientLeft<C extends Call>(C call) implements Message<C> {}
 
-  private record GiveUp<C extends Call>() implements Message<C> {}
+  private record RefuseAll<C extends Call>() implements Message<C> {}
 
   private record Planned<C extends Call>(Plan plan) implements Message<C> {}
 
-  private record Collect<C extends Call>(Consumer<Collected> to, Map<String, Seen.Of> giveBack)
+  private record Collect<C extends Call>(Consumer<PlannerReport> to, Map<String, Seen.Of> giveBack)
       implements Message<C> {}
 
   /** A call that is not forgotten yet. */
-  private static final class Held<C extends Call> {
+  private static final class ActiveCall<C extends Call> {
     private final C call;
     private int attemptsOut;
     /** Null before the router has asked for it. */
     private TimerWheel.Node<String> deadline;
 
-    private Held(C call) {
+    private ActiveCall(C call) {
       this.call = call;
     }
   }
@@ -131,7 +131,7 @@
   /**
    * What a planner is told: what was seen of functions, closed records of loads ahead, the workers, the plan in hand.
    */
-  public record Collected(
+  public record PlannerReport(
       Map<String, Seen.Of> seen,
       List<Account.Entry> loads,
       List<WorkerEntry> workers,
@@ -146,24 +146,24 @@
 
   private final Mailbox<Message<C>> mailbox;
   private final TimerWheel<String> timers;
-  private final Map<Long, Held<C>> calls = new HashMap<>();
+  private final Map<Long, ActiveCall<C>> calls = new HashMap<>();
   private final Thread thread;
   /** Null where no planner is set: then nothing here differs from an edge without loads ahead. */
   private final Ahead ahead;
 
   private final Seen seen = new Seen();
   private Map<String, WorkerEntry> workers = new LinkedHashMap<>();
-  private boolean holding;
-  private boolean givingUp;
-  private long lookAt = Long.MAX_VALUE;
-  private final AtomicLong longestWait = new AtomicLong();
+  private boolean applyingHold;
+  private boolean refusingAll;
+  private long planCheckAt = Long.MAX_VALUE;
+  private final AtomicLong maxWaitMicros = new AtomicLong();
   private volatile boolean stopped;
   private long now;
   /** The steps of the thread, made once and not for each message. */
   private final Runnable runTimers = this::runTimers;
 
   private final Runnable handle = this::handle;
-  private final Runnable pausing;
+  private final Runnable beforeIdle;
   private final Runnable flush;
   private final Consumer<String> timerDue = token -> tell(new TimerDue(token));
   private final Consumer<Action> carryOut = this::carryOut;
@@ -171,10 +171,10 @@
   private Message<C> handled;
 
   /** The call that the router is told at present; null where it is told something else. */
-  private Held<C> arriving;
+  private ActiveCall<C> arriving;
 
   private long flushedAt;
-  private long newsKnown;
+  private long workerListUpdateCount;
 
   /**
    * Starts the core.
@@ -187,18 +187,18 @@
       Settings settings,
       long seed,
       Outbound<C> outbound,
-      int mostOffers,
+      int maxQueuedCalls,
       boolean plans,
       RetryAdvice advice,
       int stackBytes) {
     this.settings = settings;
     this.router = new Router(settings, seed);
     this.outbound = outbound;
-    this.pausing = outbound::pausing;
+    this.beforeIdle = outbound::beforeIdle;
     this.flush = outbound::flush;
     this.ahead = plans ? new Ahead(settings.keepAlive()) : null;
     this.advice = advice;
-    this.mailbox = new Mailbox<>(mostOffers);
+    this.mailbox = new Mailbox<>(maxQueuedCalls);
     this.timers = new TimerWheel<>(Math.max(100, settings.tick() / 2), Clock.micros());
     this.thread = Threads.start("core", stackBytes, this::run);
   }
@@ -211,8 +211,8 @@
       return false;
     }
     return mailbox.offer(
-        new Arrived<>(call, now),
-        oldest -> !(oldest instanceof Arrived<C> first) || first.mayBeFollowed(timeLeft, now));
+        new Offered<>(call, now),
+        oldest -> !(oldest instanceof Offered<C> first) || first.mayBeFollowed(timeLeft, now));
   }
 
   /**
@@ -241,31 +241,31 @@
 
   /** A load order ended. */
   public void loadEnded(Loaded loaded) {
-    mailbox.put(new News<>(loaded));
+    mailbox.put(new RouterEvent<>(loaded));
   }
 
   /** The client of a call left, or the call was answered without the router. */
   public void clientGone(C call) {
-    mailbox.put(new Left<>(call));
+    mailbox.put(new ClientLeft<>(call));
   }
 
   /** Has every call that is held, and every one that comes after, answered at once: the process is about to end. */
-  public void giveUpAll() {
-    mailbox.put(new GiveUp<>());
+  public void refuseAll() {
+    mailbox.put(new RefuseAll<>());
   }
 
   /** The worker list has news. */
-  public void listNews(Workers news) {
-    mailbox.put(new News<>(news));
+  public void workerListChanged(Workers update) {
+    mailbox.put(new RouterEvent<>(update));
   }
 
   /** Another edge sent a message. */
   public void peerMessage(int sender, String text) {
-    mailbox.put(new News<>(new PeerMessage(sender, text)));
+    mailbox.put(new RouterEvent<>(new PeerMessage(sender, text)));
   }
 
   /** A plan came; its times are this process's clock. Only where plans are expected. */
-  public void planned(Plan plan) {
+  public void takePlan(Plan plan) {
     mailbox.put(new Planned<>(plan));
   }
 
@@ -273,7 +273,7 @@
    * Has what a planner is told collected and handed over, on the core's thread; {@code giveBack} could not be told
    * before.
    */
-  public void collect(Map<String, Seen.Of> giveBack, Consumer<Collected> to) {
+  public void collectReport(Map<String, Seen.Of> giveBack, Consumer<PlannerReport> to) {
     mailbox.put(new Collect<>(to, giveBack));
   }
 
@@ -283,11 +283,11 @@
         now = Clock.micros();
         Threads.guarded("core", runTimers);
         flushIfDue();
-        long next = Math.min(timers.nextDue(), lookAt);
+        long next = Math.min(timers.nextDue(), planCheckAt);
         long wait = Math.min((next - now) * 1000, IDLE_NANOS);
         Message<C> message = mailbox.take(0);
         if (message == null) {
-          Threads.guarded("core", pausing);
+          Threads.guarded("core", beforeIdle);
           message = mailbox.take(next == Long.MAX_VALUE ? IDLE_NANOS : Math.max(0, wait));
           flushedAt = Clock.micros();
         }
@@ -307,7 +307,7 @@
    * processor that was more than a second. It could harm by a wake-up for each few messages under such a load.
    */
   private void flushIfDue() {
-    if (now - flushedAt > MOST_GATHERING) {
+    if (now - flushedAt > MAX_BATCH_MICROS) {
       flushedAt = now;
       Threads.guarded("core", flush);
     }
@@ -315,34 +315,34 @@
 
   private void runTimers() {
     timers.advance(now, timerDue);
-    look();
+    checkPlan();
   }
 
   private void handle() {
     Message<C> message = handled;
     handled = null;
-    if (message instanceof Arrived<C> m) {
+    if (message instanceof Offered<C> m) {
       arrived(m.call());
     } else if (message instanceof Ended<C> m) {
       ended(m.end());
-    } else if (message instanceof Left<C> m) {
+    } else if (message instanceof ClientLeft<C> m) {
       tell(new ClientGone(m.call().id()));
       release(m.call());
-    } else if (message instanceof News<C> m) {
-      noteNews(m.event());
-      newsKnown += m.event() instanceof Workers ? 1 : 0;
+    } else if (message instanceof RouterEvent<C> m) {
+      forwardToPlans(m.event());
+      workerListUpdateCount += m.event() instanceof Workers ? 1 : 0;
       tell(m.event());
-    } else if (message instanceof GiveUp<C>) {
-      givingUp = true;
+    } else if (message instanceof RefuseAll<C>) {
+      refusingAll = true;
       calls.values().stream()
-          .map(held -> held.call)
+          .map(active -> active.call)
           .filter(call -> !call.isFinished())
           .map(Call::id)
           .toList()
           .forEach(id -> tell(new TimeUp(id)));
     } else if (message instanceof Planned<C> m) {
       Ahead.Verdict verdict = ahead.take(m.plan(), now);
-      lookAt = ahead.busy() ? now : Long.MAX_VALUE;
+      planCheckAt = ahead.busy() ? now : Long.MAX_VALUE;
       if (verdict != Ahead.Verdict.TAKEN && verdict != Ahead.Verdict.OLDER) {
         LOG.warn("plan {}/{} is passed over: {}", m.plan().epoch(), m.plan().version(), verdict);
       }
@@ -355,7 +355,7 @@
     seen.giveBack(m.giveBack());
     ahead.account().closeOver(now);
     m.to()
-        .accept(new Collected(
+        .accept(new PlannerReport(
             seen.take(),
             ahead.account().take(),
             List.copyOf(workers.values()),
@@ -364,7 +364,7 @@
   }
 
   /** What plans and their account need to hear beside the router. */
-  private void noteNews(Event event) {
+  private void forwardToPlans(Event event) {
     if (ahead == null) {
       return;
     }
@@ -384,16 +384,16 @@
   }
 
   /** Proposes to the router what a plan wants held now. */
-  private void look() {
-    if (now < lookAt) {
+  private void checkPlan() {
+    if (now < planCheckAt) {
       return;
     }
     for (Hold hold : ahead.due(now)) {
-      holding = true;
+      applyingHold = true;
       tell(hold);
-      holding = false;
+      applyingHold = false;
     }
-    lookAt = ahead.busy() ? now + LOOK : Long.MAX_VALUE;
+    planCheckAt = ahead.busy() ? now + PLAN_CHECK_MICROS : Long.MAX_VALUE;
   }
 
   /** An error of the router must not end the thread: the other calls go on, and the log says where it was. */
@@ -408,29 +408,29 @@
   /**
    * How many news of the worker list the router was told; on the core's thread, while it carries out what was decided.
    */
-  public long newsKnown() {
-    return newsKnown;
+  public long workerListUpdateCount() {
+    return workerListUpdateCount;
   }
 
   /** The longest wait of a call for the core since this was last asked, in microseconds; any thread. */
-  public long longestWait() {
-    return longestWait.getAndSet(0);
+  public long takeMaxWaitMicros() {
+    return maxWaitMicros.getAndSet(0);
   }
 
   private void arrived(C call) {
     call.considered(now);
-    longestWait.accumulateAndGet(now - call.facts().takenAt(), Math::max);
+    maxWaitMicros.accumulateAndGet(now - call.facts().takenAt(), Math::max);
     if (call.isFinished()) {
       // Its client left before it was looked at: nothing is owed, and no attempt would be let
       // out.
       return;
     }
-    if (givingUp) {
+    if (refusingAll) {
       call.finish(FinalAnswer.withoutRetryAdvice(Reason.STOPPING), now);
       return;
     }
     Call.Facts f = call.facts();
-    arriving = new Held<>(call);
+    arriving = new ActiveCall<>(call);
     calls.put(call.id(), arriving);
     if (ahead != null) {
       seen.taken(f.function(), f.memoryMb(), f.lanes());
@@ -466,9 +466,9 @@
       call.onServedResult(end.body());
       noteServed(call, attempt, end.note());
     }
-    Held<C> held = calls.get(call.id());
-    if (held != null) {
-      held.attemptsOut--;
+    ActiveCall<C> active = calls.get(call.id());
+    if (active != null) {
+      active.attemptsOut--;
     }
     tell(new Answer(
         call.id(),
@@ -511,22 +511,22 @@
     if (!call.isFinished()) {
       return;
     }
-    Held<C> held = calls.get(call.id());
-    if (held != null && held.attemptsOut == 0) {
+    ActiveCall<C> active = calls.get(call.id());
+    if (active != null && active.attemptsOut == 0) {
       calls.remove(call.id());
-      if (held.deadline != null) {
-        timers.cancel(held.deadline);
+      if (active.deadline != null) {
+        timers.cancel(active.deadline);
       }
     }
   }
 
   private void carryOut(Action action) {
     if (action instanceof Send a) {
-      Held<C> held = calls.get(a.id());
-      C call = held.call;
-      int number = call.addAttempt(a.worker(), now, newsKnown);
-      held.attemptsOut++;
-      noteStart(call, a.worker());
+      ActiveCall<C> active = calls.get(a.id());
+      C call = active.call;
+      int number = call.addAttempt(a.worker(), now, workerListUpdateCount);
+      active.attemptsOut++;
+      logStartingWorker(call, a.worker());
       outbound.send(call, number, a.worker(), a.timeout());
     } else if (action instanceof SetTimer a) {
       TimerWheel.Node<String> timer = timers.schedule(now + a.in(), a.token());
@@ -544,7 +544,7 @@
     } else if (action instanceof Cancel a) {
       outbound.cancel(calls.get(a.id()).call, a.attempt());
     } else if (action instanceof Load a) {
-      if (holding) {
+      if (applyingHold) {
         ahead.ordered(a.worker(), a.function(), now);
       }
       outbound.load(a.worker(), a.function(), a.copies());
@@ -558,7 +558,7 @@
   }
 
   /** A line for a call that goes to a worker which is starting, with what its budget leaves after it. */
-  private void noteStart(C call, String worker) {
+  private void logStartingWorker(C call, String worker) {
     double left = LOG.isDebugEnabled() ? router.startBudget(worker) : Double.NaN;
     if (!Double.isNaN(left)) {
       LOG.debug(
--- a/core/src/test/java/gorseladder/core/CoreTest.java
+++ b/core/src/test/java/gorseladder/core/CoreTest.java
@@ -52,7 +52,7 @@
     public void watchList() {}
 
     @Override
-    public void pausing() {
+    public void beforeIdle() {
       writers.release();
     }
 
@@ -68,9 +68,9 @@
     CountDownLatch written = new CountDownLatch(1);
     try (writers;
         Core<Call> core = new Core<>(settings(), 1, new Released(), 100, true, null, STACK)) {
-      core.collect(
+      core.collectReport(
           Map.of(),
-          first -> core.collect(Map.of(), second -> {
+          first -> core.collectReport(Map.of(), second -> {
             writers.execute(written::countDown);
             keepBusy(core);
           }));
@@ -83,7 +83,7 @@
   /** Each message puts the next one before it is done with. */
   private void keepBusy(Core<Call> core) {
     if (!stopped) {
-      core.collect(Map.of(), next -> keepBusy(core));
+      core.collectReport(Map.of(), next -> keepBusy(core));
     }
   }
 
@@ -96,7 +96,7 @@
     CountDownLatch held = new CountDownLatch(1);
     try (writers;
         Core<Call> core = new Core<>(settings(), 1, new Released(), 100, true, null, STACK)) {
-      core.collect(Map.of(), first -> await(held));
+      core.collectReport(Map.of(), first -> await(held));
       assertFalse(core.offer(call(0, 0)), "its time is over");
       assertTrue(core.offer(call(1, 20 * SECOND)), "nothing waits before it");
       assertTrue(core.offer(call(2, 20 * SECOND)), "nothing has waited for long");
@@ -117,7 +117,7 @@
     CountDownLatch held = new CountDownLatch(1);
     try (writers;
         Core<Call> core = new Core<>(settings(), 1, new Released(), 100, true, null, STACK)) {
-      core.collect(Map.of(), first -> await(held));
+      core.collectReport(Map.of(), first -> await(held));
       Call inTime = call(1, SECOND);
       Call late = call(2, -SECOND);
       core.answerServed(served(inTime));
@@ -145,7 +145,7 @@
     AtomicInteger pauses = new AtomicInteger();
     Released counting = new Released() {
       @Override
-      public void pausing() {
+      public void beforeIdle() {
         pauses.incrementAndGet();
       }
     };
@@ -157,7 +157,7 @@
         Thread.sleep(1);
       }
       taken.forEach(call -> leave(core, call));
-      core.collect(Map.of(), gone -> left.countDown());
+      core.collectReport(Map.of(), gone -> left.countDown());
       assertTrue(left.await(5, TimeUnit.SECONDS), "the clients did not leave in 5 s");
       int before = pauses.get();
       Thread.sleep((SECOND + calls * DEADLINES_APART) / 1_000);
--- a/edge/src/main/java/gorseladder/edge/Edge.java
+++ b/edge/src/main/java/gorseladder/edge/Edge.java
@@ -248,7 +248,7 @@
 
     @Override
     public void load(String worker, String function, int copies) {
-      runners.load(worker, function, copies, core.newsKnown());
+      runners.load(worker, function, copies, core.workerListUpdateCount());
     }
 
     @Override
@@ -276,7 +276,7 @@
     @Override
     public void list(Workers workers) {
       newsTold++;
-      core.listNews(workers);
+      core.workerListChanged(workers);
     }
   }
 
--- a/edge/src/main/java/gorseladder/edge/plans/PlannerLink.java
+++ b/edge/src/main/java/gorseladder/edge/plans/PlannerLink.java
@@ -12,7 +12,7 @@
 import gorseladder.config.exchange.Worker;
 import gorseladder.config.proto.EdgeSettings;
 import gorseladder.core.Core;
-import gorseladder.core.Core.Collected;
+import gorseladder.core.Core.PlannerReport;
 import gorseladder.edge.core.TakenCall;
 import gorseladder.edge.history.CallHistory;
 import gorseladder.runtime.Clock;
@@ -128,7 +128,7 @@
 
   /** One exchange; true where more rows wait to be told. */
   private boolean ask() throws IOException, BadMessage, InterruptedException {
-    Collected collected = collect();
+    PlannerReport collected = collect();
     History.Batch batch = history.read(from, MOST_ROWS);
     boolean caughtUp = batch.next() >= history.next();
     Ask.Builder ask = Ask.newBuilder()
@@ -166,19 +166,19 @@
         !answer.getHistory().equals(history.identity()) || answer.getWant() != batch.next();
     from = answer.getHistory().equals(history.identity()) ? answer.getWant() : 0;
     if (answer.hasPlan()) {
-      core.planned(plan(answer.getPlan(), Clock.micros()));
+      core.takePlan(plan(answer.getPlan(), Clock.micros()));
     }
     return moved || !caughtUp;
   }
 
   /** What the core has to tell; what an earlier exchange could not tell is counted again. */
-  private Collected collect() throws IOException, InterruptedException {
-    CompletableFuture<Collected> got = new CompletableFuture<>();
+  private PlannerReport collect() throws IOException, InterruptedException {
+    CompletableFuture<PlannerReport> got = new CompletableFuture<>();
     Map<String, Seen.Of> again = untold;
     untold = Map.of();
-    core.collect(again, got::complete);
+    core.collectReport(again, got::complete);
     try {
-      Collected collected = got.get(COLLECT_SECONDS, TimeUnit.SECONDS);
+      PlannerReport collected = got.get(COLLECT_SECONDS, TimeUnit.SECONDS);
       long ago = Clock.wallMicros() - Clock.micros();
       for (Account.Entry e : collected.loads()) {
         loads.addLast(new Numbered(++loadNumber, e, e.orderedAt() + ago));
--- a/node/src/main/java/gorseladder/node/CallPath.java
+++ b/node/src/main/java/gorseladder/node/CallPath.java
@@ -106,7 +106,7 @@
 
     @Override
     public void load(String worker, String function, int copies) {
-      links.load(worker, function, copies, core.newsKnown());
+      links.load(worker, function, copies, core.workerListUpdateCount());
     }
 
     @Override
@@ -115,7 +115,7 @@
     }
 
     @Override
-    public void pausing() {
+    public void beforeIdle() {
       writers.release();
     }
 
--- a/node/src/main/java/gorseladder/node/Node.java
+++ b/node/src/main/java/gorseladder/node/Node.java
@@ -104,7 +104,7 @@
           public void list(Workers workers) {
             newsTold++;
             startList = newsTold == 1 ? workers : startList;
-            core.listNews(workers);
+            core.workerListChanged(workers);
           }
         });
     boolean mayTell = config.router().limits().peers()
@@ -151,7 +151,7 @@
               "{} stood still for {} ms, calls waited {} us for the core; {}",
               config.name(),
               lag / 1000,
-              core.longestWait(),
+              core.takeMaxWaitMicros(),
               summary());
         }
         logSummary();
@@ -171,7 +171,7 @@
       LOG.info(
           "{}; longest wait for the core {} us, longest pause {} us; {}",
           config.name(),
-          core.longestWait(),
+          core.takeMaxWaitMicros(),
           longestLag,
           summary());
       longestLag = 0;
@@ -256,7 +256,7 @@
       // what is held is still to be answered.
       if (!givenUp && Clock.micros() >= givesUp) {
         givenUp = true;
-        core.giveUpAll();
+        core.refuseAll();
       } else if (Clock.micros() >= kill - (front.owes() ? LAST_BEFORE_KILL : LEAVE_BEFORE_KILL)) {
         break;
       }
--- a/node/src/main/java/gorseladder/node/WarmUp.java
+++ b/node/src/main/java/gorseladder/node/WarmUp.java
@@ -162,7 +162,7 @@
     for (WorkerEntry entry : entries) {
       path.links().told(entry, nowhere, 1, Clock.micros());
     }
-    path.core().listNews(new Workers(kind, entries));
+    path.core().workerListChanged(new Workers(kind, entries));
   }
 
   /** The steps of an orderly stop, as far as they need no listener. */
@@ -170,7 +170,7 @@
     path.links().check();
     path.front().check();
     path.front().owes();
-    path.core().giveUpAll();
+    path.core().refuseAll();
     path.front().drain();
   }
 
--- a/node/src/test/java/gorseladder/node/front/FrontConnectionTest.java
+++ b/node/src/test/java/gorseladder/node/front/FrontConnectionTest.java
@@ -98,7 +98,7 @@
           public void watchList() {}
 
           @Override
-          public void pausing() {
+          public void beforeIdle() {
             pauses.incrementAndGet();
           }
         },
@@ -106,7 +106,7 @@
         false,
         null,
         512 << 10);
-    core.listNews(
+    core.workerListChanged(
         new Workers(ListKind.SAVED, List.of(new WorkerEntry("r", "z", 0, Phase.RUNNING, 1, 0))));
     RequestReader reader = new RequestReader(settings);
     front = new FastCgiFront(
@@ -332,7 +332,7 @@
       // By the second time the core has nothing to do it has looked at all that was put before
       // the first.
       int before = pauses.get();
-      core.listNews(new Workers(ListKind.DELTA, List.of()));
+      core.workerListChanged(new Workers(ListKind.DELTA, List.of()));
       while (pauses.get() < before + 2) {
         Thread.sleep(1);
       }
--- a/node/src/test/java/gorseladder/node/runners/ThreadShortageTest.java
+++ b/node/src/test/java/gorseladder/node/runners/ThreadShortageTest.java
@@ -129,7 +129,7 @@
         false,
         null,
         512 << 10);
-    core.listNews(
+    core.workerListChanged(
         new Workers(ListKind.SAVED, List.of(new WorkerEntry("r", "z", 0, Phase.RUNNING, 1, 0))));
     for (int i = 1; i <= 2; i++) {
       long now = Clock.micros();
--- a/testbed/src/test/java/gorseladder/testbed/LastLookTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/LastLookTest.java
@@ -132,7 +132,7 @@
             public void ended(TakenCall call) {}
           });
       intake.admitTo(core);
-      core.listNews(new Workers(
+      core.workerListChanged(new Workers(
           ListKind.SAVED,
           List.of(
               new WorkerEntry(a.id(), "z", 0, Phase.RUNNING, 1, 0),
--- a/testbed/src/test/java/gorseladder/testbed/platform/PlantedNodeFaultsTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/platform/PlantedNodeFaultsTest.java
@@ -59,7 +59,7 @@
         "a link kept after its runner went"
             + "#runners/RunnerLinks.java#before != null && before.address().equals(address)#before != null"
             + "#aRunnerThatGoesAndComesBackIsReached",
-        "held calls forgotten at the end#Node.java#core.giveUpAll();##aStopAnswersWhatIsHeldBeforeItMayBeKilled"
+        "held calls forgotten at the end#Node.java#core.refuseAll();##aStopAnswersWhatIsHeldBeforeItMayBeKilled"
       })
   void eachIsFound(String fault, String file, String find, String replace, String test)
       throws Exception {
