--- a/core/src/main/java/gorseladder/core/PauseClock.java
+++ b/core/src/main/java/gorseladder/core/StallDetector.java
@@ -7,8 +7,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Notices when this process stood still, by a timer; {@link StallWatch} says what follows. Any thread. */
-public final class PauseClock {
-  private static final Logger LOG = LoggerFactory.getLogger(PauseClock.class);
+public final class StallDetector {
+  private static final Logger LOG = LoggerFactory.getLogger(StallDetector.class);
 
   private final Watchdog watchdog;
   private final StallWatch watch = new StallWatch(Clock.micros());
@@ -16,7 +16,7 @@
   private volatile boolean stopped;
 
   /** Begins to look. */
-  public PauseClock(Watchdog watchdog) {
+  public StallDetector(Watchdog watchdog) {
     this.watchdog = watchdog;
     tickLater();
   }
@@ -42,14 +42,14 @@
   }
 
   /** The earliest time at which something may have come that is read now. */
-  public long cameAt(long now) {
+  public long earliestArrival(long now) {
     synchronized (watch) {
       return watch.cameAt(now);
     }
   }
 
   /** From when on what clients did during the last pause is known; 0 where there was none. */
-  public long settledAt(long now) {
+  public long clientsKnownSince(long now) {
     synchronized (watch) {
       return watch.settledAt(now);
     }
--- a/edge/src/main/java/gorseladder/edge/Edge.java
+++ b/edge/src/main/java/gorseladder/edge/Edge.java
@@ -8,8 +8,8 @@
 import gorseladder.config.SettingsFile;
 import gorseladder.config.proto.EdgeSettings;
 import gorseladder.core.Core;
-import gorseladder.core.PauseClock;
 import gorseladder.core.RuleLog;
+import gorseladder.core.StallDetector;
 import gorseladder.edge.core.AdmissionCheck;
 import gorseladder.edge.core.Intake;
 import gorseladder.edge.core.TakenCall;
@@ -55,7 +55,7 @@
 
   private final EdgeSettings settings;
   private final Watchdog watchdog;
-  private final PauseClock pauses;
+  private final StallDetector pauses;
   private final Ledger ledger;
   private final CallHistory history;
   private final Runners runners;
@@ -116,7 +116,7 @@
       throw e;
     }
     watchdog = new Watchdog("watchdog", stack);
-    pauses = new PauseClock(watchdog);
+    pauses = new StallDetector(watchdog);
     runners = new Runners(
         config.runners(),
         answers,
--- a/edge/src/main/java/gorseladder/edge/front/IdleConnections.java
+++ b/edge/src/main/java/gorseladder/edge/front/IdleConnections.java
@@ -1,7 +1,7 @@
 package gorseladder.edge.front;
 
-import gorseladder.core.ThreadSharer;
-import gorseladder.core.ThreadSharer.Idle;
+import gorseladder.core.ThreadReclaimer;
+import gorseladder.core.ThreadReclaimer.IdleConnection;
 import gorseladder.runtime.Clock;
 import gorseladder.runtime.HttpConnection;
 import gorseladder.threads.ThreadSharing.Holder;
@@ -12,9 +12,9 @@
 
 /**
  * Connections that hold a thread and wait for a request. Where no thread can be had one of them gives its own to a
- * client that has asked; {@link ThreadSharer} says which. Any thread; nothing here blocks.
+ * client that has asked; {@link ThreadReclaimer} says which. Any thread; nothing here blocks.
  */
-final class IdleConnections implements ThreadSharer.Source {
+final class IdleConnections implements ThreadReclaimer.Source {
   private final Map<HttpConnection, Long> since = new ConcurrentHashMap<>();
 
   /** A connection begins to wait for a request. */
@@ -28,10 +28,10 @@
   }
 
   @Override
-  public List<Idle> idle(long now) {
-    List<Idle> idle = new ArrayList<>();
-    since.forEach(
-        (connection, at) -> idle.add(new Idle(new Holder(now - at, false), () -> end(connection))));
+  public List<IdleConnection> idle(long now) {
+    List<IdleConnection> idle = new ArrayList<>();
+    since.forEach((connection, at) ->
+        idle.add(new IdleConnection(new Holder(now - at, false), () -> end(connection))));
     return idle;
   }
 
--- a/edge/src/main/java/gorseladder/edge/front/WebhookFront.java
+++ b/edge/src/main/java/gorseladder/edge/front/WebhookFront.java
@@ -4,8 +4,8 @@
 import gorseladder.answers.Reason;
 import gorseladder.core.Core;
 import gorseladder.core.FinalAnswer;
-import gorseladder.core.PauseClock;
-import gorseladder.core.ThreadSharer;
+import gorseladder.core.StallDetector;
+import gorseladder.core.ThreadReclaimer;
 import gorseladder.edge.core.AdmissionCheck;
 import gorseladder.edge.core.Intake;
 import gorseladder.edge.core.TakenCall;
@@ -68,13 +68,13 @@
   private final Core<TakenCall> core;
   private final AdmissionCheck admission;
   private final AnswerWriter answers;
-  private final PauseClock pauses;
+  private final StallDetector pauses;
   private final CallLog log;
   private final AtomicInteger inProgress = new AtomicInteger();
   private final TurnQueue turnQueue;
   private final IdleConnections idle = new IdleConnections();
   private final UnfinishedRequests unfinished;
-  private final ThreadSharer sharer = new ThreadSharer(idle);
+  private final ThreadReclaimer sharer = new ThreadReclaimer(idle);
   private volatile boolean stopping;
 
   /**
@@ -89,7 +89,7 @@
       Intake intake,
       Core<TakenCall> core,
       Watchdog watchdog,
-      PauseClock pauses,
+      StallDetector pauses,
       CallLog log) {
     this.settings = settings;
     this.unfinished = unfinished;
@@ -137,12 +137,12 @@
         return;
       }
       // It may have come in a pause that ended just before it was accepted.
-      WebhookFront.this.serve(channel, server, pauses.cameAt(earliest));
+      WebhookFront.this.serve(channel, server, pauses.earliestArrival(earliest));
     }
 
     @Override
     public void spareThread(long waited) {
-      sharer.share(waited);
+      sharer.reclaim(waited);
     }
   }
 
@@ -158,7 +158,7 @@
 
   private void serve(SocketChannel channel, HttpServer server, long earliest) throws IOException {
     HttpConnection c = new HttpConnection(channel, settings.limits());
-    c.arrivals(new ArrivalTimes(pauses::cameAt, earliest));
+    c.arrivals(new ArrivalTimes(pauses::earliestArrival, earliest));
     if (!settings.allowed().contains(c.peer().getAddress())) {
       reject(c, Reason.FORBIDDEN_NETWORK, Reason.FORBIDDEN_NETWORK.text);
       return;
--- a/node/src/main/java/gorseladder/node/CallPath.java
+++ b/node/src/main/java/gorseladder/node/CallPath.java
@@ -3,8 +3,8 @@
 import gorseladder.RouterApi.Loaded;
 import gorseladder.core.Core;
 import gorseladder.core.Core.AttemptEnd;
-import gorseladder.core.PauseClock;
 import gorseladder.core.RuleLog;
+import gorseladder.core.StallDetector;
 import gorseladder.gate.SendGate;
 import gorseladder.node.front.FastCgiFront;
 import gorseladder.node.front.RequestReader;
@@ -47,7 +47,7 @@
   CallPath(
       NodeConfig config,
       Watchdog watchdog,
-      PauseClock pauses,
+      StallDetector pauses,
       RuleLog rules,
       ThreadCache threads,
       Consumer<String> peers) {
--- a/node/src/main/java/gorseladder/node/Node.java
+++ b/node/src/main/java/gorseladder/node/Node.java
@@ -3,9 +3,9 @@
 import gorseladder.RouterApi.WorkerEntry;
 import gorseladder.RouterApi.Workers;
 import gorseladder.core.Core;
-import gorseladder.core.PauseClock;
 import gorseladder.core.RuleLog;
-import gorseladder.core.ThreadSharer;
+import gorseladder.core.StallDetector;
+import gorseladder.core.ThreadReclaimer;
 import gorseladder.node.changelog.ChangeLogFollower;
 import gorseladder.node.front.FastCgiFront;
 import gorseladder.node.peers.TierLink;
@@ -61,7 +61,7 @@
   private final Watchdog watchdog;
   private final CallPath path;
   private final Writers writers;
-  private final PauseClock pauses;
+  private final StallDetector pauses;
   private final ThreadCache connectionThreads;
   private final RuleLog rules = new RuleLog();
   private final RunnerLinks links;
@@ -86,7 +86,7 @@
   public Node(NodeConfig config) throws IOException {
     this.config = config;
     watchdog = new Watchdog("watchdog", STACK);
-    pauses = new PauseClock(watchdog);
+    pauses = new StallDetector(watchdog);
     connectionThreads = new ThreadCache("connection", READY_THREADS, STACK);
     path = new CallPath(config, watchdog, pauses, rules, connectionThreads, this::tellPeers);
     writers = path.writers();
@@ -124,7 +124,7 @@
     changeLog.start(config.knownSeq(), config.known(), STACK);
     int warmedUpBy =
         WarmUp.run(config, startList, watchdog, pauses, connectionThreads, WarmUp.MOST);
-    ThreadSharer sharer = new ThreadSharer(front::idle, links::idle);
+    ThreadReclaimer sharer = new ThreadReclaimer(front::idle, links::idle);
     links.shareThreadsBy(sharer);
     Retry.whilePassing(LocalShortage::is, () -> {
       front.listen(config.listen(), STACK, connectionThreads, sharer);
--- a/node/src/main/java/gorseladder/node/WarmUp.java
+++ b/node/src/main/java/gorseladder/node/WarmUp.java
@@ -4,8 +4,8 @@
 import gorseladder.RouterApi.Phase;
 import gorseladder.RouterApi.WorkerEntry;
 import gorseladder.RouterApi.Workers;
-import gorseladder.core.PauseClock;
 import gorseladder.core.RuleLog;
+import gorseladder.core.StallDetector;
 import gorseladder.runtime.Clock;
 import gorseladder.runtime.InMemoryChannel;
 import gorseladder.runtime.ThreadCache;
@@ -56,7 +56,7 @@
   private int answered;
 
   private WarmUp(
-      NodeConfig config, Watchdog watchdog, PauseClock pauses, ThreadCache threads, long most) {
+      NodeConfig config, Watchdog watchdog, StallDetector pauses, ThreadCache threads, long most) {
     until = Clock.micros() + most;
     this.config = config;
     this.threads = threads;
@@ -77,7 +77,7 @@
       NodeConfig config,
       Workers list,
       Watchdog watchdog,
-      PauseClock pauses,
+      StallDetector pauses,
       ThreadCache threads,
       long most) {
     SET_UP.forEach(WarmUp::setUp);
--- a/node/src/main/java/gorseladder/node/front/FastCgiFront.java
+++ b/node/src/main/java/gorseladder/node/front/FastCgiFront.java
@@ -4,10 +4,10 @@
 import gorseladder.core.Call.Facts;
 import gorseladder.core.Core;
 import gorseladder.core.FinalAnswer;
-import gorseladder.core.PauseClock;
 import gorseladder.core.RuleLog;
-import gorseladder.core.ThreadSharer;
-import gorseladder.core.ThreadSharer.Idle;
+import gorseladder.core.StallDetector;
+import gorseladder.core.ThreadReclaimer;
+import gorseladder.core.ThreadReclaimer.IdleConnection;
 import gorseladder.node.NodeCall;
 import gorseladder.permits.Permits;
 import gorseladder.permits.Verdict;
@@ -70,7 +70,7 @@
   private final int mostHeld;
   private final ByteBudget budget;
   private volatile BooleanSupplier otherRoom = () -> false;
-  private final PauseClock pauses;
+  private final StallDetector pauses;
   private final RuleLog rules;
   private final Map<SocketChannel, FrontConnection> connections = new ConcurrentHashMap<>();
   private final Map<String, NodeCall> held = new ConcurrentHashMap<>();
@@ -78,7 +78,7 @@
   private final Counts counts = new Counts();
   private volatile boolean live;
   private HttpServer server;
-  private ThreadSharer sharer;
+  private ThreadReclaimer sharer;
 
   /**
    * A front that begins with {@link #listen}.
@@ -95,7 +95,7 @@
       int mostConnections,
       int mostHeld,
       long mostBytes,
-      PauseClock pauses,
+      StallDetector pauses,
       RuleLog rules,
       Hearer hearer) {
     this.reader = reader;
@@ -114,7 +114,8 @@
    *
    * @param shares ends a connection for a client that waits for a thread
    */
-  public void listen(InetSocketAddress at, int stackBytes, ThreadCache threads, ThreadSharer shares)
+  public void listen(
+      InetSocketAddress at, int stackBytes, ThreadCache threads, ThreadReclaimer shares)
       throws IOException {
     live = true;
     sharer = shares;
@@ -136,7 +137,7 @@
       }
       // It may have come in a pause that ended just before accepting began, however long it then
       // takes to come to this one.
-      add(channel, Math.min(waitedSince, pauses.cameAt(waitedSince)));
+      add(channel, Math.min(waitedSince, pauses.earliestArrival(waitedSince)));
       return true;
     }
 
@@ -158,7 +159,7 @@
 
     @Override
     public void spareThread(long waited) {
-      count(sharer.share(waited) ? "closed for its thread" : "no thread");
+      count(sharer.reclaim(waited) ? "closed for its thread" : "no thread");
     }
   }
 
@@ -189,12 +190,12 @@
   }
 
   /** Connections that hold a thread and on which nothing is asked. */
-  public List<Idle> idle(long now) {
-    List<Idle> idle = new ArrayList<>();
+  public List<IdleConnection> idle(long now) {
+    List<IdleConnection> idle = new ArrayList<>();
     for (FrontConnection connection : connections.values()) {
       long since = connection.idleSince();
       if (connection.hasThread() && since < Long.MAX_VALUE) {
-        idle.add(new Idle(new Holder(now - since, false), connection::closeIfFree));
+        idle.add(new IdleConnection(new Holder(now - since, false), connection::closeIfFree));
       }
     }
     return idle;
@@ -212,7 +213,7 @@
 
   /** The earliest time at which something may have come that is read now. */
   long cameAt(long now) {
-    return pauses.cameAt(now);
+    return pauses.earliestArrival(now);
   }
 
   Executor writers() {
--- a/node/src/main/java/gorseladder/node/runners/Link.java
+++ b/node/src/main/java/gorseladder/node/runners/Link.java
@@ -3,7 +3,7 @@
 import gorseladder.attempts.AttemptFate.Ending;
 import gorseladder.attempts.ConnectionChoice;
 import gorseladder.attempts.ConnectionChoice.Candidate;
-import gorseladder.core.ThreadSharer.Idle;
+import gorseladder.core.ThreadReclaimer.IdleConnection;
 import gorseladder.node.NodeCall;
 import gorseladder.runtime.Clock;
 import gorseladder.threads.ThreadSharing.Holder;
@@ -152,12 +152,12 @@
   }
 
   /** Connections on which nothing is out; any of several to one runner is to spare. */
-  synchronized List<Idle> idle(long now) {
+  synchronized List<IdleConnection> idle(long now) {
     boolean spare = connections.size() > 1;
-    List<Idle> idle = new ArrayList<>();
+    List<IdleConnection> idle = new ArrayList<>();
     for (LinkConnection c : connections) {
       if (c.isOpen() && c.carrying() == 0) {
-        idle.add(new Idle(new Holder(c.idle(now), spare), c::closeIfFree));
+        idle.add(new IdleConnection(new Holder(c.idle(now), spare), c::closeIfFree));
       }
     }
     return idle;
--- a/node/src/main/java/gorseladder/node/runners/RunnerLinks.java
+++ b/node/src/main/java/gorseladder/node/runners/RunnerLinks.java
@@ -7,10 +7,10 @@
 import gorseladder.attempts.AttemptFate.Ending;
 import gorseladder.attempts.ConnectionChoice;
 import gorseladder.core.Core.AttemptEnd;
-import gorseladder.core.PauseClock;
 import gorseladder.core.RuleLog;
-import gorseladder.core.ThreadSharer;
-import gorseladder.core.ThreadSharer.Idle;
+import gorseladder.core.StallDetector;
+import gorseladder.core.ThreadReclaimer;
+import gorseladder.core.ThreadReclaimer.IdleConnection;
 import gorseladder.gate.SendGate;
 import gorseladder.node.NodeCall;
 import gorseladder.node.NodeConfig;
@@ -72,14 +72,14 @@
   private boolean mayForget;
 
   private final Map<NodeCall, Map<Integer, AttemptRequest>> out = new ConcurrentHashMap<>();
-  private final PauseClock pauses;
+  private final StallDetector pauses;
   private final RuleLog rules;
   private final Counts heldBack = new Counts();
   private final AtomicLong tags = new AtomicLong();
   private final Counts closes = new Counts();
   private final AtomicLong waits = new AtomicLong();
   private volatile Hearer hearer;
-  private volatile ThreadSharer sharer = new ThreadSharer();
+  private volatile ThreadReclaimer sharer = new ThreadReclaimer();
   private volatile ByteBudget answerBudget = new ByteBudget(Long.MAX_VALUE);
   private volatile BooleanSupplier makeRoom = this::endLargestAnswer;
   private volatile ChannelSource channels = SocketChannel::open;
@@ -95,7 +95,7 @@
       NodeConfig.Links told,
       Limits limits,
       SendGate gate,
-      PauseClock pauses,
+      StallDetector pauses,
       RuleLog rules,
       Watchdog watchdog,
       Executor writers,
@@ -133,7 +133,7 @@
   }
 
   /** Names who ends an idle connection, so that its thread is free for a new one to a runner. */
-  public void shareThreadsBy(ThreadSharer shares) {
+  public void shareThreadsBy(ThreadReclaimer shares) {
     sharer = shares;
   }
 
@@ -180,7 +180,7 @@
 
   /** From when on it is known what clients did before the last pause of this process. */
   long clientsSeenFrom(long now) {
-    return pauses.settledAt(now);
+    return pauses.clientsKnownSince(now);
   }
 
   /** Counts what was held back at the last look. */
@@ -288,7 +288,7 @@
     waits.incrementAndGet();
     after(look, () -> {
       if (!request.over() && !carry(request)) {
-        sharer.share(waited);
+        sharer.reclaim(waited);
         waitToBeCarried(request, whyNotCarried(request.worker()));
       }
     });
@@ -316,7 +316,7 @@
   }
 
   /** Connections on which nothing is out. */
-  public List<Idle> idle(long now) {
+  public List<IdleConnection> idle(long now) {
     return links.values().stream().flatMap(link -> link.idle(now).stream()).toList();
   }
 
--- a/node/src/test/java/gorseladder/node/WarmUpTest.java
+++ b/node/src/test/java/gorseladder/node/WarmUpTest.java
@@ -13,7 +13,7 @@
 import gorseladder.RouterApi.Tenant;
 import gorseladder.RouterApi.WorkerEntry;
 import gorseladder.RouterApi.Workers;
-import gorseladder.core.PauseClock;
+import gorseladder.core.StallDetector;
 import gorseladder.runtime.ThreadCache;
 import gorseladder.runtime.Watchdog;
 import java.net.InetAddress;
@@ -74,7 +74,7 @@
   private static int run(List<WorkerEntry> workers) {
     try (Watchdog watchdog = new Watchdog("watchdog", STACK);
         ThreadCache threads = new ThreadCache("connection", 4, STACK)) {
-      PauseClock pauses = new PauseClock(watchdog);
+      StallDetector pauses = new StallDetector(watchdog);
       return WarmUp.run(
           config(), new Workers(ListKind.SAVED, workers), watchdog, pauses, threads, MOST);
     }
--- a/node/src/test/java/gorseladder/node/front/FrontConnectionTest.java
+++ b/node/src/test/java/gorseladder/node/front/FrontConnectionTest.java
@@ -16,8 +16,8 @@
 import gorseladder.RouterApi.WorkerEntry;
 import gorseladder.RouterApi.Workers;
 import gorseladder.core.Core;
-import gorseladder.core.PauseClock;
 import gorseladder.core.RuleLog;
+import gorseladder.core.StallDetector;
 import gorseladder.node.NodeCall;
 import gorseladder.runtime.Clock;
 import gorseladder.runtime.Watchdog;
@@ -123,7 +123,7 @@
         10,
         100,
         1 << 20,
-        new PauseClock(watchdog),
+        new StallDetector(watchdog),
         rules,
         call -> {});
     ServerSocketChannel server =
--- a/node/src/test/java/gorseladder/node/runners/RunnerRequestTest.java
+++ b/node/src/test/java/gorseladder/node/runners/RunnerRequestTest.java
@@ -13,8 +13,8 @@
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.Rules;
 import gorseladder.attempts.AttemptFate.Ending;
-import gorseladder.core.PauseClock;
 import gorseladder.core.RuleLog;
+import gorseladder.core.StallDetector;
 import gorseladder.gate.SendGate;
 import gorseladder.node.NodeCall;
 import gorseladder.node.NodeConfig;
@@ -123,7 +123,7 @@
         new NodeConfig.Links(250_000, 30 * SECOND, 100, true, true),
         new Limits(4, false, true, false, false, true, true, SECOND, SECOND),
         new SendGate(rules),
-        new PauseClock(watchdog),
+        new StallDetector(watchdog),
         new RuleLog(),
         watchdog,
         Runnable::run,
