--- a/node/src/main/java/gorseladder/node/CallPath.java
+++ b/node/src/main/java/gorseladder/node/CallPath.java
@@ -3,8 +3,8 @@
 import gorseladder.RouterApi.Loaded;
 import gorseladder.core.Core;
 import gorseladder.core.Core.AttemptEnd;
-import gorseladder.core.PauseClock;
 import gorseladder.core.RuleLog;
+import gorseladder.core.StallDetector;
 import gorseladder.gate.SendGate;
 import gorseladder.node.front.FastCgiFront;
 import gorseladder.node.front.RequestReader;
@@ -47,7 +47,7 @@
   CallPath(
       NodeConfig config,
       Watchdog watchdog,
-      PauseClock pauses,
+      StallDetector pauses,
       RuleLog rules,
       ThreadCache threads,
       Consumer<String> peers) {
@@ -106,7 +106,7 @@
 
     @Override
     public void load(String worker, String function, int copies) {
-      links.load(worker, function, copies, core.newsKnown());
+      links.load(worker, function, copies, core.workerListUpdateCount());
     }
 
     @Override
@@ -115,7 +115,7 @@
     }
 
     @Override
-    public void pausing() {
+    public void beforeIdle() {
       writers.release();
     }
 
--- a/node/src/main/java/gorseladder/node/WarmUp.java
+++ b/node/src/main/java/gorseladder/node/WarmUp.java
@@ -4,8 +4,8 @@
 import gorseladder.RouterApi.Phase;
 import gorseladder.RouterApi.WorkerEntry;
 import gorseladder.RouterApi.WorkerListUpdate;
-import gorseladder.core.PauseClock;
 import gorseladder.core.RuleLog;
+import gorseladder.core.StallDetector;
 import gorseladder.runtime.Clock;
 import gorseladder.runtime.InMemoryChannel;
 import gorseladder.runtime.ThreadCache;
@@ -56,7 +56,7 @@
   private int answered;
 
   private WarmUp(
-      NodeConfig config, Watchdog watchdog, PauseClock pauses, ThreadCache threads, long most) {
+      NodeConfig config, Watchdog watchdog, StallDetector pauses, ThreadCache threads, long most) {
     until = Clock.micros() + most;
     this.config = config;
     this.threads = threads;
@@ -77,7 +77,7 @@
       NodeConfig config,
       WorkerListUpdate list,
       Watchdog watchdog,
-      PauseClock pauses,
+      StallDetector pauses,
       ThreadCache threads,
       long most) {
     SET_UP.forEach(WarmUp::setUp);
@@ -162,7 +162,7 @@
     for (WorkerEntry entry : entries) {
       path.links().told(entry, nowhere, 1, Clock.micros());
     }
-    path.core().listNews(new WorkerListUpdate(kind, entries));
+    path.core().workerListChanged(new WorkerListUpdate(kind, entries));
   }
 
   /** The steps of an orderly stop, as far as they need no listener. */
@@ -170,7 +170,7 @@
     path.links().check();
     path.front().check();
     path.front().owes();
-    path.core().giveUpAll();
+    path.core().refuseAll();
     path.front().drain();
   }
 
--- a/testbed/src/test/java/gorseladder/testbed/LastLookTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/LastLookTest.java
@@ -132,7 +132,7 @@
             public void ended(TakenCall call) {}
           });
       intake.admitTo(core);
-      core.listNews(new WorkerListUpdate(
+      core.workerListChanged(new WorkerListUpdate(
           ListKind.SAVED,
           List.of(
               new WorkerEntry(a.id(), "z", 0, Phase.RUNNING, 1, 0),
