--- a/core/src/main/java/gorseladder/core/Core.java
+++ b/core/src/main/java/gorseladder/core/Core.java
@@ -114,7 +114,8 @@
   private record Planned<C extends Call>(Plan plan) implements Message<C> {}
 
   private record Collect<C extends Call>(
-      Consumer<PlannerReport> to, Map<String, FunctionStats.Snapshot> giveBack) implements Message<C> {}
+      Consumer<PlannerReport> to, Map<String, FunctionStats.Snapshot> giveBack)
+      implements Message<C> {}
 
   /** A call that is not forgotten yet. */
   private static final class ActiveCall<C extends Call> {
@@ -273,7 +274,8 @@
    * Has what a planner is told collected and handed over, on the core's thread; {@code giveBack} could not be told
    * before.
    */
-  public void collectReport(Map<String, FunctionStats.Snapshot> giveBack, Consumer<PlannerReport> to) {
+  public void collectReport(
+      Map<String, FunctionStats.Snapshot> giveBack, Consumer<PlannerReport> to) {
     mailbox.put(new Collect<>(to, giveBack));
   }
 
