--- a/core/src/main/java/gorseladder/core/Core.java
+++ b/core/src/main/java/gorseladder/core/Core.java
@@ -559,7 +559,7 @@
 
   /** A line for a call that goes to a worker which is starting, with what its budget leaves after it. */
   private void noteStart(C call, String worker) {
-    double left = LOG.isDebugEnabled() ? router.startBudget(worker) : Double.NaN;
+    double left = LOG.isDebugEnabled() ? router.coldBudget(worker) : Double.NaN;
     if (!Double.isNaN(left)) {
       LOG.debug(
           "request={} worker={} which is starting, budget left {}",
--- a/decisions/src/main/java/gorseladder/Router.java
+++ b/decisions/src/main/java/gorseladder/Router.java
@@ -124,7 +124,8 @@
     this.settings = settings;
     this.random = new Random(seed);
     settings.classes().forEach(c -> classes.put(c.name(), c));
-    shortestAim = settings.classes().stream().mapToLong(RequestClass::aim).min().orElseThrow();
+    shortestAim =
+        settings.classes().stream().mapToLong(RequestClass::latencyTarget).min().orElseThrow();
     sweepEvery = Math.max(settings.tick(), shortestAim / SWEEPS_PER_AIM);
     dearest = settings.classes().stream().mapToDouble(RequestClass::worth).max().orElseThrow();
     meanUsual = shortestAim / 5.0;
@@ -202,8 +203,8 @@
     w.cell = entry.cell();
     w.phase = entry.phase();
     w.weight = entry.weight() > 0 ? entry.weight() : 1;
-    if (entry.born() > w.born) {
-      w.born = entry.born();
+    if (entry.startedAt() > w.born) {
+      w.born = entry.startedAt();
       restarted(w);
     }
     takeInOrOut(w);
@@ -262,7 +263,7 @@
     call.id = event.id();
     call.requestClass = requestClass;
     call.function = f;
-    call.aimAt = now + requestClass.aim();
+    call.aimAt = now + requestClass.latencyTarget();
     call.deadline = now + event.timeLeft();
     call.worth = requestClass.worth() * (event.repeat() ? requestClass.lateWorth() : 1);
     requests.put(call.id, call);
@@ -317,8 +318,8 @@
       // nothing of it. Guards against shedding for clients that take back what they just asked;
       // it covers connections that break. It could harm where clients give up within half an
       // aim: their leaving is then no sign.
-      long waited = now - (call.aimAt - call.requestClass.aim());
-      if (waited > LATE_PART * call.requestClass.aim()) {
+      long waited = now - (call.aimAt - call.requestClass.latencyTarget());
+      if (waited > LATE_PART * call.requestClass.latencyTarget()) {
         noteStrain(true);
       }
       finish(call);
@@ -429,7 +430,7 @@
     // turned away come back at once.
     boolean noRoom = full && event.concurrency() == 0 && attempt.blind;
     if (!attempt.slow && (full && !noRoom || warm)) {
-      noteStrain(full || event.latency() > LATE_PART * call.requestClass.aim());
+      noteStrain(full || event.latency() > LATE_PART * call.requestClass.latencyTarget());
     }
     if (event.concurrency() >= 0) {
       copy.crowd = Math.max(0, event.concurrency() - copy.inFlight - (full ? 0 : 1));
@@ -631,7 +632,7 @@
         && takenTimes.peekFirst() < now - rules.loadWindow() + settings.tick()) {
       takenTimes.removeFirst();
     }
-    double most = rules.loadsFree() + rules.loadShare() * takenTimes.size();
+    double most = rules.freeLoads() + rules.loadsPerCall() * takenTimes.size();
     return rules.loadWindow() == 0 || loadTimes.size() + 1 <= part * most;
   }
 
@@ -918,7 +919,7 @@
   }
 
   /** What is saved up for a starting worker, in calls, for logs; NaN for one that is warm or unknown. */
-  public double startBudget(String worker) {
+  public double coldBudget(String worker) {
     Worker w = workers.get(worker);
     return w == null || warmth(w) >= 1 ? Double.NaN : w.cold.saved();
   }
@@ -1041,7 +1042,9 @@
     // Guards against lanes that hold more than they can run and so never answer: calls still
     // out there are the only sign. It covers slow workers too; it could harm where all work
     // takes half its aim.
-    if (!last.slow && !last.blind && now - last.sentAt > LATE_PART * call.requestClass.aim()) {
+    if (!last.slow
+        && !last.blind
+        && now - last.sentAt > LATE_PART * call.requestClass.latencyTarget()) {
       last.slow = true;
       noteStrain(true);
       noteNeed(f, home(f) * HOME_STEP * fill(f));
--- a/decisions/src/main/java/gorseladder/RouterApi.java
+++ b/decisions/src/main/java/gorseladder/RouterApi.java
@@ -74,7 +74,7 @@
       Effect effect,
       Group group,
       long repeatWindow,
-      long aim,
+      long latencyTarget,
       long deadline,
       double worth,
       double lateWorth,
@@ -83,7 +83,7 @@
       require(name != null, "class name");
       require(effect != null, "class effect");
       require(group != null, "class group");
-      require(aim > 0, "class aim");
+      require(latencyTarget > 0, "class aim");
       require(deadline > 0, "class deadline");
       require(repeatWindow >= 0, "class repeatWindow");
     }
@@ -119,20 +119,20 @@
   /** The figures of the rules on drains, cold workers and load orders. */
   public record Rules(
       long drainGrace,
-      double coldFrom,
-      long coldFor,
+      double initialCapacity,
+      long rampDuration,
       double overloadMultiple,
-      long overloadFor,
-      double loadsFree,
-      double loadShare,
+      long overloadWindow,
+      double freeLoads,
+      double loadsPerCall,
       long loadWindow) {
     public Rules {
       require(drainGrace >= 0, "rules drainGrace");
-      require(coldFrom >= 0 && coldFrom <= 1, "rules coldFrom");
-      require(coldFor >= 0, "rules coldFor");
+      require(initialCapacity >= 0 && initialCapacity <= 1, "rules coldFrom");
+      require(rampDuration >= 0, "rules coldFor");
       require(overloadMultiple >= 0, "rules overloadMultiple");
-      require(overloadFor >= 0, "rules overloadFor");
-      require(loadsFree >= 0 && loadShare >= 0, "rules loadsFree or loadShare");
+      require(overloadWindow >= 0, "rules overloadFor");
+      require(freeLoads >= 0 && loadsPerCall >= 0, "rules loadsFree or loadShare");
       require(loadWindow >= 0, "rules loadWindow");
     }
   }
@@ -169,9 +169,9 @@
     }
   }
 
-  /** One entry of the worker list; {@code born} is 0 where the last start was long ago. */
+  /** One entry of the worker list; {@code startedAt} is 0 where the last start was long ago. */
   public record WorkerEntry(
-      String worker, String zone, int cell, Phase phase, double weight, long born) {
+      String worker, String zone, int cell, Phase phase, double weight, long startedAt) {
     public WorkerEntry {
       require(worker != null, "worker");
       require(phase != null, "worker phase");
@@ -189,14 +189,14 @@
     }
   }
 
-  /** A request taken from a client; {@code loadTime} and {@code hint} are 0 where not told. */
+  /** A request taken from a client; {@code loadTime} and {@code durationHint} are 0 where not told. */
   public record Request(
       long id,
       String requestClass,
       String tenant,
       String function,
       long timeLeft,
-      long hint,
+      long durationHint,
       double memoryMb,
       int lanes,
       long loadTime,
--- a/decisions/src/main/java/gorseladder/gate/SendGate.java
+++ b/decisions/src/main/java/gorseladder/gate/SendGate.java
@@ -130,7 +130,7 @@
       taken.removeFirst();
     }
     return rules.loadWindow() == 0
-        || ordered.size() + 1 <= rules.loadsFree() + rules.loadShare() * taken.size();
+        || ordered.size() + 1 <= rules.freeLoads() + rules.loadsPerCall() * taken.size();
   }
 
   /** Calls that were stopped here. */
--- a/decisions/src/main/java/gorseladder/starts/ColdBudget.java
+++ b/decisions/src/main/java/gorseladder/starts/ColdBudget.java
@@ -44,8 +44,10 @@
 
   /** The part of its capacity that a worker has at least, by its birth (0 for long ago) and the told ramp. */
   public static double warmth(Rules rules, long born, long at) {
-    double age = Math.max(0, at - born) / Math.max(1.0, rules.coldFor());
-    return born == 0 || age >= 1 ? 1 : rules.coldFrom() + (1 - rules.coldFrom()) * age;
+    double age = Math.max(0, at - born) / Math.max(1.0, rules.rampDuration());
+    return born == 0 || age >= 1
+        ? 1
+        : rules.initialCapacity() + (1 - rules.initialCapacity()) * age;
   }
 
   /**
@@ -61,7 +63,7 @@
     double oneByOne = SECOND / Math.max(pace.usual(), lastAnswer) / pace.dispatchers();
     double rate = Math.max(pace.servedPerWorker(), out > 0 ? 0 : oneByOne);
     double used = rate * MARGIN * rules.overloadMultiple();
-    double most = Math.max(1, used * warmth * rules.overloadFor() / SECOND);
+    double most = Math.max(1, used * warmth * rules.overloadWindow() / SECOND);
     // Looked at seldom, so the warmth in between counts and not the one reached by now.
     double meanWarmth = (warmth + warmth(rules, born, savedAt)) / 2;
     saved = Math.min(most, saved + (now - savedAt) / SECOND * used * meanWarmth);
--- a/decisions/src/test/java/gorseladder/ColdFleetTest.java
+++ b/decisions/src/test/java/gorseladder/ColdFleetTest.java
@@ -161,25 +161,27 @@
     }
     Rules rules = settings.rules();
     return Math.min(
-        1, rules.coldFrom() + (1 - rules.coldFrom()) * (at - BACK_AT) / rules.coldFor());
+        1,
+        rules.initialCapacity()
+            + (1 - rules.initialCapacity()) * (at - BACK_AT) / rules.rampDuration());
   }
 
   /** Slides the rule's window over what went to one worker since it came back; returns the most in one window. */
   private int check(String worker, int dispatchers) {
     Rules rules = settings.rules();
     List<Long> at = sends.getOrDefault(worker, List.of()).stream()
-        .filter(t -> t >= BACK_AT && t < BACK_AT + rules.coldFor())
+        .filter(t -> t >= BACK_AT && t < BACK_AT + rules.rampDuration())
         .toList();
     int most = 0;
     int from = 0;
     for (int i = 0; i < at.size(); i++) {
-      while (at.get(from) <= at.get(i) - rules.overloadFor()) {
+      while (at.get(from) <= at.get(i) - rules.overloadWindow()) {
         from++;
       }
       double allowed = rules.overloadMultiple()
           * CAPACITY
           * warmth(worker, at.get(from))
-          * rules.overloadFor()
+          * rules.overloadWindow()
           / SECOND;
       int sent = i - from + 1;
       most = Math.max(most, sent);
--- a/decisions/src/test/java/gorseladder/RouterTest.java
+++ b/decisions/src/test/java/gorseladder/RouterTest.java
@@ -327,7 +327,7 @@
                   List.of(TestSites.entry("cold", Phase.RUNNING, now), running("warm"))),
               actions::add);
     }
-    long window = settings.rules().overloadFor();
+    long window = settings.rules().overloadWindow();
     int[] sent = new int[1];
     for (long t = 0; t < window; t += 10 * MS) {
       long id = t;
--- a/decisions/src/test/java/gorseladder/RulesTest.java
+++ b/decisions/src/test/java/gorseladder/RulesTest.java
@@ -199,10 +199,10 @@
 
   private void checkCold() {
     coldSends.addLast(now);
-    coldSends.removeIf(t -> t <= now - settings.rules().overloadFor());
-    double ramp = settings.rules().coldFrom()
-        + (1 - settings.rules().coldFrom()) * now / settings.rules().coldFor();
-    double fair = 1500 / 15.0 / 5 * settings.rules().overloadFor() / 1e6;
+    coldSends.removeIf(t -> t <= now - settings.rules().overloadWindow());
+    double ramp = settings.rules().initialCapacity()
+        + (1 - settings.rules().initialCapacity()) * now / settings.rules().rampDuration();
+    double fair = 1500 / 15.0 / 5 * settings.rules().overloadWindow() / 1e6;
     double budget = Math.min(1, ramp) * settings.rules().overloadMultiple() * fair;
     assertTrue(coldSends.size() <= Math.max(1, budget), "cold worker pushed: " + coldSends.size());
   }
@@ -223,7 +223,7 @@
     loads.addLast(now);
     loads.removeIf(t -> t <= now - settings.rules().loadWindow());
     taken.removeIf(t -> t <= now - settings.rules().loadWindow());
-    double most = settings.rules().loadsFree() + settings.rules().loadShare() * taken.size();
+    double most = settings.rules().freeLoads() + settings.rules().loadsPerCall() * taken.size();
     assertTrue(loads.size() <= most, "load ration passed");
   }
 }
--- a/edge/src/main/java/gorseladder/edge/EdgeConfig.java
+++ b/edge/src/main/java/gorseladder/edge/EdgeConfig.java
@@ -116,7 +116,7 @@
               e.getToleranceS(),
               routes,
               routes.values().stream()
-                  .mapToLong(r -> r.requestClass().aim())
+                  .mapToLong(r -> r.requestClass().latencyTarget())
                   .max()
                   .orElse(0)));
     }
--- a/edge/src/main/java/gorseladder/edge/front/WebhookFront.java
+++ b/edge/src/main/java/gorseladder/edge/front/WebhookFront.java
@@ -416,7 +416,9 @@
       }
       RequestClass requestClass = route.requestClass();
       boolean stays = pass.mayStay(
-          key(message, delivery), requestClass.worth() / settings.topWorth(), requestClass.aim());
+          key(message, delivery),
+          requestClass.worth() / settings.topWorth(),
+          requestClass.latencyTarget());
       // Another delivery of the message may have been taken meanwhile.
       if (!stays && !intake.remembers(message)) {
         return overloaded();
--- a/edge/src/main/java/gorseladder/edge/list/ListWatcher.java
+++ b/edge/src/main/java/gorseladder/edge/list/ListWatcher.java
@@ -180,7 +180,7 @@
     entries.forEach(e -> phases.put(e.worker(), e.phase()));
     entries.forEach(e -> addresses.computeIfAbsent(e.worker(), Address::parse));
     Map<String, Long> born = new HashMap<>();
-    entries.forEach(e -> born.put(e.worker(), e.born()));
+    entries.forEach(e -> born.put(e.worker(), e.startedAt()));
     phases.forEach(
         (worker, phase) -> hearer.worker(worker, phase, born.getOrDefault(worker, 0L), at));
     hearer.list(new WorkerListUpdate(kind, entries));
--- a/emulator/src/main/java/gorseladder/emulator/EmulatedEdge.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedEdge.java
@@ -311,7 +311,7 @@
       taken.removeFirst();
     }
     if (ordered.size()
-        > settings.rules().loadsFree() + settings.rules().loadShare() * taken.size()) {
+        > settings.rules().freeLoads() + settings.rules().loadsPerCall() * taken.size()) {
       judge.broken("rule 5: an order beyond the ration");
     }
   }
--- a/emulator/src/main/java/gorseladder/emulator/Outcomes.java
+++ b/emulator/src/main/java/gorseladder/emulator/Outcomes.java
@@ -131,7 +131,7 @@
     if (outcome == Outcome.OK) {
       long took = agenda.now() - arrivedAt;
       latency.recordValue(Math.min(took, 59_000_000));
-      earned += c.worth() * (took <= c.aim() ? 1 : c.lateWorth());
+      earned += c.worth() * (took <= c.latencyTarget() ? 1 : c.lateWorth());
     }
   }
 
--- a/node/src/main/java/gorseladder/node/WarmUp.java
+++ b/node/src/main/java/gorseladder/node/WarmUp.java
@@ -148,7 +148,7 @@
       WorkerEntry worker = workers.get(turn / phases.length % workers.size());
       tell(
           ListKind.DELTA,
-          List.of(entry(worker, phases[(turn + 1) % phases.length], worker.born())));
+          List.of(entry(worker, phases[(turn + 1) % phases.length], worker.startedAt())));
       path.core().peerMessage(0, "sick " + worker.worker());
     }
   }
--- a/node/src/main/java/gorseladder/node/changelog/ChangeLogFollower.java
+++ b/node/src/main/java/gorseladder/node/changelog/ChangeLogFollower.java
@@ -338,7 +338,7 @@
     for (Listed one : news.told()) {
       Phase phase = one.entry().phase();
       String uid = one.entry().worker();
-      if (phase == Phase.RUNNING && before.get(uid) == null && one.entry().born() > 0) {
+      if (phase == Phase.RUNNING && before.get(uid) == null && one.entry().startedAt() > 0) {
         noteStart(one, change.seq(), absentAt, at);
       }
       if (phase != Phase.RUNNING && phase != before.get(uid) && lines++ < MOST_LINES) {
@@ -354,7 +354,7 @@
     LOG.info(
         "runner {} counts as started {} ms ago, told by event {}; the list was without it {} ms ago",
         runner.entry().worker(),
-        (at - runner.entry().born()) / 1_000,
+        (at - runner.entry().startedAt()) / 1_000,
         seq,
         (at - absentAt) / 1_000);
   }
--- a/node/src/main/java/gorseladder/node/changelog/ListedRunners.java
+++ b/node/src/main/java/gorseladder/node/changelog/ListedRunners.java
@@ -151,7 +151,8 @@
     }
     WorkerEntry e = before.entry();
     return new Listed(
-        new WorkerEntry(uid, e.zone(), e.cell(), phase, e.weight(), e.born()), before.address());
+        new WorkerEntry(uid, e.zone(), e.cell(), phase, e.weight(), e.startedAt()),
+        before.address());
   }
 
   private void forget(String uid) {
--- a/node/src/main/java/gorseladder/node/runners/RunnerLinks.java
+++ b/node/src/main/java/gorseladder/node/runners/RunnerLinks.java
@@ -215,7 +215,7 @@
       gate.told(uid, phase, at);
       mayForget = true;
       if (phase != Phase.GONE) {
-        gate.started(uid, entry.born(), news, at);
+        gate.started(uid, entry.startedAt(), news, at);
       }
       before = links.get(uid);
       if (phase != Phase.GONE && before != null && before.address().equals(address)) {
--- a/testbed/src/main/java/gorseladder/testbed/RuleChecker.java
+++ b/testbed/src/main/java/gorseladder/testbed/RuleChecker.java
@@ -344,19 +344,19 @@
     Map<String, List<Arrival>> arrivals = group(tap.arrivals, a -> a.runner);
     for (Start start : tap.starts) {
       List<Arrival> cold = arrivals.getOrDefault(start.runner(), List.of()).stream()
-          .filter(a -> a.at >= start.at() && a.at <= start.at() + rules.coldFor())
+          .filter(a -> a.at >= start.at() && a.at <= start.at() + rules.rampDuration())
           .sorted(Comparator.comparingLong(a -> a.at))
           .toList();
       double sum = 0;
       int first = 0;
       for (Arrival a : cold) {
         sum += a.work;
-        while (cold.get(first).at <= a.at - rules.overloadFor()) {
+        while (cold.get(first).at <= a.at - rules.overloadWindow()) {
           sum -= cold.get(first++).work;
         }
-        double warmth =
-            rules.coldFrom() + (1 - rules.coldFrom()) * (a.at - start.at()) / rules.coldFor();
-        double most = rules.overloadMultiple() * start.capacity() * warmth * rules.overloadFor();
+        double warmth = rules.initialCapacity()
+            + (1 - rules.initialCapacity()) * (a.at - start.at()) / rules.rampDuration();
+        double most = rules.overloadMultiple() * start.capacity() * warmth * rules.overloadWindow();
         judged(4, 100 * (most - sum) / most);
         if (sum > most + 2 * a.work) {
           broke(
@@ -387,8 +387,8 @@
       long taken = tap.tries.stream()
           .filter(t -> t.edge == o.edge() && t.sentAt > from - slack && t.sentAt <= o.at())
           .count();
-      judged(5, rules.loadsFree() + rules.loadShare() * taken - within);
-      if (within > rules.loadsFree() + rules.loadShare() * taken) {
+      judged(5, rules.freeLoads() + rules.loadsPerCall() * taken - within);
+      if (within > rules.freeLoads() + rules.loadsPerCall() * taken) {
         broke(
             5, "edge " + o.edge() + " ordered " + within + " loads with " + taken + " calls taken");
       }
--- a/testbed/src/main/java/gorseladder/testbed/StandInRunner.java
+++ b/testbed/src/main/java/gorseladder/testbed/StandInRunner.java
@@ -295,10 +295,10 @@
   private synchronized void pushed(Tap.Arrival arrival) {
     Rules rules = nature.rules();
     long age = arrival.at - startedAt;
-    if (warmFromStart || age >= rules.coldFor()) {
+    if (warmFromStart || age >= rules.rampDuration()) {
       return;
     }
-    if (arrival.at - windowFrom > rules.overloadFor()) {
+    if (arrival.at - windowFrom > rules.overloadWindow()) {
       windowFrom = arrival.at;
       windowWork = 0;
     }
@@ -308,15 +308,15 @@
                 * nature.cores()
                 * nature.speed()
                 * warmth(age)
-                * rules.overloadFor()
+                * rules.overloadWindow()
             + 2 * arrival.work;
   }
 
   private double warmth(long age) {
     Rules rules = nature.rules();
-    return warmFromStart || age >= rules.coldFor()
+    return warmFromStart || age >= rules.rampDuration()
         ? 1
-        : rules.coldFrom() + (1 - rules.coldFrom()) * age / rules.coldFor();
+        : rules.initialCapacity() + (1 - rules.initialCapacity()) * age / rules.rampDuration();
   }
 
   private boolean run(
--- a/testbed/src/test/java/gorseladder/testbed/platform/ClockStepTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/platform/ClockStepTest.java
@@ -33,8 +33,8 @@
   private static double bound() {
     double n = RULES.overloadMultiple()
         * WARM_CALLS_PER_SECOND
-        * RULES.coldFrom()
-        * RULES.overloadFor()
+        * RULES.initialCapacity()
+        * RULES.overloadWindow()
         / SECOND;
     return n + 2 * Math.sqrt(n) + 2;
   }
@@ -71,7 +71,7 @@
     long stamp = System.currentTimeMillis() + TimeUnit.HOURS.toMillis(hours);
     log.add(PlatformChangeLog.event(
         events.size() + 1, false, "fresh", fresh.address(), "active", stamp));
-    long until = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(RULES.overloadFor());
+    long until = System.nanoTime() + TimeUnit.MICROSECONDS.toNanos(RULES.overloadWindow());
     while (System.nanoTime() < until) {
       send(client, ++call, 5_000);
     }
