--- a/core/src/main/java/gorseladder/core/Core.java
+++ b/core/src/main/java/gorseladder/core/Core.java
@@ -561,7 +561,7 @@
 
   /** A line for a call that goes to a worker which is starting, with what its budget leaves after it. */
   private void logStartingWorker(C call, String worker) {
-    double left = LOG.isDebugEnabled() ? router.startBudget(worker) : Double.NaN;
+    double left = LOG.isDebugEnabled() ? router.coldBudget(worker) : Double.NaN;
     if (!Double.isNaN(left)) {
       LOG.debug(
           "request={} worker={} which is starting, budget left {}",
--- a/edge/src/main/java/gorseladder/edge/EdgeConfig.java
+++ b/edge/src/main/java/gorseladder/edge/EdgeConfig.java
@@ -1,7 +1,7 @@
 package gorseladder.edge;
 
-import gorseladder.RouterApi;
 import gorseladder.RouterApi.RequestClass;
+import gorseladder.RouterApi;
 import gorseladder.admission.Admission;
 import gorseladder.config.Networks;
 import gorseladder.config.proto.EdgeSettings;
@@ -116,7 +116,7 @@
               e.getToleranceS(),
               routes,
               routes.values().stream()
-                  .mapToLong(r -> r.requestClass().aim())
+                  .mapToLong(r -> r.requestClass().latencyTarget())
                   .max()
                   .orElse(0)));
     }
--- a/edge/src/main/java/gorseladder/edge/list/ListWatcher.java
+++ b/edge/src/main/java/gorseladder/edge/list/ListWatcher.java
@@ -8,8 +8,8 @@
 import gorseladder.runtime.Clock;
 import gorseladder.runtime.HttpConnection;
 import gorseladder.runtime.Threads;
-import gorseladder.starts.StartTimes;
 import gorseladder.starts.StartTimes.ClockReading;
+import gorseladder.starts.StartTimes;
 import gorseladder.wire.http1.BadMessage;
 import gorseladder.wire.http1.BodyParser;
 import gorseladder.wire.http1.Head;
@@ -180,7 +180,7 @@
     entries.forEach(e -> phases.put(e.worker(), e.phase()));
     entries.forEach(e -> addresses.computeIfAbsent(e.worker(), Address::parse));
     Map<String, Long> born = new HashMap<>();
-    entries.forEach(e -> born.put(e.worker(), e.born()));
+    entries.forEach(e -> born.put(e.worker(), e.startedAt()));
     phases.forEach(
         (worker, phase) -> hearer.worker(worker, phase, born.getOrDefault(worker, 0L), at));
     hearer.list(new WorkerListUpdate(kind, entries));
--- a/node/src/main/java/gorseladder/node/changelog/ListedRunners.java
+++ b/node/src/main/java/gorseladder/node/changelog/ListedRunners.java
@@ -9,8 +9,8 @@
 import gorseladder.platform.Fields;
 import gorseladder.platform.PlatformList;
 import gorseladder.runtime.Clock;
-import gorseladder.starts.StartTimes;
 import gorseladder.starts.StartTimes.ClockReading;
+import gorseladder.starts.StartTimes;
 import gorseladder.wire.changelog.ChangeLine;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -151,7 +151,8 @@
     }
     WorkerEntry e = before.entry();
     return new Listed(
-        new WorkerEntry(uid, e.zone(), e.cell(), phase, e.weight(), e.born()), before.address());
+        new WorkerEntry(uid, e.zone(), e.cell(), phase, e.weight(), e.startedAt()),
+        before.address());
   }
 
   private void forget(String uid) {
