--- a/decisions/src/main/java/gorseladder/forecast/CountMinSketch.java
+++ b/decisions/src/main/java/gorseladder/forecast/CountMinSketch.java
@@ -1,10 +1,10 @@
 package gorseladder.forecast;
 
 /**
- * Counts of many names in little room, never too low: a count-min sketch with conservative update (G. Cormode and S.
- * Muthukrishnan, "An Improved Data Stream Summary", 2005; C. Estan and G. Varghese, 2002). It tells functions wanted
- * only once from those that earn a forecast of their own, without a table entry for each name ever heard. Not thread
- * safe.
+ * Estimates counts of many names in bounded memory and never underestimates one: a count-min sketch with conservative
+ * update (G. Cormode and S. Muthukrishnan, "An Improved Data Stream Summary", 2005; C. Estan and G. Varghese, 2002). It
+ * separates functions called only once from those that get a forecast of their own, without a table entry for each
+ * name. Not thread safe.
  */
 final class CountMinSketch {
   private static final int ROWS = 4;
@@ -12,33 +12,33 @@
   private final int[][] counts;
   private final int mask;
 
-  /** A sketch with so many counters in each of four rows, rounded up to a power of two. */
+  /** Creates a sketch with {@code width} counters in each of four rows, rounded up to a power of two. */
   CountMinSketch(int width) {
     int size = Integer.highestOneBit(Math.max(16, width) * 2 - 1);
     counts = new int[ROWS][size];
     mask = size - 1;
   }
 
-  /** Adds calls of a name and returns its count, which is never below the true one. */
+  /** Adds calls to a name and returns its estimated count, which is never below the true one. */
   int add(String name, int calls) {
-    int least = Integer.MAX_VALUE;
-    int[] at = new int[ROWS];
+    int minimum = Integer.MAX_VALUE;
+    int[] columns = new int[ROWS];
     int hash = name.hashCode();
     for (int row = 0; row < ROWS; row++) {
       hash = (hash ^ (hash >>> 15)) * 0x2c1b3c6d + row;
       hash = (hash ^ (hash >>> 12)) * 0x297a2d39;
-      at[row] = (hash ^ (hash >>> 15)) & mask;
-      least = Math.min(least, counts[row][at[row]]);
+      columns[row] = (hash ^ (hash >>> 15)) & mask;
+      minimum = Math.min(minimum, counts[row][columns[row]]);
     }
-    int next = least + calls;
+    int updated = minimum + calls;
     for (int row = 0; row < ROWS; row++) {
-      counts[row][at[row]] = Math.max(counts[row][at[row]], next);
+      counts[row][columns[row]] = Math.max(counts[row][columns[row]], updated);
     }
-    return next;
+    return updated;
   }
 
-  /** Halves all counts, so that old names fade. */
-  void fade() {
+  /** Halves all counts, so that names that are no longer called lose weight. */
+  void halve() {
     for (int[] row : counts) {
       for (int i = 0; i < row.length; i++) {
         row[i] >>= 1;
--- a/decisions/src/main/java/gorseladder/forecast/Forecaster.java
+++ b/decisions/src/main/java/gorseladder/forecast/Forecaster.java
@@ -1,16 +1,16 @@
 package gorseladder.forecast;
 
 /**
- * One way to foresee the calls of one function. Slots are observed in their order, each once; a slot that was not
- * observed (the history has a hole) is skipped and teaches nothing. Not thread safe.
+ * Forecasts the calls of one function by one method. Slots are observed in ascending order, each at most once; a slot
+ * that is missing from the history is skipped and changes nothing. Not thread safe.
  */
 interface Forecaster {
-  /** The name in reports. */
+  /** A stable name, used in reports. */
   String name();
 
-  /** The calls expected in a slot after the last one observed; not negative. */
+  /** The calls expected in a slot after the last observed one; not negative. */
   double mean(long slot);
 
-  /** What came in a slot. */
+  /** Records the calls counted in a slot. */
   void observe(long slot, double calls);
 }
--- a/decisions/src/main/java/gorseladder/forecast/Forecasts.java
+++ b/decisions/src/main/java/gorseladder/forecast/Forecasts.java
@@ -8,63 +8,68 @@
 import java.util.Set;
 
 /**
- * Forecasts for all functions of a fleet, from counts of calls in slots. A function earns a forecast of its own once it
- * was called often enough; what is called once and never again stays in a sketch. A function not called for two weeks
- * is dropped.
+ * Forecasts for all functions of a fleet, from counts of calls in slots. A function gets a forecast of its own once it
+ * was called often enough; functions called once and never again are counted in a sketch only. A function not called
+ * for two weeks is dropped.
  *
- * <p>Free of clocks and input; it acts on the slots it is told and on what it observes, never on a name. Not thread
- * safe.
+ * <p>Reads no clock and does no I/O: the result depends only on the observed slots and counts, never on a function's
+ * name. Not thread safe.
  */
 public final class Forecasts {
-  /** Calls within about a day from which a function has a forecast of its own. */
-  private static final int EARNS = 3;
+  /** Calls within about a day after which a function gets a forecast of its own. */
+  private static final int MIN_CALLS_FOR_FORECAST = 3;
 
-  private static final int DROP_DAYS = 14;
+  private static final int MAX_IDLE_DAYS = 14;
 
   /**
-   * What is expected of one function in one slot.
+   * The forecast of one function in one slot.
    *
    * @param mean expected calls
-   * @param upper passed in about one slot of twenty
-   * @param forecasterName the way that speaks for this function now
+   * @param upper upper bound, exceeded in about one slot of twenty
+   * @param forecasterName the forecaster selected for this function
    */
   public record Forecast(String function, double mean, double upper, String forecasterName) {}
 
   private final SlotCalendar slots;
-  private final CountMinSketch heard;
+  private final CountMinSketch sketch;
   private final Map<String, FunctionForecast> functions = new LinkedHashMap<>();
-  private final Map<String, Long> lastCalled = new HashMap<>();
-  private long last = Long.MIN_VALUE;
-  private int day = Integer.MIN_VALUE;
+  private final Map<String, Long> lastCalledSlot = new HashMap<>();
+  private long lastSlot = Long.MIN_VALUE;
+  private int currentDay = Integer.MIN_VALUE;
 
-  /** Forecasts over these slots; the sketch has the told width (a few for each function heard of in a day). */
+  /**
+   * Creates forecasts over the slots of a calendar.
+   *
+   * @param sketchWidth counters in a row of the sketch: a few for each function called within a day
+   */
   public Forecasts(SlotCalendar slots, int sketchWidth) {
     this.slots = slots;
-    this.heard = new CountMinSketch(sketchWidth);
+    this.sketch = new CountMinSketch(sketchWidth);
   }
 
   /**
-   * Takes the counts of a whole slot; functions that are not named had no call. A slot at or before the last one is
-   * passed over, so that a history read twice counts once; a hole in the history teaches nothing.
+   * Records the counts of a whole slot; functions that are not named had no call. A slot at or before the last one is
+   * ignored, so that a history read twice counts once; slots missing from the history change nothing.
    *
-   * @return false where the slot was passed over
+   * @return false if the slot was ignored
    */
   public boolean observe(long slot, Map<String, Integer> calls) {
-    if (slot <= last) {
+    if (slot <= lastSlot) {
       return false;
     }
-    last = slot;
-    if (slots.day(slot) != day) {
-      day = slots.day(slot);
-      heard.fade();
-      drop(slot);
+    lastSlot = slot;
+    if (slots.day(slot) != currentDay) {
+      currentDay = slots.day(slot);
+      sketch.halve();
+      dropIdleFunctions(slot);
     }
     calls.forEach((function, count) -> {
       if (count > 0) {
-        lastCalled.computeIfPresent(function, (f, before) -> slot);
-        if (!functions.containsKey(function) && heard.add(function, count) >= EARNS) {
+        lastCalledSlot.computeIfPresent(function, (f, previous) -> slot);
+        if (!functions.containsKey(function)
+            && sketch.add(function, count) >= MIN_CALLS_FOR_FORECAST) {
           functions.put(function, new FunctionForecast(slots));
-          lastCalled.put(function, slot);
+          lastCalledSlot.put(function, slot);
         }
       }
     });
@@ -73,28 +78,32 @@
     return true;
   }
 
-  private void drop(long slot) {
-    long since = slot - (long) DROP_DAYS * slots.slotsPerDay();
-    for (Iterator<String> at = functions.keySet().iterator(); at.hasNext(); ) {
-      String function = at.next();
-      if (lastCalled.get(function) < since) {
-        at.remove();
-        lastCalled.remove(function);
+  private void dropIdleFunctions(long slot) {
+    long oldestSlot = slot - (long) MAX_IDLE_DAYS * slots.slotsPerDay();
+    for (Iterator<String> iterator = functions.keySet().iterator(); iterator.hasNext(); ) {
+      String function = iterator.next();
+      if (lastCalledSlot.get(function) < oldestSlot) {
+        iterator.remove();
+        lastCalledSlot.remove(function);
       }
     }
   }
 
-  /** What is expected of a function in a slot after the last one observed; nothing of one that earned no forecast. */
+  /** Forecasts a function in a slot after the last observed one; 0 calls without a forecast of its own. */
   public Forecast forecast(String function, long slot) {
     FunctionForecast forecast = functions.get(function);
     if (forecast == null) {
       return new Forecast(function, 0, 0, "none");
     }
-    FunctionForecast.Prediction e = forecast.forecast(slot);
-    return new Forecast(function, e.mean(), e.upper(), e.forecasterName());
+    FunctionForecast.Prediction prediction = forecast.forecast(slot);
+    return new Forecast(
+        function, prediction.mean(), prediction.upper(), prediction.forecasterName());
   }
 
-  /** What each way would have missed by lately, in calls, for a function; empty for one that earned no forecast. */
+  /**
+   * The recent absolute error of each forecaster for a function, in calls; empty for a function without a forecast of
+   * its own.
+   */
   public Map<String, Double> recentErrors(String function) {
     FunctionForecast forecast = functions.get(function);
     return forecast == null ? Map.of() : forecast.recentErrors();
@@ -105,8 +114,8 @@
     return Collections.unmodifiableSet(functions.keySet());
   }
 
-  /** The last slot observed; {@link Long#MIN_VALUE} before the first. */
+  /** The last observed slot; {@link Long#MIN_VALUE} before the first. */
   public long lastSlot() {
-    return last;
+    return lastSlot;
   }
 }
--- a/decisions/src/main/java/gorseladder/forecast/FunctionForecast.java
+++ b/decisions/src/main/java/gorseladder/forecast/FunctionForecast.java
@@ -5,96 +5,99 @@
 import java.util.Map;
 
 /**
- * The forecast of one function: several forecasters side by side, of which the one with the least own past error
- * speaks. None is chosen by name; each is judged by what it said before a slot against what came. On days whose name
- * was met before the one that remembers them begins: the others start with what they missed by on the first day of that
- * name.
+ * The forecast of one function: several forecasters run side by side and the one with the smallest recent error is
+ * selected. None is preferred by name; each is rated by its forecast of a slot against the calls counted in it. On
+ * dates whose name has occurred before, the same-date forecaster is selected at first: the others start with their
+ * errors on the first day of that name.
  *
- * <p>Guards against a pattern that ends (a renamed module, a term that is over): errors are forgotten within about two
- * days, so another way takes over. It could harm where ways take turns by chance on quiet functions; a change needs a
- * lead of a twentieth. Not thread safe.
+ * <p>When a pattern ends (a renamed module, the end of a term), another forecaster takes over, because errors fade
+ * within about two days. On quiet functions forecasters could alternate by chance, so a switch needs an error that is
+ * smaller by a twentieth. Not thread safe.
  */
 final class FunctionForecast {
-  /** A forecast: mean, an upper value that is passed in about one slot of twenty, and who speaks. */
+  /** A mean, an upper bound exceeded in about one slot of twenty, and the forecaster that was selected. */
   record Prediction(double mean, double upper, String forecasterName) {}
 
-  /** Days in which half of an error is forgotten. */
+  /** Days after which an error counts half. */
   private static final double HALF_LIFE_DAYS = 2;
-  /** A lead below this does not change the speaker. */
-  private static final double LEAD = 0.95;
-  /** Standard deviations to the upper value. */
-  private static final double UPPER = 1.65;
+  /** A forecaster is selected once its error is below this part of the selected one's error. */
+  private static final double SWITCH_RATIO = 0.95;
+  /** Standard deviations between the mean and the upper bound. */
+  private static final double UPPER_DEVIATIONS = 1.65;
 
   private final SameDateForecaster sameDate;
-  private final List<Forecaster> ways;
+  private final List<Forecaster> forecasters;
   /**
-   * Errors on common days, and on days whose name was met before: who is right on one kind need not be on the other.
+   * Errors on ordinary days [0] and on dates whose name has occurred before [1]: the best forecaster of one kind of day
+   * need not be the best of the other.
    */
   private final double[][] errors;
 
-  private final double keep;
-  private double spread = 1;
-  private final int[] speakers = new int[2];
-  private long last = Long.MIN_VALUE;
+  private final double retention;
+  private double dispersion = 1;
+  private final int[] selected = new int[2];
+  private long lastSlot = Long.MIN_VALUE;
 
   FunctionForecast(SlotCalendar slots) {
     sameDate = new SameDateForecaster(slots);
-    ways = List.of(
+    forecasters = List.of(
         new SparseForecaster(),
         new LastSlotForecaster(),
         new LastWeekForecaster(slots),
         new SeasonalForecaster(slots),
         sameDate);
-    speakers[1] = ways.indexOf(sameDate);
-    errors = new double[2][ways.size()];
-    keep = Math.pow(0.5, 1.0 / (HALF_LIFE_DAYS * slots.slotsPerDay()));
+    selected[1] = forecasters.indexOf(sameDate);
+    errors = new double[2][forecasters.size()];
+    retention = Math.pow(0.5, 1.0 / (HALF_LIFE_DAYS * slots.slotsPerDay()));
   }
 
-  /** What came in a slot; slots at or before the last one are passed over, so that nothing counts twice. */
+  /** Records the calls counted in a slot; slots at or before the last one are ignored, so that nothing counts twice. */
   void observe(long slot, double calls) {
-    if (slot <= last) {
+    if (slot <= lastSlot) {
       return;
     }
-    last = slot;
-    Prediction said = forecast(slot);
-    // How far calls scatter around the speaker's mean, in units of a Poisson's own scatter.
-    double off = (calls - said.mean()) * (calls - said.mean()) / Math.max(0.5, said.mean());
-    spread += (1 - keep) * 4 * (Math.min(off, 400) - spread);
-    int kind = kind(slot);
-    double[] error = errors[kind];
-    for (int i = 0; i < ways.size(); i++) {
-      double missed = Math.abs(ways.get(i).mean(slot) - calls);
-      error[i] = error[i] * keep + missed;
-      if (kind == 0 && sameDate.learns(slot) && ways.get(i) != sameDate) {
-        errors[1][i] += missed;
+    lastSlot = slot;
+    Prediction predicted = forecast(slot);
+    // Squared error of the selected forecaster in units of the variance of a Poisson distribution.
+    double scaledSquare =
+        (calls - predicted.mean()) * (calls - predicted.mean()) / Math.max(0.5, predicted.mean());
+    dispersion += (1 - retention) * 4 * (Math.min(scaledSquare, 400) - dispersion);
+    int dayKind = dayKind(slot);
+    double[] error = errors[dayKind];
+    for (int i = 0; i < forecasters.size(); i++) {
+      double absoluteError = Math.abs(forecasters.get(i).mean(slot) - calls);
+      error[i] = error[i] * retention + absoluteError;
+      if (dayKind == 0 && sameDate.isNewDate(slot) && forecasters.get(i) != sameDate) {
+        errors[1][i] += absoluteError;
       }
     }
-    ways.forEach(w -> w.observe(slot, calls));
-    for (int i = 0; i < ways.size(); i++) {
-      speakers[kind] = error[i] < LEAD * error[speakers[kind]] ? i : speakers[kind];
+    forecasters.forEach(f -> f.observe(slot, calls));
+    for (int i = 0; i < forecasters.size(); i++) {
+      selected[dayKind] =
+          error[i] < SWITCH_RATIO * error[selected[dayKind]] ? i : selected[dayKind];
     }
   }
 
-  private int kind(long slot) {
-    return sameDate.knows(slot) ? 1 : 0;
+  private int dayKind(long slot) {
+    return sameDate.isKnownDate(slot) ? 1 : 0;
   }
 
-  /** The expectation of a slot after the last one observed. */
+  /** Forecasts a slot after the last observed one. */
   Prediction forecast(long slot) {
-    Forecaster speaker = ways.get(speakers[kind(slot)]);
-    double mean = speaker.mean(slot);
+    Forecaster forecaster = forecasters.get(selected[dayKind(slot)]);
+    double mean = forecaster.mean(slot);
     return new Prediction(
-        mean, mean + UPPER * Math.sqrt(Math.max(1, spread) * Math.max(0.05, mean)), speaker.name());
+        mean,
+        mean + UPPER_DEVIATIONS * Math.sqrt(Math.max(1, dispersion) * Math.max(0.05, mean)),
+        forecaster.name());
   }
 
-  /**
-   * What each way would have missed by on common days, in calls, lately: the standing by which their speaker is chosen.
-   */
+  /** The recent absolute error of each forecaster on ordinary days, in calls; the selection is based on it. */
   Map<String, Double> recentErrors() {
-    Map<String, Double> standing = new LinkedHashMap<>();
-    for (int i = 0; i < ways.size(); i++) {
-      standing.put(ways.get(i).name(), errors[0][i]);
+    Map<String, Double> recentErrors = new LinkedHashMap<>();
+    for (int i = 0; i < forecasters.size(); i++) {
+      recentErrors.put(forecasters.get(i).name(), errors[0][i]);
     }
-    return standing;
+    return recentErrors;
   }
 }
--- a/decisions/src/main/java/gorseladder/forecast/LastSlotForecaster.java
+++ b/decisions/src/main/java/gorseladder/forecast/LastSlotForecaster.java
@@ -1,8 +1,8 @@
 package gorseladder.forecast;
 
-/** What came last goes on. */
+/** Expects the calls of the last observed slot to continue. */
 final class LastSlotForecaster implements Forecaster {
-  private double last;
+  private double lastCalls;
 
   @Override
   public String name() {
@@ -11,11 +11,11 @@
 
   @Override
   public double mean(long slot) {
-    return last;
+    return lastCalls;
   }
 
   @Override
   public void observe(long slot, double calls) {
-    last = calls;
+    lastCalls = calls;
   }
 }
--- a/decisions/src/main/java/gorseladder/forecast/LastWeekForecaster.java
+++ b/decisions/src/main/java/gorseladder/forecast/LastWeekForecaster.java
@@ -2,19 +2,24 @@
 
 import java.util.Arrays;
 
-/** The same slot a week ago; a day ago while no week is known; the mean so far before that. */
+/**
+ * Expects the calls of the same slot a week ago; those of a day ago while there is no observation of that slot, and the
+ * mean of all observations while there is neither.
+ */
 final class LastWeekForecaster implements Forecaster {
-  private final int week;
-  private final int day;
-  private final float[] seen;
+  private final int slotsPerWeek;
+  private final int slotsPerDay;
+  /** Calls by slot of the week; negative where the slot was not observed. */
+  private final float[] callsBySlot;
+
   private double sum;
   private long count;
 
   LastWeekForecaster(SlotCalendar slots) {
-    day = slots.slotsPerDay();
-    week = 7 * day;
-    seen = new float[week];
-    Arrays.fill(seen, -1);
+    slotsPerDay = slots.slotsPerDay();
+    slotsPerWeek = 7 * slotsPerDay;
+    callsBySlot = new float[slotsPerWeek];
+    Arrays.fill(callsBySlot, -1);
   }
 
   @Override
@@ -24,16 +29,16 @@
 
   @Override
   public double mean(long slot) {
-    float then = seen[(int) Math.floorMod(slot, (long) week)];
-    if (then < 0) {
-      then = seen[(int) Math.floorMod(slot - day, (long) week)];
+    float previous = callsBySlot[(int) Math.floorMod(slot, (long) slotsPerWeek)];
+    if (previous < 0) {
+      previous = callsBySlot[(int) Math.floorMod(slot - slotsPerDay, (long) slotsPerWeek)];
     }
-    return then >= 0 ? then : count == 0 ? 0 : sum / count;
+    return previous >= 0 ? previous : count == 0 ? 0 : sum / count;
   }
 
   @Override
   public void observe(long slot, double calls) {
-    seen[(int) Math.floorMod(slot, (long) week)] = (float) calls;
+    callsBySlot[(int) Math.floorMod(slot, (long) slotsPerWeek)] = (float) calls;
     sum += calls;
     count++;
   }
--- a/decisions/src/main/java/gorseladder/forecast/SameDateForecaster.java
+++ b/decisions/src/main/java/gorseladder/forecast/SameDateForecaster.java
@@ -4,19 +4,20 @@
 import java.util.Map;
 
 /**
- * The same slot of the last day with the same name; on a day without a name what last week's was, days with a name
- * apart. A known date mostly has hours of its own, which a factor for the whole day would smear.
+ * Expects the calls of the same slot on the last day with the same date name; on a day without a name, those of last
+ * week, named days left out. A known date mostly has busy hours of its own, which one factor for the whole day would
+ * spread over all hours.
  */
 final class SameDateForecaster implements Forecaster {
   private final SlotCalendar slots;
-  private final LastWeekForecaster common;
-  private final Map<String, float[]> last = new HashMap<>();
-  private final Map<String, float[]> present = new HashMap<>();
-  private int day = Integer.MIN_VALUE;
+  private final LastWeekForecaster ordinaryDays;
+  private final Map<String, float[]> previousByName = new HashMap<>();
+  private final Map<String, float[]> currentByName = new HashMap<>();
+  private int currentDay = Integer.MIN_VALUE;
 
   SameDateForecaster(SlotCalendar slots) {
     this.slots = slots;
-    this.common = new LastWeekForecaster(slots);
+    this.ordinaryDays = new LastWeekForecaster(slots);
   }
 
   @Override
@@ -24,34 +25,35 @@
     return "same-date";
   }
 
-  /** True on a day whose name it meets for the first time. */
-  boolean learns(long slot) {
-    return !slots.dateName(slot).isEmpty() && !knows(slot);
+  /** Whether the day of the slot has a name that has not occurred before. */
+  boolean isNewDate(long slot) {
+    return !slots.dateName(slot).isEmpty() && !isKnownDate(slot);
   }
 
-  /** True on a day whose name it has met before. */
-  boolean knows(long slot) {
-    return last.containsKey(slots.dateName(slot));
+  /** Whether the day of the slot has a name that has occurred before. */
+  boolean isKnownDate(long slot) {
+    return previousByName.containsKey(slots.dateName(slot));
   }
 
   @Override
   public double mean(long slot) {
-    float[] then = last.get(slots.dateName(slot));
-    return then == null ? common.mean(slot) : then[slots.slotOfDay(slot)];
+    float[] previous = previousByName.get(slots.dateName(slot));
+    return previous == null ? ordinaryDays.mean(slot) : previous[slots.slotOfDay(slot)];
   }
 
   @Override
   public void observe(long slot, double calls) {
-    if (slots.day(slot) != day) {
-      day = slots.day(slot);
-      last.putAll(present);
-      present.clear();
+    if (slots.day(slot) != currentDay) {
+      currentDay = slots.day(slot);
+      previousByName.putAll(currentByName);
+      currentByName.clear();
     }
     String date = slots.dateName(slot);
     if (date.isEmpty()) {
-      common.observe(slot, calls);
+      ordinaryDays.observe(slot, calls);
     } else {
-      present.computeIfAbsent(date, d -> new float[slots.slotsPerDay()])[slots.slotOfDay(slot)] =
+      currentByName
+              .computeIfAbsent(date, d -> new float[slots.slotsPerDay()])[slots.slotOfDay(slot)] =
           (float) calls;
     }
   }
--- a/decisions/src/main/java/gorseladder/forecast/SeasonalForecaster.java
+++ b/decisions/src/main/java/gorseladder/forecast/SeasonalForecaster.java
@@ -5,52 +5,52 @@
 
 /**
  * A level times factors for the time of day, the weekday and a known date, with a short-term correction. Each factor is
- * a ratio of what came to what was expected without it, drawn towards 1 by a prior of {@link #PRIOR} expected calls, so
- * that a quiet function is not moved by one odd call (empirical Bayes with a gamma prior on a Poisson rate).
+ * the ratio of observed calls to those expected without it, shrunk towards 1 by a prior of {@link #PRIOR_CALLS} calls,
+ * so that one odd call does not move a quiet function (empirical Bayes with a gamma prior on a Poisson rate).
  */
 final class SeasonalForecaster implements Forecaster {
-  /** Expected calls that stand behind a factor of 1. */
-  private static final double PRIOR = 20;
-  /** Part of its weight that a factor keeps at each observation: weeks for a time of day. */
-  private static final double KEEP = 0.9;
+  /** Expected calls of the prior, which has a factor of 1. */
+  private static final double PRIOR_CALLS = 20;
+  /** Part of the weight that a factor's history keeps at each observation; lasts weeks for a time of day. */
+  private static final double FACTOR_RETENTION = 0.9;
   /** Weight of the newest day in the level. */
-  private static final double LEVEL = 0.15;
-  /** Slots over which the short-term correction is felt. */
-  private static final double SHORT = 6;
+  private static final double LEVEL_WEIGHT = 0.15;
+  /** Slots over which the short-term correction is averaged. */
+  private static final double CORRECTION_SLOTS = 6;
 
   private static final class Factor {
-    private double came;
+    private double observed;
     private double expected;
 
     double value() {
-      return (came + PRIOR) / (expected + PRIOR);
+      return (observed + PRIOR_CALLS) / (expected + PRIOR_CALLS);
     }
 
-    void note(double calls, double without) {
-      came = came * KEEP + calls;
-      expected = expected * KEEP + without;
+    void record(double calls, double expectedWithout) {
+      observed = observed * FACTOR_RETENTION + calls;
+      expected = expected * FACTOR_RETENTION + expectedWithout;
     }
   }
 
   private final SlotCalendar slots;
-  private final Factor[] ofDay;
-  private final Factor[] ofWeek = new Factor[7];
-  private final Map<String, Factor> ofDate = new HashMap<>();
+  private final Factor[] timeFactors;
+  private final Factor[] weekdayFactors = new Factor[7];
+  private final Map<String, Factor> dateFactors = new HashMap<>();
   private double level = -1;
-  private double daySum;
+  private double adjustedDaySum;
   private int dayCount;
-  private int day = Integer.MIN_VALUE;
-  private double shortCame;
-  private double shortExpected;
+  private int currentDay = Integer.MIN_VALUE;
+  private double recentObserved;
+  private double recentExpected;
 
   SeasonalForecaster(SlotCalendar slots) {
     this.slots = slots;
-    ofDay = new Factor[slots.slotsPerDay()];
-    for (int i = 0; i < ofDay.length; i++) {
-      ofDay[i] = new Factor();
+    timeFactors = new Factor[slots.slotsPerDay()];
+    for (int i = 0; i < timeFactors.length; i++) {
+      timeFactors[i] = new Factor();
     }
     for (int i = 0; i < 7; i++) {
-      ofWeek[i] = new Factor();
+      weekdayFactors[i] = new Factor();
     }
   }
 
@@ -59,56 +59,58 @@
     return "seasonal";
   }
 
-  private double date(long slot) {
+  private double dateFactor(long slot) {
     String name = slots.dateName(slot);
-    return name.isEmpty() || !ofDate.containsKey(name) ? 1 : ofDate.get(name).value();
+    return name.isEmpty() || !dateFactors.containsKey(name)
+        ? 1
+        : dateFactors.get(name).value();
   }
 
-  private double base(long slot) {
-    double known = level >= 0 ? level : dayCount == 0 ? 0 : daySum / dayCount;
-    return known
-        * ofDay[slots.slotOfDay(slot)].value()
-        * ofWeek[slots.weekday(slot)].value()
-        * date(slot);
+  private double baseline(long slot) {
+    double currentLevel = level >= 0 ? level : dayCount == 0 ? 0 : adjustedDaySum / dayCount;
+    return currentLevel
+        * timeFactors[slots.slotOfDay(slot)].value()
+        * weekdayFactors[slots.weekday(slot)].value()
+        * dateFactor(slot);
   }
 
   @Override
   public double mean(long slot) {
-    return base(slot) * (shortCame + 5) / (shortExpected + 5);
+    return baseline(slot) * (recentObserved + 5) / (recentExpected + 5);
   }
 
   @Override
   public void observe(long slot, double calls) {
-    if (slots.day(slot) != day) {
-      newDay(slots.day(slot));
+    if (slots.day(slot) != currentDay) {
+      startDay(slots.day(slot));
     }
-    double expected = base(slot);
-    shortCame += (calls - shortCame) / SHORT;
-    shortExpected += (expected - shortExpected) / SHORT;
-    Factor time = ofDay[slots.slotOfDay(slot)];
-    Factor week = ofWeek[slots.weekday(slot)];
+    double expected = baseline(slot);
+    recentObserved += (calls - recentObserved) / CORRECTION_SLOTS;
+    recentExpected += (expected - recentExpected) / CORRECTION_SLOTS;
+    Factor time = timeFactors[slots.slotOfDay(slot)];
+    Factor weekday = weekdayFactors[slots.weekday(slot)];
     String date = slots.dateName(slot);
     if (!date.isEmpty()) {
-      double without = expected / date(slot);
-      // A known date speaks for itself: it must not bend what common days look like.
-      ofDate.computeIfAbsent(date, d -> new Factor()).note(calls, without);
+      double expectedWithout = expected / dateFactor(slot);
+      // Calls on a known date must not change the factors and the level of ordinary days.
+      dateFactors.computeIfAbsent(date, d -> new Factor()).record(calls, expectedWithout);
     } else {
-      double withoutTime = expected / time.value();
-      double withoutWeek = expected / week.value();
-      time.note(calls, withoutTime);
-      week.note(calls, withoutWeek);
-      daySum += calls / Math.max(0.1, time.value() * week.value());
+      double expectedWithoutTime = expected / time.value();
+      double expectedWithoutWeekday = expected / weekday.value();
+      time.record(calls, expectedWithoutTime);
+      weekday.record(calls, expectedWithoutWeekday);
+      adjustedDaySum += calls / Math.max(0.1, time.value() * weekday.value());
       dayCount++;
     }
   }
 
-  private void newDay(int next) {
+  private void startDay(int day) {
     if (dayCount > 0) {
-      double mean = daySum / dayCount;
-      level = level < 0 ? mean : level + LEVEL * (mean - level);
+      double mean = adjustedDaySum / dayCount;
+      level = level < 0 ? mean : level + LEVEL_WEIGHT * (mean - level);
     }
-    daySum = 0;
+    adjustedDaySum = 0;
     dayCount = 0;
-    day = next;
+    currentDay = day;
   }
 }
--- a/decisions/src/main/java/gorseladder/forecast/SlotCalendar.java
+++ b/decisions/src/main/java/gorseladder/forecast/SlotCalendar.java
@@ -3,23 +3,23 @@
 import java.util.Map;
 
 /**
- * The told division of time into slots of a day, and the known dates. A slot is counted from the first slot of day 0;
- * day 0 is a told weekday. Days are those of the caller's calendar, so that a change to summer time shifts nothing
- * here: a day that is an hour short or long has its last slots empty or added to the last one.
+ * Divides days into slots and names the known dates. Slots are counted from the first slot of day 0. Days are those of
+ * the caller's calendar, so that a daylight-saving change shifts no slots here: on a day that is an hour short some
+ * slots are empty, and on a day that is an hour long some slots are counted together.
  *
  * @param slotsPerDay slots in a day, 1 to 1440
  * @param firstWeekday the weekday of day 0, 0 to 6
- * @param dateNames what a known day is called, by its number; days of one name are expected to be alike
+ * @param dateNames names of known dates by day number; days with the same name are expected to be alike
  */
 public record SlotCalendar(int slotsPerDay, int firstWeekday, Map<Integer, String> dateNames) {
   public SlotCalendar {
     if (slotsPerDay < 1 || slotsPerDay > 1440 || firstWeekday < 0 || firstWeekday > 6) {
-      throw new IllegalArgumentException("impossible slots: perDay or firstWeekday");
+      throw new IllegalArgumentException("slotsPerDay or firstWeekday is out of range");
     }
     dateNames = Map.copyOf(dateNames);
   }
 
-  /** The slot of the day. */
+  /** The slot within its day, from 0. */
   public int slotOfDay(long slot) {
     return (int) Math.floorMod(slot, (long) slotsPerDay);
   }
@@ -34,7 +34,7 @@
     return Math.floorMod(day(slot) + firstWeekday, 7);
   }
 
-  /** The name of the known date, empty on a common day. */
+  /** The name of the known date, empty on an ordinary day. */
   public String dateName(long slot) {
     return dateNames.getOrDefault(day(slot), "");
   }
--- a/decisions/src/test/java/gorseladder/forecast/ForecastsTest.java
+++ b/decisions/src/test/java/gorseladder/forecast/ForecastsTest.java
@@ -11,14 +11,12 @@
 import java.util.function.LongToDoubleFunction;
 import org.junit.jupiter.api.Test;
 
-/**
- * Walk-forward throughout: each slot is forecast before it is observed. All days are drawn; all figures are simulated.
- */
+/** Walk-forward tests on simulated random counts: each slot is forecast before it is observed. */
 class ForecastsTest {
-  private static final int PER_DAY = 48;
+  private static final int SLOTS_PER_DAY = 48;
 
   private static SlotCalendar slots(Map<Integer, String> dates) {
-    return new SlotCalendar(PER_DAY, 0, dates);
+    return new SlotCalendar(SLOTS_PER_DAY, 0, dates);
   }
 
   private static int poisson(double mean, Random random) {
@@ -32,22 +30,22 @@
     return count;
   }
 
-  /** What a walk over drawn days says of one function. */
+  /** Forecast errors of one function over simulated days. */
   private static final class Walk {
-    double missed;
-    double came;
-    int over;
-    int judged;
-    Map<String, Integer> speakers = new HashMap<>();
-
-    double relative() {
-      return missed / came;
+    double absoluteError;
+    double observedCalls;
+    int aboveUpper;
+    int slotCount;
+    Map<String, Integer> selections = new HashMap<>();
+
+    double relativeError() {
+      return absoluteError / observedCalls;
     }
   }
 
   private static Walk walk(
       SlotCalendar slots, LongToDoubleFunction rate, int fromDay, int toDay, long seed) {
-    return walk(slots, rate, (long) fromDay * PER_DAY, (long) toDay * PER_DAY, seed);
+    return walk(slots, rate, (long) fromDay * SLOTS_PER_DAY, (long) toDay * SLOTS_PER_DAY, seed);
   }
 
   private static Walk walk(
@@ -59,11 +57,11 @@
       Forecasts.Forecast e = forecasts.forecast("f", slot);
       int calls = poisson(rate.applyAsDouble(slot), random);
       if (slot >= from) {
-        walk.missed += Math.abs(e.mean() - calls);
-        walk.came += calls;
-        walk.judged++;
-        walk.over += calls > e.upper() ? 1 : 0;
-        walk.speakers.merge(e.forecasterName(), 1, Integer::sum);
+        walk.absoluteError += Math.abs(e.mean() - calls);
+        walk.observedCalls += calls;
+        walk.slotCount++;
+        walk.aboveUpper += calls > e.upper() ? 1 : 0;
+        walk.selections.merge(e.forecasterName(), 1, Integer::sum);
       }
       forecasts.observe(slot, Map.of("f", calls));
     }
@@ -72,17 +70,18 @@
 
   private static double daily(long slot) {
     return 20
-        + 15 * Math.sin(2 * Math.PI * (slot % PER_DAY) / PER_DAY)
-        + (slot / PER_DAY % 7 >= 5 ? -5 : 0);
+        + 15 * Math.sin(2 * Math.PI * (slot % SLOTS_PER_DAY) / SLOTS_PER_DAY)
+        + (slot / SLOTS_PER_DAY % 7 >= 5 ? -5 : 0);
   }
 
   @Test
   void aDailyAndWeeklyPatternIsLearnedAndTheUpperValueHolds() {
     Walk walk = walk(slots(Map.of()), ForecastsTest::daily, 14, 35, 1);
-    assertTrue(walk.relative() < 0.24, "miss " + walk.relative());
-    assertTrue(walk.over < 0.12 * walk.judged, walk.over + " of " + walk.judged);
+    assertTrue(walk.relativeError() < 0.24, "relative error " + walk.relativeError());
+    assertTrue(walk.aboveUpper < 0.12 * walk.slotCount, walk.aboveUpper + " of " + walk.slotCount);
     assertTrue(
-        walk.speakers.getOrDefault("seasonal", 0) > walk.judged / 2, walk.speakers.toString());
+        walk.selections.getOrDefault("seasonal", 0) > walk.slotCount / 2,
+        walk.selections.toString());
   }
 
   @Test
@@ -93,30 +92,37 @@
         7,
         28,
         2);
-    assertTrue(walk.relative() < 0.4, "miss " + walk.relative());
+    assertTrue(walk.relativeError() < 0.4, "relative error " + walk.relativeError());
   }
 
   @Test
   void aKnownDateIsForeseenTheSecondTime() {
     Map<Integer, String> dates = Map.of(20, "term's end", 40, "term's end");
     LongToDoubleFunction rate =
-        slot -> daily(slot) * (dates.containsKey((int) (slot / PER_DAY)) ? 4 : 1);
-    // The first hours are the point: later in the day what came last would tell it too.
-    Walk told = walk(slots(dates), rate, 40L * PER_DAY, 40L * PER_DAY + 2, 3);
-    Walk untold = walk(slots(Map.of()), rate, 40L * PER_DAY, 40L * PER_DAY + 2, 3);
+        slot -> daily(slot) * (dates.containsKey((int) (slot / SLOTS_PER_DAY)) ? 4 : 1);
+    // Only the first slots show it: later in the day the last observed slot would predict the rise
+    // as well.
+    Walk withDates = walk(slots(dates), rate, 40L * SLOTS_PER_DAY, 40L * SLOTS_PER_DAY + 2, 3);
+    Walk withoutDates =
+        walk(slots(Map.of()), rate, 40L * SLOTS_PER_DAY, 40L * SLOTS_PER_DAY + 2, 3);
     assertTrue(
-        told.relative() < 0.6 * untold.relative(),
-        told.relative() + " against " + untold.relative());
+        withDates.relativeError() < 0.6 * withoutDates.relativeError(),
+        withDates.relativeError() + " with the date, without it " + withoutDates.relativeError());
     Walk dayAfter = walk(slots(dates), rate, 41, 42, 3);
-    assertTrue(dayAfter.relative() < 0.5, "the day after is " + dayAfter.relative());
+    assertTrue(dayAfter.relativeError() < 0.5, "the day after is " + dayAfter.relativeError());
   }
 
   @Test
   void aForecastThatIsTenTimesWrongIsForgottenWithinDays() {
     for (double factor : new double[] {10, 0.1}) {
       Walk after = walk(
-          slots(Map.of()), slot -> daily(slot) * (slot >= 21 * PER_DAY ? factor : 1), 25, 28, 4);
-      assertTrue(after.relative() < (factor > 1 ? 0.25 : 0.9), factor + ": " + after.relative());
+          slots(Map.of()),
+          slot -> daily(slot) * (slot >= 21 * SLOTS_PER_DAY ? factor : 1),
+          25,
+          28,
+          4);
+      assertTrue(
+          after.relativeError() < (factor > 1 ? 0.25 : 0.9), factor + ": " + after.relativeError());
     }
   }
 
@@ -126,16 +132,16 @@
     Forecasts forecasts = new Forecasts(slots(Map.of()), 64);
     Random random = new Random(6);
     double expected = 0;
-    int came = 0;
-    for (long slot = 0; slot < 42 * PER_DAY; slot++) {
+    int observedCalls = 0;
+    for (long slot = 0; slot < 42 * SLOTS_PER_DAY; slot++) {
       int calls = poisson(0.05, random);
-      expected += slot > 7 * PER_DAY ? forecasts.forecast("f", slot).mean() : 0;
-      came += slot > 7 * PER_DAY ? calls : 0;
+      expected += slot > 7 * SLOTS_PER_DAY ? forecasts.forecast("f", slot).mean() : 0;
+      observedCalls += slot > 7 * SLOTS_PER_DAY ? calls : 0;
       forecasts.observe(slot, Map.of("f", calls));
     }
     assertTrue(
-        walk.judged > 0 && expected > 0.3 * came && expected < 2 * came,
-        expected + " expected, " + came + " came");
+        walk.slotCount > 0 && expected > 0.3 * observedCalls && expected < 2 * observedCalls,
+        expected + " expected, " + observedCalls + " observed");
   }
 
   @Test
@@ -150,15 +156,15 @@
       assertFalse(twice.observe(slot - 3, Map.of("f", 9999)));
     }
     assertEquals(once.forecast("f", 500), twice.forecast("f", 500));
-    double before = once.forecast("f", 502 + PER_DAY).mean();
-    once.observe(500 + PER_DAY, Map.of("f", (int) daily(500 + PER_DAY)));
-    assertEquals(before, once.forecast("f", 502 + PER_DAY).mean(), 0.35 * before + 3);
+    double before = once.forecast("f", 502 + SLOTS_PER_DAY).mean();
+    once.observe(500 + SLOTS_PER_DAY, Map.of("f", (int) daily(500 + SLOTS_PER_DAY)));
+    assertEquals(before, once.forecast("f", 502 + SLOTS_PER_DAY).mean(), 0.35 * before + 3);
   }
 
   @Test
   void oneOffFunctionsStayInTheSketchAndOldOnesAreDropped() {
     Forecasts forecasts = new Forecasts(slots(Map.of()), 8192);
-    for (long slot = 0; slot < 5L * PER_DAY; slot++) {
+    for (long slot = 0; slot < 5L * SLOTS_PER_DAY; slot++) {
       Map<String, Integer> calls = new HashMap<>();
       calls.put("hot", 5);
       for (int i = 0; i < 20; i++) {
@@ -170,27 +176,27 @@
     assertTrue(
         forecasts.functions().size() < 10,
         forecasts.functions().size() + " of 4801 have a table entry");
-    for (long slot = 5L * PER_DAY; slot < 21L * PER_DAY; slot++) {
+    for (long slot = 5L * SLOTS_PER_DAY; slot < 21L * SLOTS_PER_DAY; slot++) {
       forecasts.observe(slot, Map.of());
     }
     assertTrue(forecasts.functions().isEmpty());
-    assertEquals("none", forecasts.forecast("hot", 22L * PER_DAY).forecasterName());
+    assertEquals("none", forecasts.forecast("hot", 22L * SLOTS_PER_DAY).forecasterName());
   }
 
   @Test
   void theSketchNeverCountsTooLow() {
     Random random = new Random(9);
     CountMinSketch sketch = new CountMinSketch(256);
-    Map<String, Integer> truth = new HashMap<>();
-    int over = 0;
+    Map<String, Integer> exactCounts = new HashMap<>();
+    int farTooHigh = 0;
     for (int i = 0; i < 5_000; i++) {
       String name = "f" + (int) (Math.pow(random.nextDouble(), 4) * 2_000);
-      int count = truth.merge(name, 1, Integer::sum);
-      int told = sketch.add(name, 1);
-      assertTrue(told >= count);
-      over += told > count + 20 ? 1 : 0;
+      int count = exactCounts.merge(name, 1, Integer::sum);
+      int estimate = sketch.add(name, 1);
+      assertTrue(estimate >= count);
+      farTooHigh += estimate > count + 20 ? 1 : 0;
     }
-    assertTrue(over < 500, over + " far too high");
+    assertTrue(farTooHigh < 500, farTooHigh + " estimates too high by more than 20");
   }
 
   @Test
@@ -202,7 +208,8 @@
   }
 
   /**
-   * A surge of some hours on a day with a name is foreseen from its second time on, and common days are not bent by it.
+   * A surge of some hours on a named date is forecast from its second occurrence on and does not change the forecasts
+   * of ordinary days.
    */
   @Test
   void theHoursOfANamedDayAreForeseenFromItsSecondTimeOn() {
