--- a/core/src/test/java/gorseladder/core/CoreTest.java
+++ b/core/src/test/java/gorseladder/core/CoreTest.java
@@ -53,12 +53,12 @@
 
     @Override
     public void beforeIdle() {
-      writers.release();
+      writers.releaseHeld();
     }
 
     @Override
     public void flush() {
-      writers.release();
+      writers.releaseHeld();
     }
   }
 
--- a/edge/src/main/java/gorseladder/edge/Edge.java
+++ b/edge/src/main/java/gorseladder/edge/Edge.java
@@ -207,7 +207,7 @@
         "edge {} takes webhooks at {}, up to {} bytes of messages; its ledger remembers {} messages, boot {}",
         settings.getOrdinal(),
         Address.print(address()),
-        messageBytes.most(),
+        messageBytes.limit(),
         ledger.size(),
         ledger.boots());
   }
--- a/edge/src/main/java/gorseladder/edge/core/TakenCall.java
+++ b/edge/src/main/java/gorseladder/edge/core/TakenCall.java
@@ -4,7 +4,7 @@
 import gorseladder.core.Call;
 import gorseladder.core.FinalAnswer;
 import gorseladder.runtime.Clock;
-import gorseladder.runtime.MessageBytes;
+import gorseladder.runtime.MessageMemory;
 import gorseladder.store.Ledger;
 import gorseladder.store.LedgerEntry;
 import gorseladder.store.LedgerEntry.Stage;
@@ -37,7 +37,7 @@
   /** Clients that wait for the answer, or have it and are being written to. */
   private int readers = 1;
 
-  private final List<MessageBytes> answers = new ArrayList<>(1);
+  private final List<MessageMemory> answers = new ArrayList<>(1);
 
   /**
    * A call just taken.
@@ -112,7 +112,7 @@
   }
 
   /** Has the memory of an attempt's answer taken until the call has ended and no client reads its answer any more. */
-  public void keep(MessageBytes answer) {
+  public void keep(MessageMemory answer) {
     synchronized (this) {
       answers.add(answer);
     }
@@ -130,7 +130,7 @@
   private void releaseAnswers() {
     synchronized (this) {
       if (isFinished() && readers == 0) {
-        answers.forEach(MessageBytes::end);
+        answers.forEach(MessageMemory::end);
         answers.clear();
       }
     }
--- a/edge/src/main/java/gorseladder/edge/front/AnswerWriter.java
+++ b/edge/src/main/java/gorseladder/edge/front/AnswerWriter.java
@@ -45,7 +45,7 @@
       head.field("Connection", "close");
     }
     // A long body follows its head in a write of its own, which needs no copy of it.
-    if (body.length <= HttpConnection.BUFFER) {
+    if (body.length <= HttpConnection.BUFFER_BYTES) {
       write(connection, head.with(body));
     } else {
       write(connection, head.before(body), body);
--- a/edge/src/main/java/gorseladder/edge/front/UnfinishedRequests.java
+++ b/edge/src/main/java/gorseladder/edge/front/UnfinishedRequests.java
@@ -1,7 +1,7 @@
 package gorseladder.edge.front;
 
 import gorseladder.runtime.ByteBudget;
-import gorseladder.runtime.MessageBytes;
+import gorseladder.runtime.MessageMemory;
 import java.util.Iterator;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -17,7 +17,7 @@
  */
 public final class UnfinishedRequests {
   private final ByteBudget budget;
-  private final Set<MessageBytes> oldestFirst = new LinkedHashSet<>();
+  private final Set<MessageMemory> oldestFirst = new LinkedHashSet<>();
 
   /** Requests that take their memory from that budget. */
   public UnfinishedRequests(ByteBudget budget) {
@@ -25,24 +25,24 @@
   }
 
   /** A request begins. */
-  synchronized MessageBytes begin() {
-    MessageBytes request = new MessageBytes(List.of(budget), this::makeRoom);
+  synchronized MessageMemory begin() {
+    MessageMemory request = new MessageMemory(List.of(budget), this::makeRoom);
     oldestFirst.add(request);
     return request;
   }
 
   /** It is whole, or ends; false where it had to make room before. */
-  synchronized boolean finish(MessageBytes request) {
+  synchronized boolean finish(MessageMemory request) {
     return oldestFirst.remove(request);
   }
 
   /** Gives up the oldest, whatever it keeps; false where there is none. */
   public synchronized boolean makeRoom(long wanted) {
-    Iterator<MessageBytes> oldest = oldestFirst.iterator();
+    Iterator<MessageMemory> oldest = oldestFirst.iterator();
     if (!oldest.hasNext()) {
       return false;
     }
-    MessageBytes request = oldest.next();
+    MessageMemory request = oldest.next();
     oldest.remove();
     request.end();
     return true;
--- a/edge/src/main/java/gorseladder/edge/front/WebhookFront.java
+++ b/edge/src/main/java/gorseladder/edge/front/WebhookFront.java
@@ -16,7 +16,7 @@
 import gorseladder.runtime.Clock;
 import gorseladder.runtime.HttpConnection;
 import gorseladder.runtime.HttpServer;
-import gorseladder.runtime.MessageBytes;
+import gorseladder.runtime.MessageMemory;
 import gorseladder.runtime.NoRoomException;
 import gorseladder.runtime.ThreadCache;
 import gorseladder.runtime.Watchdog;
@@ -200,7 +200,7 @@
     c.aroundWaits(() -> {}, () -> {});
     log.rejected(c.peer(), reason, detail);
     answers.write(c, FinalAnswer.of(reason), detail, false);
-    c.closeGently(Clock.micros() + LINGER);
+    c.closeGracefully(Clock.micros() + LINGER);
   }
 
   /** One request and its answer; false where the connection carries no further one. */
@@ -210,7 +210,7 @@
       return false;
     }
     inProgress.incrementAndGet();
-    MessageBytes memory = unfinished.begin();
+    MessageMemory memory = unfinished.begin();
     try {
       return exchange(c, turn, memory);
     } finally {
@@ -234,23 +234,23 @@
     return came;
   }
 
-  private boolean exchange(HttpConnection c, TurnQueue.Turn turn, MessageBytes memory)
+  private boolean exchange(HttpConnection c, TurnQueue.Turn turn, MessageMemory memory)
       throws IOException, BadMessage {
     // Its client has waited since it came: behind another one, in a pause of this process, for a
     // turn.
-    long arrivedAt = c.cameAt();
+    long arrivedAt = c.earliestArrival();
     long until = Clock.micros() + settings.arrival();
     Head head;
     byte[] body;
     try {
       c.takeMemoryFrom(memory);
-      memory.take(HttpConnection.BUFFER);
+      memory.take(HttpConnection.BUFFER_BYTES);
       head = c.readRequest(until);
       BodyParser parser = BodyParser.forRequest(head, settings.limits());
       expectation(c, head, parser);
       body = c.readBody(parser, until);
       if (!unfinished.finish(memory)) {
-        memory.requireOpen();
+        memory.requireNotEnded();
       }
     } catch (SocketTimeoutException e) {
       turn.give();
@@ -292,7 +292,7 @@
     if (expect != null && !expect.equalsIgnoreCase("100-continue")) {
       throw new BadMessage(BadMessage.Fault.WRONG_EXPECTATION, Reason.WRONG_EXPECTATION.text);
     }
-    if (expect != null && head.minorVersion() >= 1 && !body.done() && !c.hasUnreadBytes()) {
+    if (expect != null && head.minorVersion() >= 1 && !body.done() && !c.hasBufferedBytes()) {
       c.write(CONTINUE);
     }
   }
--- a/edge/src/main/java/gorseladder/edge/runners/AnswerReader.java
+++ b/edge/src/main/java/gorseladder/edge/runners/AnswerReader.java
@@ -1,6 +1,6 @@
 package gorseladder.edge.runners;
 
-import gorseladder.runtime.MessageBytes;
+import gorseladder.runtime.MessageMemory;
 import gorseladder.runtime.NoRoomException;
 import gorseladder.wire.oip.Oip;
 
@@ -17,10 +17,10 @@
    * @param memory holds the answer, which the caller keeps no longer
    * @throws IllegalArgumentException where the answer is not an inference response
    */
-  static byte[] result(byte[] answer, MessageBytes memory) throws NoRoomException {
+  static byte[] result(byte[] answer, MessageMemory memory) throws NoRoomException {
     memory.take((long) COST * answer.length);
     byte[] result = Oip.content(answer).data();
-    memory.keepOnly(result.length);
+    memory.shrinkTo(result.length);
     return result;
   }
 }
--- a/edge/src/main/java/gorseladder/edge/runners/Runners.java
+++ b/edge/src/main/java/gorseladder/edge/runners/Runners.java
@@ -21,7 +21,7 @@
 import gorseladder.runtime.Clock;
 import gorseladder.runtime.HttpConnection;
 import gorseladder.runtime.LocalShortage;
-import gorseladder.runtime.MessageBytes;
+import gorseladder.runtime.MessageMemory;
 import gorseladder.runtime.NoRoomException;
 import gorseladder.runtime.ThreadCache;
 import gorseladder.runtime.Watchdog;
@@ -179,7 +179,7 @@
     private final String worker;
     private final long began = Clock.micros();
     private final long until;
-    private final MessageBytes memory = unfinished.memory();
+    private final MessageMemory memory = unfinished.memory();
     private Progress progress = Progress.WAITING;
     private HttpConnection connection;
     private boolean cancelled;
@@ -274,18 +274,19 @@
       progress = Progress.ANSWERING;
       byte[] body = connection.readBody(BodyParser.forResponse(head, limits), until);
       if (!unfinished.finish(memory)) {
-        memory.requireOpen();
+        memory.requireNotEnded();
       }
       answered(head, body);
     }
 
     /** Writes the request where the last look allows it; false where it does not. */
     private boolean writeRequest() throws IOException {
-      memory.take(HttpConnection.BUFFER + (long) REQUEST_COST * call.facts().body().length);
+      memory.take(
+          HttpConnection.BUFFER_BYTES + (long) REQUEST_COST * call.facts().body().length);
       byte[] message = message();
-      memory.keepOnly(message.length);
+      memory.shrinkTo(message.length);
       boolean left = write(message);
-      memory.keepOnly(0);
+      memory.shrinkTo(0);
       return left;
     }
 
@@ -479,7 +480,7 @@
     Progress progress = Progress.CONNECTING;
     long until = began + settings.order();
     InetSocketAddress address = addresses.apply(worker);
-    MessageBytes memory = unfinished.memory();
+    MessageMemory memory = unfinished.memory();
     try (HttpConnection connection =
         address == null ? null : HttpConnection.open(address, settings.connect() / 1000, limits)) {
       boolean open;
@@ -539,7 +540,7 @@
       if (ConnectionChoice.mayReuse(
               effect, age, settings.connectionIdle(), settings.unsafeConnectionIdle())
           && !newest.connection().peerGone()
-          && !newest.connection().hasUnreadBytes()) {
+          && !newest.connection().hasBufferedBytes()) {
         return newest.connection();
       }
       boolean onlyTooOldForThis = effect == Effect.UNSAFE
@@ -563,7 +564,7 @@
     ArrayDeque<Kept> kept = idle.computeIfAbsent(worker, w -> new ArrayDeque<>());
     synchronized (kept) {
       if (head.keepsConnection()
-          && !connection.hasUnreadBytes()
+          && !connection.hasBufferedBytes()
           && ConnectionChoice.mayKeep(effect, kept.size())) {
         keep(kept, new Kept(connection, Clock.micros()));
         return;
--- a/edge/src/main/java/gorseladder/edge/runners/UnfinishedAnswers.java
+++ b/edge/src/main/java/gorseladder/edge/runners/UnfinishedAnswers.java
@@ -1,7 +1,7 @@
 package gorseladder.edge.runners;
 
 import gorseladder.runtime.ByteBudget;
-import gorseladder.runtime.MessageBytes;
+import gorseladder.runtime.MessageMemory;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Map;
@@ -24,7 +24,7 @@
   private final ByteBudget all;
   private final ByteBudget answers;
   private final LongPredicate requestsMakeRoom;
-  private final Map<MessageBytes, Runnable> open = new ConcurrentHashMap<>();
+  private final Map<MessageMemory, Runnable> open = new ConcurrentHashMap<>();
 
   /**
    * Answers within a budget.
@@ -33,39 +33,39 @@
    */
   public UnfinishedAnswers(ByteBudget all, LongPredicate requestsMakeRoom) {
     this.all = all;
-    this.answers = new ByteBudget(all.most() - all.most() / PARTS);
+    this.answers = new ByteBudget(all.limit() - all.limit() / PARTS);
     this.requestsMakeRoom = requestsMakeRoom;
   }
 
   /** The longest answer that can be taken in, with what reading it takes beside it. */
   public long longest() {
-    return answers.most() / (1 + AnswerReader.COST);
+    return answers.limit() / (1 + AnswerReader.COST);
   }
 
   /** The memory of an attempt or an order, for its request and then for its answer. */
-  MessageBytes memory() {
-    return new MessageBytes(List.of(answers, all), this::makeRoom);
+  MessageMemory memory() {
+    return new MessageMemory(List.of(answers, all), this::makeRoom);
   }
 
   /** An answer is awaited from now on; {@code giveUp} ends its attempt, from any thread and without blocking. */
-  void begin(MessageBytes answer, Runnable giveUp) {
+  void begin(MessageMemory answer, Runnable giveUp) {
     open.put(answer, giveUp);
   }
 
   /** It is whole, or its attempt ends; false where it was given up before. */
-  boolean finish(MessageBytes answer) {
+  boolean finish(MessageMemory answer) {
     return open.remove(answer) != null;
   }
 
   private boolean makeRoom(long bytes) {
-    boolean withinPart = answers.used() + bytes <= answers.most();
+    boolean withinPart = answers.used() + bytes <= answers.limit();
     return withinPart && requestsMakeRoom.test(bytes) || giveUpLargest();
   }
 
   private boolean giveUpLargest() {
-    Optional<MessageBytes> largest = open.keySet().stream()
+    Optional<MessageMemory> largest = open.keySet().stream()
         .filter(answer -> answer.taken() > 0)
-        .max(Comparator.comparingLong(MessageBytes::taken));
+        .max(Comparator.comparingLong(MessageMemory::taken));
     if (largest.isEmpty()) {
       return false;
     }
--- a/node/src/main/java/gorseladder/node/CallPath.java
+++ b/node/src/main/java/gorseladder/node/CallPath.java
@@ -116,12 +116,12 @@
 
     @Override
     public void beforeIdle() {
-      writers.release();
+      writers.releaseHeld();
     }
 
     @Override
     public void flush() {
-      writers.release();
+      writers.releaseHeld();
     }
 
     @Override
--- a/node/src/main/java/gorseladder/node/Node.java
+++ b/node/src/main/java/gorseladder/node/Node.java
@@ -111,7 +111,7 @@
         && config.peerListen() != null
         && config.peersAll() != null;
     peers = mayTell
-        ? Retry.whilePassing(
+        ? Retry.whileTransient(
             LocalShortage::is,
             () -> new TierLink(
                 config.peerListen(),
@@ -126,7 +126,7 @@
         WarmUp.run(config, startList, watchdog, pauses, connectionThreads, WarmUp.MOST);
     ThreadReclaimer sharer = new ThreadReclaimer(front::idle, links::idle);
     links.shareThreadsBy(sharer);
-    Retry.whilePassing(LocalShortage::is, () -> {
+    Retry.whileTransient(LocalShortage::is, () -> {
       front.listen(config.listen(), STACK, connectionThreads, sharer);
       return front;
     });
@@ -155,7 +155,7 @@
               summary());
         }
         logSummary();
-        writers.relieve();
+        writers.growIfBlocked();
         links.check();
         front.check();
         changeLog.noteSilence();
@@ -227,7 +227,7 @@
   public String summary() {
     return "front: " + front.summary() + "; links: " + links.summary() + "; change log: "
         + changeLog.summary() + "; configuration: " + tellsMore.get() + "; pauses "
-        + pauses.stalls() + "; vain starts of threads " + connectionThreads.vainStarts()
+        + pauses.stalls() + "; vain starts of threads " + connectionThreads.failedStarts()
         + "; rules broken " + rules.counts();
   }
 
--- a/node/src/main/java/gorseladder/node/NodeConfig.java
+++ b/node/src/main/java/gorseladder/node/NodeConfig.java
@@ -127,7 +127,7 @@
   /** A file that is there and cannot be read just now is tried again: without it there is no start. */
   private static byte[] readAtStart(Path file) {
     try {
-      return Retry.whilePassing(
+      return Retry.whileTransient(
           failure ->
               !(failure instanceof NoSuchFileException || failure instanceof AccessDeniedException)
                   && Files.isRegularFile(file),
--- a/node/src/main/java/gorseladder/node/front/Arrival.java
+++ b/node/src/main/java/gorseladder/node/front/Arrival.java
@@ -13,7 +13,7 @@
 record Arrival(long at, long clientSeenFrom) {
   /** The arrival of a request whose last bytes were read just now. */
   static Arrival of(ArrivalTimes times) {
-    long came = times.came();
+    long came = times.earliestArrival();
     long readAt = times.readAt();
     boolean late = readAt - came > StallWatch.SETTLE;
     return new Arrival(came, late ? readAt + StallWatch.SETTLE : 0);
--- a/node/src/main/java/gorseladder/node/front/FastCgiFront.java
+++ b/node/src/main/java/gorseladder/node/front/FastCgiFront.java
@@ -266,7 +266,7 @@
         facts.message(),
         facts.requestClass().name(),
         (facts.deadlineAt() - Clock.micros()) / 1_000);
-    Verdict mayTake = Permits.mayTake(held.size(), mostHeld, budget.used(), budget.most());
+    Verdict mayTake = Permits.mayTake(held.size(), mostHeld, budget.used(), budget.limit());
     if (!mayTake.allowed() || !core.offer(call)) {
       call.finish(FinalAnswer.withoutRetryAdvice(Reason.BUSY), Clock.micros());
     }
@@ -367,7 +367,7 @@
 
   /** Past the bound by answers that nobody reads, closes the connection that has most of them. */
   private void makeRoomForAnswers() {
-    for (int tries = 0; budget.used() > budget.most() && tries < MOST_CLOSED_AT_ONCE; tries++) {
+    for (int tries = 0; budget.used() > budget.limit() && tries < MOST_CLOSED_AT_ONCE; tries++) {
       if (!makeRoomForBytes()) {
         connections.values().stream()
             .max((a, b) -> Long.compare(a.unwritten(), b.unwritten()))
--- a/node/src/main/java/gorseladder/node/front/FrontConnection.java
+++ b/node/src/main/java/gorseladder/node/front/FrontConnection.java
@@ -170,7 +170,7 @@
         look(true);
         buffer.limit(buffer.capacity());
         if (channel.socket().getInputStream().available() > 0) {
-          arrivals.readOn(channel.read(buffer));
+          arrivals.readMore(channel.read(buffer));
         }
         parser.feed(buffer.array(), 0, buffer.position(), this);
         look(false);
--- a/node/src/test/java/gorseladder/node/runners/RunnerRequestTest.java
+++ b/node/src/test/java/gorseladder/node/runners/RunnerRequestTest.java
@@ -355,7 +355,7 @@
     int ended = 0;
     for (Socket runner : runners) {
       ended += endsWithin(runner, 500) ? 1 : 0;
-      assertTrue(budget.used() <= budget.most(), budget.used() + " bytes");
+      assertTrue(budget.used() <= budget.limit(), budget.used() + " bytes");
     }
     assertTrue(ended >= 1, "all of them are kept");
     assertTrue(budget.used() > 0, "the others are kept");
--- a/runtime/src/main/java/gorseladder/runtime/ArrivalTimes.java
+++ b/runtime/src/main/java/gorseladder/runtime/ArrivalTimes.java
@@ -15,7 +15,7 @@
  * <p>Not thread safe: the connection's thread. Times are microseconds.
  */
 public final class ArrivalTimes {
-  private final LongUnaryOperator cameAt;
+  private final LongUnaryOperator earliestArrivalFor;
   /** The earliest time for bytes that are read now. */
   private long earliest;
   /** What is read past {@link #markedUpTo} came after this time. */
@@ -33,8 +33,8 @@
    * @param cameAt the earliest time at which something may have come that a read returned just then
    * @param waitedSince since when its bytes may have lain unread
    */
-  public ArrivalTimes(LongUnaryOperator cameAt, long waitedSince) {
-    this.cameAt = cameAt;
+  public ArrivalTimes(LongUnaryOperator earliestArrivalFor, long waitedSince) {
+    this.earliestArrivalFor = earliestArrivalFor;
     this.markedAt = waitedSince;
     this.earliest = waitedSince;
   }
@@ -54,14 +54,14 @@
     readAt = now;
     bytesRead += count;
     if (!unreadBefore) {
-      earliest = cameAt.applyAsLong(now);
+      earliest = earliestArrivalFor.applyAsLong(now);
       markedAt = earliest;
       markedUpTo = bytesRead;
     }
   }
 
   /** More was read at once, without a wait. */
-  public void readOn(int count) {
+  public void readMore(int count) {
     bytesRead += Math.max(0, count);
     if (!unreadBefore) {
       markedUpTo = bytesRead;
@@ -69,8 +69,8 @@
   }
 
   /** The earliest time at which what was read last may have come. */
-  public long came() {
-    return Math.min(earliest, cameAt.applyAsLong(readAt));
+  public long earliestArrival() {
+    return Math.min(earliest, earliestArrivalFor.applyAsLong(readAt));
   }
 
   /** When the last read ended. */
--- a/runtime/src/main/java/gorseladder/runtime/ByteBudget.java
+++ b/runtime/src/main/java/gorseladder/runtime/ByteBudget.java
@@ -4,17 +4,17 @@
 
 /** Counts bytes that others have this process keep, against one bound for all of them. Any thread. */
 public final class ByteBudget {
-  private final long most;
+  private final long limit;
   private final AtomicLong used = new AtomicLong();
 
   /** A budget of so many bytes. */
-  public ByteBudget(long most) {
-    this.most = most;
+  public ByteBudget(long limit) {
+    this.limit = limit;
   }
 
   /** Takes so many bytes where the bound allows it; false where it does not, and then nothing is taken. */
   public boolean tryTake(long bytes) {
-    if (used.addAndGet(bytes) <= most) {
+    if (used.addAndGet(bytes) <= limit) {
       return true;
     }
     used.addAndGet(-bytes);
@@ -23,7 +23,7 @@
 
   /** Takes bytes that have to be kept, even past the bound; true where it still holds. */
   public boolean take(long bytes) {
-    return used.addAndGet(bytes) <= most;
+    return used.addAndGet(bytes) <= limit;
   }
 
   /** Gives back bytes that were taken. */
@@ -37,7 +37,7 @@
   }
 
   /** The bound. */
-  public long most() {
-    return most;
+  public long limit() {
+    return limit;
   }
 }
--- a/runtime/src/main/java/gorseladder/runtime/HttpConnection.java
+++ b/runtime/src/main/java/gorseladder/runtime/HttpConnection.java
@@ -23,7 +23,7 @@
  */
 public final class HttpConnection implements Closeable {
   /** Bytes that are read at a time, which a connection in use holds. */
-  public static final int BUFFER = 8192;
+  public static final int BUFFER_BYTES = 8192;
 
   /** Bytes that are written at a time; the thread keeps a copy as long as its longest write, outside the heap. */
   private static final int WRITE = 16_384;
@@ -41,10 +41,10 @@
   private long readBytes;
   private ArrivalTimes arrivals = new ArrivalTimes(now -> now, Clock.micros());
   /** When the first byte of the buffer may have come at the earliest. */
-  private long cameAt;
+  private long earliestArrival;
 
   /** Where what is read now takes its memory. */
-  private MessageBytes memory = MessageBytes.unbounded();
+  private MessageMemory memory = MessageMemory.unbounded();
 
   private Runnable beforeWait = () -> {};
   private Runnable afterWait = () -> {};
@@ -82,7 +82,7 @@
   }
 
   /** Has messages that are read from now on take their memory there; without this it has no bound. */
-  public void takeMemoryFrom(MessageBytes message) {
+  public void takeMemoryFrom(MessageMemory message) {
     memory = message;
   }
 
@@ -92,8 +92,8 @@
   }
 
   /** The earliest time at which the first byte that is not used yet may have come; {@link Clock#micros()}. */
-  public long cameAt() {
-    return cameAt;
+  public long earliestArrival() {
+    return earliestArrival;
   }
 
   /** Bytes read from the socket so far. */
@@ -126,14 +126,14 @@
   }
 
   private Head readHead(HeadParser parser, long until) throws IOException, BadMessage {
-    memory.discardBy(parser::discard);
+    memory.onDiscard(parser::discard);
     while (!parser.done()) {
       if (from == to && !fill(until)) {
         throw new EOFException("the connection ended inside a header section");
       }
       feed(parser);
     }
-    memory.discardBy(() -> {});
+    memory.onDiscard(() -> {});
     return parser.head();
   }
 
@@ -141,7 +141,7 @@
     long most = (long) HEAD_COST * (to - from);
     memory.take(most);
     synchronized (memory) {
-      memory.requireOpen();
+      memory.requireNotEnded();
       int used = parser.feed(buffer, from, to - from);
       from += used;
       memory.giveBack(most - (long) HEAD_COST * used);
@@ -150,7 +150,7 @@
 
   /** Reads the content that the parser expects. */
   public byte[] readBody(BodyParser parser, long until) throws IOException, BadMessage {
-    memory.discardBy(parser::discard);
+    memory.onDiscard(parser::discard);
     while (!parser.done()) {
       if (from == to && !fill(until)) {
         if (parser.ended()) {
@@ -172,7 +172,7 @@
       memory.take(after);
     }
     synchronized (memory) {
-      memory.requireOpen();
+      memory.requireNotEnded();
       from += parser.feed(buffer, from, to - from);
       if (grows) {
         memory.giveBack(before);
@@ -186,8 +186,8 @@
       memory.giveBack(parser.held());
     }
     synchronized (memory) {
-      memory.requireOpen();
-      memory.discardBy(() -> {});
+      memory.requireNotEnded();
+      memory.onDiscard(() -> {});
       return parser.content();
     }
   }
@@ -201,8 +201,8 @@
       throw new SocketTimeoutException("the time to read is over");
     }
     socket.setSoTimeout((int) Math.min(left, Integer.MAX_VALUE));
-    if (readBytes > 0 && buffer.length < BUFFER) {
-      buffer = new byte[BUFFER];
+    if (readBytes > 0 && buffer.length < BUFFER_BYTES) {
+      buffer = new byte[BUFFER_BYTES];
     }
     beforeWait.run();
     int count;
@@ -213,7 +213,7 @@
     } finally {
       afterWait.run();
     }
-    cameAt = arrivals.came();
+    earliestArrival = arrivals.earliestArrival();
     from = 0;
     to = Math.max(0, count);
     readBytes += to;
@@ -240,7 +240,7 @@
         arrivals.beforeRead(UnreadBytes.count(channel), Clock.micros());
         int count = channel.read(ByteBuffer.wrap(buffer, used, buffer.length - used));
         arrivals.afterRead(Math.max(0, count), Clock.micros());
-        cameAt = keepsBytes ? cameAt : arrivals.came();
+        earliestArrival = keepsBytes ? earliestArrival : arrivals.earliestArrival();
         from = 0;
         to = used + Math.max(0, count);
         readBytes += Math.max(0, count);
@@ -256,8 +256,8 @@
 
   /** Moves unused bytes to the beginning of the buffer; false where they fill it. */
   private boolean makeRoom() {
-    if (from == 0 && to == buffer.length && buffer.length < BUFFER) {
-      buffer = Arrays.copyOf(buffer, BUFFER);
+    if (from == 0 && to == buffer.length && buffer.length < BUFFER_BYTES) {
+      buffer = Arrays.copyOf(buffer, BUFFER_BYTES);
     }
     System.arraycopy(buffer, from, buffer, 0, to - from);
     to -= from;
@@ -266,7 +266,7 @@
   }
 
   /** True where bytes wait that no message asked for. */
-  public boolean hasUnreadBytes() {
+  public boolean hasBufferedBytes() {
     return from < to;
   }
 
@@ -300,7 +300,7 @@
   /**
    * Tells the other side that nothing more comes, and reads away what it still sends for a moment, so that it is read.
    */
-  public void closeGently(long until) {
+  public void closeGracefully(long until) {
     try {
       channel.shutdownOutput();
       while (fill(until)) {
--- a/runtime/src/main/java/gorseladder/runtime/MessageBytes.java
+++ b/runtime/src/main/java/gorseladder/runtime/MessageMemory.java
@@ -11,7 +11,7 @@
  * thread; whoever keeps bytes for the message changes them under this object's lock, so that {@link #end} can let go of
  * them from another thread.
  */
-public final class MessageBytes {
+public final class MessageMemory {
   private static final Runnable NOTHING = () -> {};
 
   private final List<ByteBudget> budgets;
@@ -27,14 +27,14 @@
    * @param makeRoom is asked past a bound, with the bytes that are wanted and without a lock of this object; false if
    *     it could make none
    */
-  public MessageBytes(List<ByteBudget> budgets, LongPredicate makeRoom) {
+  public MessageMemory(List<ByteBudget> budgets, LongPredicate makeRoom) {
     this.budgets = budgets;
     this.makeRoom = makeRoom;
   }
 
   /** Memory without a bound, for peers that the operator runs. */
-  public static MessageBytes unbounded() {
-    return new MessageBytes(List.of(), bytes -> false);
+  public static MessageMemory unbounded() {
+    return new MessageMemory(List.of(), bytes -> false);
   }
 
   /**
@@ -51,7 +51,7 @@
   }
 
   private synchronized boolean tryTake(long bytes) throws NoRoomException {
-    requireOpen();
+    requireNotEnded();
     for (int i = 0; i < budgets.size(); i++) {
       if (!budgets.get(i).tryTake(bytes)) {
         budgets.subList(0, i).forEach(budget -> budget.giveBack(bytes));
@@ -71,17 +71,17 @@
   }
 
   /** Gives back all but so many bytes; nothing where fewer are taken. */
-  public synchronized void keepOnly(long bytes) {
+  public synchronized void shrinkTo(long bytes) {
     giveBack(Math.max(0, taken - bytes));
   }
 
   /** Names how what is kept at present is let go of. */
-  public synchronized void discardBy(Runnable lettingGo) {
+  public synchronized void onDiscard(Runnable lettingGo) {
     discard = lettingGo;
   }
 
   /** Throws where this has ended. */
-  public synchronized void requireOpen() throws NoRoomException {
+  public synchronized void requireNotEnded() throws NoRoomException {
     if (ended) {
       throw new NoRoomException("a message had to make room for others");
     }
--- a/runtime/src/main/java/gorseladder/runtime/Retry.java
+++ b/runtime/src/main/java/gorseladder/runtime/Retry.java
@@ -21,7 +21,7 @@
   }
 
   /** Tells failures that may be over in a moment. */
-  public interface Passing {
+  public interface TransientFailure {
     boolean test(IOException failure);
   }
 
@@ -30,12 +30,13 @@
    *
    * @throws IOException the first failure that does not pass, or the last one
    */
-  public static <T> T whilePassing(Passing passing, Call<T> call) throws IOException {
+  public static <T> T whileTransient(TransientFailure isTransient, Call<T> call)
+      throws IOException {
     for (int tries = 1; ; tries++) {
       try {
         return call.call();
       } catch (IOException e) {
-        if (tries >= TRIES || !passing.test(e)) {
+        if (tries >= TRIES || !isTransient.test(e)) {
           throw e;
         }
         pause();
--- a/runtime/src/main/java/gorseladder/runtime/ThreadCache.java
+++ b/runtime/src/main/java/gorseladder/runtime/ThreadCache.java
@@ -31,7 +31,7 @@
   private volatile Runnable whenFree = () -> {};
   private long failedAt = Long.MIN_VALUE / 2;
   private long pause = LEAST_PAUSE;
-  private long vainStarts;
+  private long failedStarts;
   private boolean closed;
 
   /** One thread; its fields are the lock's. */
@@ -153,13 +153,13 @@
   private boolean start(Runnable task) {
     Worker worker = new Worker();
     worker.task = task;
-    boolean started = Threads.mayStart(threads.newThread(worker::run));
+    boolean started = Threads.tryStart(threads.newThread(worker::run));
     lock.lock();
     try {
       if (started) {
         pause = LEAST_PAUSE;
       } else {
-        vainStarts++;
+        failedStarts++;
         pause = failedAt + 2 * MOST_PAUSE < Clock.micros()
             ? LEAST_PAUSE
             : Math.min(MOST_PAUSE, 2 * pause);
@@ -182,10 +182,10 @@
   }
 
   /** Starts of threads that failed so far. */
-  public long vainStarts() {
+  public long failedStarts() {
     lock.lock();
     try {
-      return vainStarts;
+      return failedStarts;
     } finally {
       lock.unlock();
     }
--- a/runtime/src/main/java/gorseladder/runtime/Threads.java
+++ b/runtime/src/main/java/gorseladder/runtime/Threads.java
@@ -41,7 +41,7 @@
     ThreadFactory factory = factory(name, stackBytes);
     for (int tries = 1; tries < START_TRIES; tries++) {
       Thread thread = factory.newThread(task);
-      if (mayStart(thread)) {
+      if (tryStart(thread)) {
         return thread;
       }
       try {
@@ -75,7 +75,7 @@
    * Starts a thread that the program can do without for a moment; false where the system has none. Has a line for the
    * first failure, and then for each power of two.
    */
-  public static boolean mayStart(Thread thread) {
+  public static boolean tryStart(Thread thread) {
     try {
       thread.start();
       return true;
--- a/runtime/src/main/java/gorseladder/runtime/Writers.java
+++ b/runtime/src/main/java/gorseladder/runtime/Writers.java
@@ -46,7 +46,7 @@
   }
 
   /** Lets go what the calling thread's tasks held back, and holds its later ones back until the next call. */
-  public void release() {
+  public void releaseHeld() {
     holder = Thread.currentThread();
     if (!held.isEmpty()) {
       submit(held);
@@ -89,7 +89,7 @@
    * Where tasks wait because the thread that was to do them is held up, wakes those that are free, or starts one more;
    * called now and then.
    */
-  public void relieve() {
+  public void growIfBlocked() {
     boolean more;
     lock.lock();
     try {
@@ -111,7 +111,7 @@
    * One thread more, counted already. Where the system has none, those that run go on, and the next look asks again.
    */
   private void startOne() {
-    if (Threads.mayStart(threads.newThread(this::run))) {
+    if (Threads.tryStart(threads.newThread(this::run))) {
       return;
     }
     lock.lock();
--- a/runtime/src/test/java/gorseladder/runtime/RuntimeTest.java
+++ b/runtime/src/test/java/gorseladder/runtime/RuntimeTest.java
@@ -105,7 +105,7 @@
       assertThrows(SocketTimeoutException.class, () -> client.awaitMessage(Clock.micros() - 1));
       peer.write(new byte[] {'x'});
       assertTrue(client.awaitMessage(Clock.micros() + 5_000_000));
-      assertTrue(client.hasUnreadBytes());
+      assertTrue(client.hasBufferedBytes());
       assertFalse(client.peerGone(), "bytes that wait are not a leaving");
       assertEquals(1, client.readBytes());
       peer.abort();
@@ -218,13 +218,13 @@
       });
     }
     started.await();
-    writers.release();
+    writers.releaseHeld();
     writers.execute(blocks);
     writers.execute(done::countDown);
-    writers.release();
+    writers.releaseHeld();
     for (int i = 0; i < 200 && done.getCount() > 0; i++) {
       Thread.sleep(10);
-      writers.relieve();
+      writers.growIfBlocked();
     }
     assertEquals(0, done.getCount());
     held.countDown();
--- a/runtime/src/test/java/gorseladder/runtime/ThreadCacheTest.java
+++ b/runtime/src/test/java/gorseladder/runtime/ThreadCacheTest.java
@@ -68,7 +68,7 @@
     for (int i = 0; i < 1_000; i++) {
       assertFalse(threads.execute(waits));
     }
-    assertTrue(threads.vainStarts() < 100, threads.vainStarts() + " starts tried");
+    assertTrue(threads.failedStarts() < 100, threads.failedStarts() + " starts tried");
     go.countDown();
     threads.close();
   }
--- a/soak/src/main/java/gorseladder/soak/PlantedFault.java
+++ b/soak/src/main/java/gorseladder/soak/PlantedFault.java
@@ -92,7 +92,7 @@
   CLIENT_BYTES_UNBOUNDED(
       SoakRule.LOG,
       "runtime/src/main/java/gorseladder/runtime/ByteBudget.java",
-      "if (used.addAndGet(bytes) <= most) {",
+      "if (used.addAndGet(bytes) <= limit) {",
       "if (used.addAndGet(bytes) > 0) {",
       Trouble.CROWD),
   STOP_ENDS_TOO_LATE(
--- a/testbed/src/main/java/gorseladder/testbed/WebhookClients.java
+++ b/testbed/src/main/java/gorseladder/testbed/WebhookClients.java
@@ -249,7 +249,7 @@
       ArrayDeque<HttpConnection> kept = idle.computeIfAbsent(to, k -> new ArrayDeque<>());
       while (!kept.isEmpty()) {
         HttpConnection c = kept.pollLast();
-        if (!c.peerGone() && !c.hasUnreadBytes()) {
+        if (!c.peerGone() && !c.hasBufferedBytes()) {
           return c;
         }
         c.close();
