--- a/app/src/main/java/gorseladder/app/bench/RouterBench.java
+++ b/app/src/main/java/gorseladder/app/bench/RouterBench.java
@@ -3,11 +3,11 @@
 import gorseladder.Router;
 import gorseladder.RouterApi.Action;
 import gorseladder.RouterApi.Answer;
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Effect;
 import gorseladder.RouterApi.Group;
 import gorseladder.RouterApi.Limits;
 import gorseladder.RouterApi.ListKind;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.Phase;
 import gorseladder.RouterApi.Request;
@@ -18,7 +18,7 @@
 import gorseladder.RouterApi.Settings;
 import gorseladder.RouterApi.TimerDue;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.structures.TimerWheel;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -77,7 +77,7 @@
     List<Action> actions = new ArrayList<>();
     Random random = new Random(2);
     long now = 0;
-    router.on(now, new Workers(ListKind.SAVED, list), actions::add);
+    router.on(now, new WorkerListUpdate(ListKind.SAVED, list), actions::add);
     long began = System.nanoTime();
     for (long id = 1; id <= calls; id++) {
       now += GAP;
@@ -101,14 +101,15 @@
         Out o = out.pollFirst();
         router.on(
             now,
-            new Answer(o.id(), 0, o.worker(), Outcome.OK, true, 30_000, Note.WARM, 0, Map.of()),
+            new Answer(
+                o.id(), 0, o.worker(), Outcome.OK, true, 30_000, CopyStatus.WARM, 0, Map.of()),
             actions::add);
       }
       for (Action a : actions) {
         if (a instanceof Send s) {
           out.addLast(new Out(now + 30_000, s.id(), s.worker()));
         } else if (a instanceof SetTimer t) {
-          timers.schedule(now + t.in(), t.token());
+          timers.schedule(now + t.delay(), t.token());
         }
       }
       actions.clear();
--- a/core/src/main/java/gorseladder/core/Core.java
+++ b/core/src/main/java/gorseladder/core/Core.java
@@ -3,35 +3,35 @@
 import gorseladder.Router;
 import gorseladder.RouterApi.Action;
 import gorseladder.RouterApi.Answer;
+import gorseladder.RouterApi.AnswerDue;
 import gorseladder.RouterApi.Cancel;
 import gorseladder.RouterApi.ClientGone;
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Event;
 import gorseladder.RouterApi.Fail;
-import gorseladder.RouterApi.Hold;
 import gorseladder.RouterApi.ListKind;
 import gorseladder.RouterApi.Load;
 import gorseladder.RouterApi.Loaded;
 import gorseladder.RouterApi.Log;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.PeerMessage;
 import gorseladder.RouterApi.Phase;
+import gorseladder.RouterApi.PlannedLoad;
 import gorseladder.RouterApi.Refuse;
 import gorseladder.RouterApi.Request;
 import gorseladder.RouterApi.Send;
 import gorseladder.RouterApi.SetTimer;
 import gorseladder.RouterApi.Settings;
+import gorseladder.RouterApi.SubscribeWorkerList;
 import gorseladder.RouterApi.TellPeers;
-import gorseladder.RouterApi.TimeUp;
 import gorseladder.RouterApi.TimerDue;
-import gorseladder.RouterApi.WatchList;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
-import gorseladder.ahead.Account;
-import gorseladder.ahead.Ahead;
+import gorseladder.RouterApi.WorkerListUpdate;
+import gorseladder.ahead.FunctionStats;
+import gorseladder.ahead.LoadAheadAccounting;
 import gorseladder.ahead.Plan;
-import gorseladder.ahead.Seen;
-import gorseladder.answers.Endings;
+import gorseladder.ahead.PlanExecutor;
+import gorseladder.answers.FinalReasons;
 import gorseladder.answers.Reason;
 import gorseladder.answers.RetryAdvice;
 import gorseladder.permits.Permits;
@@ -90,7 +90,7 @@
       int attempt,
       Outcome outcome,
       byte[] body,
-      Note note,
+      CopyStatus note,
       int crowd,
       Map<String, Double> report) {}
 
@@ -113,8 +113,8 @@
 
   private record Planned<C extends Call>(Plan plan) implements Message<C> {}
 
-  private record Collect<C extends Call>(Consumer<PlannerReport> to, Map<String, Seen.Of> giveBack)
-      implements Message<C> {}
+  private record Collect<C extends Call>(
+      Consumer<PlannerReport> to, Map<String, FunctionStats.Snapshot> giveBack) implements Message<C> {}
 
   /** A call that is not forgotten yet. */
   private static final class ActiveCall<C extends Call> {
@@ -132,8 +132,8 @@
    * What a planner is told: what was seen of functions, closed records of loads ahead, the workers, the plan in hand.
    */
   public record PlannerReport(
-      Map<String, Seen.Of> seen,
-      List<Account.Entry> loads,
+      Map<String, FunctionStats.Snapshot> seen,
+      List<LoadAheadAccounting.Entry> loads,
       List<WorkerEntry> workers,
       long epoch,
       long version) {}
@@ -149,9 +149,9 @@
   private final Map<Long, ActiveCall<C>> calls = new HashMap<>();
   private final Thread thread;
   /** Null where no planner is set: then nothing here differs from an edge without loads ahead. */
-  private final Ahead ahead;
+  private final PlanExecutor ahead;
 
-  private final Seen seen = new Seen();
+  private final FunctionStats seen = new FunctionStats();
   private Map<String, WorkerEntry> workers = new LinkedHashMap<>();
   private boolean applyingHold;
   private boolean refusingAll;
@@ -196,7 +196,7 @@
     this.outbound = outbound;
     this.beforeIdle = outbound::beforeIdle;
     this.flush = outbound::flush;
-    this.ahead = plans ? new Ahead(settings.keepAlive()) : null;
+    this.ahead = plans ? new PlanExecutor(settings.keepAlive()) : null;
     this.advice = advice;
     this.mailbox = new Mailbox<>(maxQueuedCalls);
     this.timers = new TimerWheel<>(Math.max(100, settings.tick() / 2), Clock.micros());
@@ -255,7 +255,7 @@
   }
 
   /** The worker list has news. */
-  public void workerListChanged(Workers update) {
+  public void workerListChanged(WorkerListUpdate update) {
     mailbox.put(new RouterEvent<>(update));
   }
 
@@ -273,7 +273,7 @@
    * Has what a planner is told collected and handed over, on the core's thread; {@code giveBack} could not be told
    * before.
    */
-  public void collectReport(Map<String, Seen.Of> giveBack, Consumer<PlannerReport> to) {
+  public void collectReport(Map<String, FunctionStats.Snapshot> giveBack, Consumer<PlannerReport> to) {
     mailbox.put(new Collect<>(to, giveBack));
   }
 
@@ -330,7 +330,7 @@
       release(m.call());
     } else if (message instanceof RouterEvent<C> m) {
       forwardToPlans(m.event());
-      workerListUpdateCount += m.event() instanceof Workers ? 1 : 0;
+      workerListUpdateCount += m.event() instanceof WorkerListUpdate ? 1 : 0;
       tell(m.event());
     } else if (message instanceof RefuseAll<C>) {
       refusingAll = true;
@@ -339,11 +339,11 @@
           .filter(call -> !call.isFinished())
           .map(Call::id)
           .toList()
-          .forEach(id -> tell(new TimeUp(id)));
+          .forEach(id -> tell(new AnswerDue(id)));
     } else if (message instanceof Planned<C> m) {
-      Ahead.Verdict verdict = ahead.take(m.plan(), now);
-      planCheckAt = ahead.busy() ? now : Long.MAX_VALUE;
-      if (verdict != Ahead.Verdict.TAKEN && verdict != Ahead.Verdict.OLDER) {
+      PlanExecutor.Verdict verdict = ahead.offer(m.plan(), now);
+      planCheckAt = ahead.hasPendingHolds() ? now : Long.MAX_VALUE;
+      if (verdict != PlanExecutor.Verdict.TAKEN && verdict != PlanExecutor.Verdict.OLDER) {
         LOG.warn("plan {}/{} is passed over: {}", m.plan().epoch(), m.plan().version(), verdict);
       }
     } else if (message instanceof Collect<C> m) {
@@ -352,12 +352,12 @@
   }
 
   private void collect(Collect<C> m) {
-    seen.giveBack(m.giveBack());
-    ahead.account().closeOver(now);
+    seen.restoreCalls(m.giveBack());
+    ahead.account().closeExpired(now);
     m.to()
         .accept(new PlannerReport(
-            seen.take(),
-            ahead.account().take(),
+            seen.takeSnapshots(),
+            ahead.account().takeClosed(),
             List.copyOf(workers.values()),
             ahead.plan().epoch(),
             ahead.plan().version()));
@@ -374,8 +374,8 @@
       }
       ahead.loaded(e.worker(), e.function(), e.outcome(), e.latency(), now);
     } else if (event instanceof PeerMessage e) {
-      ahead.heard(e.text(), now);
-    } else if (event instanceof Workers e && e.kind() != ListKind.FAILED) {
+      ahead.peerMessage(e.text(), now);
+    } else if (event instanceof WorkerListUpdate e && e.kind() != ListKind.FAILED) {
       workers = new LinkedHashMap<>();
       e.entries().stream()
           .filter(w -> w.phase() == Phase.RUNNING)
@@ -388,12 +388,12 @@
     if (now < planCheckAt) {
       return;
     }
-    for (Hold hold : ahead.due(now)) {
+    for (PlannedLoad hold : ahead.due(now)) {
       applyingHold = true;
       tell(hold);
       applyingHold = false;
     }
-    planCheckAt = ahead.busy() ? now + PLAN_CHECK_MICROS : Long.MAX_VALUE;
+    planCheckAt = ahead.hasPendingHolds() ? now + PLAN_CHECK_MICROS : Long.MAX_VALUE;
   }
 
   /** An error of the router must not end the thread: the other calls go on, and the log says where it was. */
@@ -433,7 +433,7 @@
     arriving = new ActiveCall<>(call);
     calls.put(call.id(), arriving);
     if (ahead != null) {
-      seen.taken(f.function(), f.memoryMb(), f.lanes());
+      seen.callAccepted(f.function(), f.memoryMb(), f.lanes());
     }
     tell(new Request(
         call.id(),
@@ -483,7 +483,7 @@
     release(call);
   }
 
-  private void noteServed(C call, Call.Attempt attempt, Note note) {
+  private void noteServed(C call, Call.Attempt attempt, CopyStatus note) {
     if (ahead != null) {
       seen.served(call.facts().function(), note, now - attempt.decidedAt());
       String found = ahead.served(attempt.worker(), call.facts().function(), note, now);
@@ -497,7 +497,7 @@
     boolean refused = reason.kind == Reason.Kind.REFUSED;
     long wait = retryAfter;
     if (advice != null) {
-      advice.noted(refused);
+      advice.record(refused);
       wait = refused ? advice.seconds() * 1_000_000L : 0;
     }
     call.finish(new FinalAnswer(reason, body, wait), now);
@@ -529,17 +529,17 @@
       logStartingWorker(call, a.worker());
       outbound.send(call, number, a.worker(), a.timeout());
     } else if (action instanceof SetTimer a) {
-      TimerWheel.Node<String> timer = timers.schedule(now + a.in(), a.token());
+      TimerWheel.Node<String> timer = timers.schedule(now + a.delay(), a.token());
       if (arriving != null && a.isDeadline()) {
         arriving.deadline = timer;
       }
     } else if (action instanceof Refuse a) {
       C call = calls.get(a.id()).call;
-      finish(call, Endings.refused(call.outcomes()), null, a.retryAfter());
+      finish(call, FinalReasons.ofRefusal(call.outcomes()), null, a.retryAfter());
       release(call);
     } else if (action instanceof Fail a) {
       C call = calls.get(a.id()).call;
-      finish(call, Endings.failed(call.outcomes()), null, 0);
+      finish(call, FinalReasons.ofFailure(call.outcomes()), null, 0);
       release(call);
     } else if (action instanceof Cancel a) {
       outbound.cancel(calls.get(a.id()).call, a.attempt());
@@ -550,7 +550,7 @@
       outbound.load(a.worker(), a.function(), a.copies());
     } else if (action instanceof TellPeers a) {
       outbound.tellPeers(a.text());
-    } else if (action instanceof WatchList) {
+    } else if (action instanceof SubscribeWorkerList) {
       outbound.watchList();
     } else if (action instanceof Log a) {
       LOG.info("{}", a.text());
--- a/decisions/src/test/java/gorseladder/ColdFleetTest.java
+++ b/decisions/src/test/java/gorseladder/ColdFleetTest.java
@@ -94,11 +94,14 @@
       routers.add(new Router(settings, random.nextLong()));
       share[d] = -Math.log(1 - random.nextDouble());
       all += share[d];
-      later(1, d, new Workers(ListKind.SAVED, known));
+      later(1, d, new WorkerListUpdate(ListKind.SAVED, known));
       long lag = (long) (random.nextDouble() * 300 * MS);
-      later(LOST_AT + NOTICE + lag, d, new Workers(ListKind.DELTA, lost));
-      later(BACK_AT + NOTICE + lag, d, new Workers(ListKind.DELTA, back));
-      later(BACK_AT + NOTICE + secondsLater * SECOND + lag, d, new Workers(ListKind.DELTA, others));
+      later(LOST_AT + NOTICE + lag, d, new WorkerListUpdate(ListKind.DELTA, lost));
+      later(BACK_AT + NOTICE + lag, d, new WorkerListUpdate(ListKind.DELTA, back));
+      later(
+          BACK_AT + NOTICE + secondsLater * SECOND + lag,
+          d,
+          new WorkerListUpdate(ListKind.DELTA, others));
     }
     double rate = 0.5 * WORKERS * CAPACITY;
     long id = 0;
@@ -127,7 +130,7 @@
 
   private void carryOut(int router, Action action, Random random) {
     if (action instanceof SetTimer t) {
-      later(now + Math.max(1, t.in()), router, new TimerDue(t.token()));
+      later(now + Math.max(1, t.delay()), router, new TimerDue(t.token()));
     } else if (action instanceof Send s) {
       sends.computeIfAbsent(s.worker(), w -> new ArrayList<>()).add(now);
       int attempt = attempts.merge(s.id(), 1, Integer::sum) - 1;
@@ -146,7 +149,7 @@
               away ? Outcome.CONNECT_FAILED : Outcome.OK,
               !away,
               time,
-              away ? Note.NONE : stood ? Note.WARM : Note.BEGAN,
+              away ? CopyStatus.NONE : stood ? CopyStatus.WARM : CopyStatus.BEGAN,
               away ? -1 : 0,
               Map.of()));
     }
--- a/edge/src/main/java/gorseladder/edge/core/TakenCall.java
+++ b/edge/src/main/java/gorseladder/edge/core/TakenCall.java
@@ -6,8 +6,8 @@
 import gorseladder.runtime.Clock;
 import gorseladder.runtime.MessageMemory;
 import gorseladder.store.Ledger;
-import gorseladder.store.LedgerEntry;
 import gorseladder.store.LedgerEntry.Stage;
+import gorseladder.store.LedgerEntry;
 import gorseladder.store.LedgerException;
 import java.util.ArrayList;
 import java.util.List;
@@ -86,7 +86,7 @@
     }
     if (leavingTicket == 0) {
       LedgerEntry leaving =
-          entry.at(Stage.LEAVING, true, entry.mayHaveRun() ? entry.leftAt() : now);
+          entry.withStage(Stage.LEAVING, true, entry.mayHaveRun() ? entry.leftAt() : now);
       leavingTicket = ledger.put(facts().message(), leaving);
       entry = leaving;
     }
@@ -144,16 +144,16 @@
     if (end != null
         && end.reason().kind != Reason.Kind.SERVED
         && entry.stage() == Stage.CLOSED
-        && endRecord == ledger.newestRecord(facts().message())) {
+        && endRecord == ledger.newestRecordId(facts().message())) {
       record(end, true, body, true);
-      ledger.soon();
+      ledger.flushSoon();
     }
   }
 
   private void record(FinalAnswer end, boolean served, byte[] body, boolean mayHaveRun) {
     byte[] kept = body != null && body.length <= maxKept ? body : null;
     boolean keeps = served && (kept != null || body == null);
-    entry = entry.ended(
+    entry = entry.withOutcome(
         keeps ? Stage.SERVED : Stage.CLOSED,
         served || mayHaveRun,
         end.reason().word(),
@@ -161,7 +161,7 @@
         kept);
     try {
       endTicket = ledger.put(facts().message(), entry, request, requestKeepUntil);
-      endRecord = ledger.newestRecord(facts().message());
+      endRecord = ledger.newestRecordId(facts().message());
     } catch (LedgerException e) {
       // The record of its leaving stands: a repeat finds that it may have run, which is the
       // safe side.
--- a/emulator/src/main/java/gorseladder/emulator/EmulatedEdge.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedEdge.java
@@ -5,15 +5,15 @@
 import gorseladder.RouterApi.Answer;
 import gorseladder.RouterApi.Cancel;
 import gorseladder.RouterApi.ClientGone;
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Event;
 import gorseladder.RouterApi.Fail;
-import gorseladder.RouterApi.Hold;
 import gorseladder.RouterApi.Load;
 import gorseladder.RouterApi.Loaded;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.PeerMessage;
 import gorseladder.RouterApi.Phase;
+import gorseladder.RouterApi.PlannedLoad;
 import gorseladder.RouterApi.Refuse;
 import gorseladder.RouterApi.Request;
 import gorseladder.RouterApi.RequestClass;
@@ -22,10 +22,10 @@
 import gorseladder.RouterApi.Settings;
 import gorseladder.RouterApi.TellPeers;
 import gorseladder.RouterApi.TimerDue;
-import gorseladder.RouterApi.Workers;
-import gorseladder.ahead.Ahead;
+import gorseladder.RouterApi.WorkerListUpdate;
+import gorseladder.ahead.FunctionStats;
 import gorseladder.ahead.Plan;
-import gorseladder.ahead.Seen;
+import gorseladder.ahead.PlanExecutor;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -77,8 +77,8 @@
   private final Agenda agenda;
   private final long network;
   private final Router router;
-  private final Ahead ahead;
-  private final Seen seen = new Seen();
+  private final PlanExecutor ahead;
+  private final FunctionStats seen = new FunctionStats();
   private final Function<String, EmulatedRunner> runners;
   private final Function<String, Drawn> functions;
   private final Judge judge;
@@ -106,7 +106,7 @@
     this.functions = functions;
     this.judge = judge;
     this.router = new Router(settings, seed);
-    this.ahead = new Ahead(settings.keepAlive());
+    this.ahead = new PlanExecutor(settings.keepAlive());
   }
 
   void tellPeersBy(Consumer<String> how) {
@@ -114,7 +114,7 @@
   }
 
   void tell(Event event) {
-    if (event instanceof Workers w) {
+    if (event instanceof WorkerListUpdate w) {
       w.entries().forEach(e -> {
         if (e.phase() == Phase.RUNNING) {
           notRunning.remove(e.worker());
@@ -124,7 +124,7 @@
       });
     }
     if (event instanceof PeerMessage m) {
-      ahead.heard(m.text(), agenda.now());
+      ahead.peerMessage(m.text(), agenda.now());
     }
     router.on(agenda.now(), event, this::carryOut);
   }
@@ -138,7 +138,7 @@
     h.arrivedAt = agenda.now();
     long id = ids++;
     held.put(id, h);
-    seen.taken(f.name(), f.memoryMb(), f.lanes());
+    seen.callAccepted(f.name(), f.memoryMb(), f.lanes());
     taken.addLast(agenda.now());
     tell(new Request(
         id,
@@ -181,7 +181,7 @@
     if (action instanceof Send a) {
       send(a);
     } else if (action instanceof SetTimer a) {
-      agenda.after(a.in(), () -> tell(new TimerDue(a.token())));
+      agenda.after(a.delay(), () -> tell(new TimerDue(a.token())));
     } else if (action instanceof Refuse a) {
       over(a.id(), held.get(a.id()), Outcome.FULL);
     } else if (action instanceof Fail a) {
@@ -230,7 +230,9 @@
     }
     attempt.ended = true;
     h.out--;
-    h.cold |= r.note() == Note.BEGAN || r.note() == Note.WAITED || r.outcome() == Outcome.MISS;
+    h.cold |= r.note() == CopyStatus.BEGAN
+        || r.note() == CopyStatus.WAITED
+        || r.outcome() == Outcome.MISS;
     long latency = agenda.now() - attempt.sentAt;
     if (r.outcome() == Outcome.OK) {
       seen.served(h.function.name(), r.note(), latency);
@@ -268,7 +270,7 @@
             a.id(),
             h,
             a.attempt(),
-            new EmulatedRunner.Result(Outcome.CANCELLED, Note.NONE, -1, 0)));
+            new EmulatedRunner.Result(Outcome.CANCELLED, CopyStatus.NONE, -1, 0)));
   }
 
   private void load(Load a) {
@@ -315,9 +317,9 @@
   }
 
   /** A plan arrives. */
-  Ahead.Verdict plan(Plan plan) {
-    Ahead.Verdict verdict = ahead.take(plan, agenda.now());
-    if (!looking && ahead.busy()) {
+  PlanExecutor.Verdict plan(Plan plan) {
+    PlanExecutor.Verdict verdict = ahead.offer(plan, agenda.now());
+    if (!looking && ahead.hasPendingHolds()) {
       looking = true;
       agenda.after(0, this::look);
     }
@@ -325,22 +327,22 @@
   }
 
   private void look() {
-    for (Hold hold : ahead.due(agenda.now())) {
+    for (PlannedLoad hold : ahead.due(agenda.now())) {
       holding = true;
       tell(hold);
       holding = false;
     }
-    looking = ahead.busy();
+    looking = ahead.hasPendingHolds();
     if (looking) {
       agenda.after(LOOK, this::look);
     }
   }
 
-  Ahead ahead() {
+  PlanExecutor ahead() {
     return ahead;
   }
 
-  Seen seen() {
+  FunctionStats seen() {
     return seen;
   }
 }
--- a/emulator/src/main/java/gorseladder/emulator/EmulatedFleet.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedFleet.java
@@ -10,16 +10,16 @@
 import gorseladder.RouterApi.Rules;
 import gorseladder.RouterApi.Settings;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
-import gorseladder.ahead.Account;
+import gorseladder.RouterApi.WorkerListUpdate;
+import gorseladder.ahead.FunctionStats;
+import gorseladder.ahead.LoadAheadAccounting;
 import gorseladder.ahead.Plan;
-import gorseladder.ahead.Seen;
 import gorseladder.emulator.proto.Ahead.Mode;
 import gorseladder.emulator.proto.Edges;
 import gorseladder.emulator.proto.Emulation;
 import gorseladder.emulator.proto.Surge;
 import gorseladder.emulator.proto.Trouble;
-import gorseladder.placement.Host;
+import gorseladder.placement.WorkerCapacity;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -189,7 +189,8 @@
   }
 
   private void play(DoubleConsumer progress) {
-    edges.forEach(edge -> edge.tell(new Workers(ListKind.SAVED, List.copyOf(list.values()))));
+    edges.forEach(
+        edge -> edge.tell(new WorkerListUpdate(ListKind.SAVED, List.copyOf(list.values()))));
     e.getTroubleList().forEach(this::plan);
     long slots = (long) e.getDays() * e.getSlots();
     for (long s = 0; s < slots; s++) {
@@ -208,7 +209,7 @@
     edges.forEach(edge -> settle(edge));
     outcomes.fetches = archive.done();
     outcomes.aheadOrders =
-        edges.stream().mapToLong(edge -> edge.ahead().orders()).sum();
+        edges.stream().mapToLong(edge -> edge.ahead().orderCount()).sum();
     outcomes.events = agenda.done();
   }
 
@@ -239,8 +240,8 @@
   }
 
   private void slotOver(long number) {
-    List<Map<String, Seen.Of>> seen =
-        edges.stream().map(edge -> edge.seen().take()).toList();
+    List<Map<String, FunctionStats.Snapshot>> seen =
+        edges.stream().map(edge -> edge.seen().takeSnapshots()).toList();
     if (planner != null) {
       planner.slotOver(number, seen);
     }
@@ -248,8 +249,8 @@
   }
 
   private void settle(EmulatedEdge edge) {
-    edge.ahead().account().closeOver(agenda.now());
-    for (Account.Entry entry : edge.ahead().account().take()) {
+    edge.ahead().account().closeExpired(agenda.now());
+    for (LoadAheadAccounting.Entry entry : edge.ahead().account().takeClosed()) {
       if (entry.orderedAt() >= e.getTeachDays() * day) {
         outcomes.add(entry);
       }
@@ -257,9 +258,9 @@
   }
 
   private void makePlan(long forSlot) {
-    List<Host> hosts = list.values().stream()
+    List<WorkerCapacity> hosts = list.values().stream()
         .filter(w -> w.phase() == Phase.RUNNING)
-        .map(w -> new Host(w.worker(), e.getAhead().getMemoryMb(), Integer.MAX_VALUE, 1))
+        .map(w -> new WorkerCapacity(w.worker(), e.getAhead().getMemoryMb(), Integer.MAX_VALUE, 1))
         .toList();
     List<Plan> plans = planner.plan(forSlot, agenda.now(), hosts, edges.size());
     for (int i = 0; i < plans.size(); i++) {
@@ -290,6 +291,6 @@
   private void news(String runner, Phase phase, long born) {
     WorkerEntry entry = new WorkerEntry(runner, "zone", 0, phase, 1, born);
     list.put(runner, entry);
-    edges.forEach(edge -> edge.tell(new Workers(ListKind.DELTA, List.of(entry))));
+    edges.forEach(edge -> edge.tell(new WorkerListUpdate(ListKind.DELTA, List.of(entry))));
   }
 }
--- a/planner/src/main/java/gorseladder/planner/Planner.java
+++ b/planner/src/main/java/gorseladder/planner/Planner.java
@@ -11,14 +11,14 @@
 import gorseladder.config.proto.KnownDate;
 import gorseladder.config.proto.PlannerSettings;
 import gorseladder.forecast.Forecasts;
-import gorseladder.forecast.Slots;
-import gorseladder.placement.Host;
-import gorseladder.placement.PlanMaker;
-import gorseladder.placement.PlanMaker.Facts;
+import gorseladder.forecast.SlotCalendar;
+import gorseladder.placement.PlanMaker.CopyProfile;
 import gorseladder.placement.PlanMaker.Order;
+import gorseladder.placement.PlanMaker;
 import gorseladder.placement.Prices;
+import gorseladder.placement.Schedule.ScheduledHold;
 import gorseladder.placement.Schedule;
-import gorseladder.placement.Schedule.Timed;
+import gorseladder.placement.WorkerCapacity;
 import gorseladder.store.history.HistoryRow;
 import java.io.Closeable;
 import java.io.IOException;
@@ -73,7 +73,7 @@
   private double soFarSince;
   private long plannedFor = Long.MIN_VALUE;
   private long version;
-  private List<Timed> holds = List.of();
+  private List<ScheduledHold> holds = List.of();
   private double planUntil;
   private double planMillis;
   private double tidiedAt;
@@ -93,7 +93,7 @@
       dates.put(LocalSlots.day(LocalDate.parse(d.getDay())), d.getName());
     }
     maker = new PlanMaker(
-        new Slots(local.perDay(), LocalSlots.firstWeekday(), dates),
+        new SlotCalendar(local.perDay(), LocalSlots.firstWeekday(), dates),
         new PlanMaker.Settings(
             settings.getSlotMinutes() * 60.0,
             settings.getKeepAliveMs() / 1000.0,
@@ -130,9 +130,9 @@
   private void count(HistoryRow row) {
     int parts = Math.max(1, row.minutes() / settings.getSlotMinutes());
     for (int i = 0; i < parts; i++) {
-      long slot = local.slot((row.from() + (long) i * settings.getSlotMinutes()) * 60);
+      long slot = local.slot((row.startMinute() + (long) i * settings.getSlotMinutes()) * 60);
       long calls = row.calls() * (i + 1) / parts - row.calls() * i / parts;
-      if (slot > maker.forecasts().last()) {
+      if (slot > maker.forecasts().lastSlot()) {
         Map<String, Integer> counts = unobserved.computeIfAbsent(slot, s -> new HashMap<>());
         if (calls > 0 && !row.function().isEmpty()) {
           counts.merge(row.function(), (int) Math.min(calls, Integer.MAX_VALUE / 2), Integer::sum);
@@ -144,7 +144,7 @@
   private void learn(Seen s) {
     maker.learn(
         s.getFunction(),
-        new Facts(s.getMemoryMb(), s.getLanes(), s.getWorkUs() / 1e6, s.getLoadUs() / 1e6));
+        new CopyProfile(s.getMemoryMb(), s.getLanes(), s.getWorkUs() / 1e6, s.getLoadUs() / 1e6));
   }
 
   /**
@@ -253,7 +253,7 @@
         .setEpoch(store.epoch())
         .setVersion(version)
         .setLivesMs((long) ((planUntil - now) * 1000));
-    for (Timed t : holds) {
+    for (ScheduledHold t : holds) {
       Order o = t.order();
       long until = (long) ((t.until() - now) * 1000);
       int owner = asking.isEmpty()
@@ -261,13 +261,13 @@
           : asking.get(Math.floorMod(o.placed().function().hashCode(), asking.size()));
       if (until > 0) {
         plan.addItem(Item.newBuilder()
-            .setWorker(o.placed().host())
+            .setWorker(o.placed().worker())
             .setFunction(o.placed().function())
-            .setLanes(o.facts().lanes())
+            .setLanes(o.profile().lanes())
             .setFromMs((long) ((t.from() - now) * 1000))
             .setUntilMs(until)
-            .setLoadUs((long) (o.facts().loadSeconds() * 1e6))
-            .setMemoryMb(o.facts().memoryMb())
+            .setLoadUs((long) (o.profile().loadSeconds() * 1e6))
+            .setMemoryMb(o.profile().memoryMb())
             .setMine(owner == edge));
       }
     }
@@ -289,7 +289,7 @@
     observe(now);
     long next = local.slot((long) now) + 1;
     double begins = local.begins(next);
-    if (next > plannedFor && now >= begins - maker.lead() && ready(now)) {
+    if (next > plannedFor && now >= begins - maker.leadSeconds() && ready(now)) {
       plan(next, begins, now);
     }
     if (now - tidiedAt > 600) {
@@ -330,8 +330,8 @@
         .map(edges::get)
         .filter(e -> !e.weights.isEmpty())
         .forEach(e -> weights.keySet().retainAll(e.weights.keySet()));
-    List<Host> hosts = weights.entrySet().stream()
-        .map(w -> new Host(
+    List<WorkerCapacity> hosts = weights.entrySet().stream()
+        .map(w -> new WorkerCapacity(
             w.getKey(),
             settings.getRunnerMemoryMb(),
             Integer.MAX_VALUE,
@@ -368,7 +368,9 @@
     state.put("functions", maker.forecasts().functions().size());
     state.put(
         "observed",
-        maker.forecasts().last() == Long.MIN_VALUE ? null : maker.forecasts().last());
+        maker.forecasts().lastSlot() == Long.MIN_VALUE
+            ? null
+            : maker.forecasts().lastSlot());
     state.put("rows", store.rows());
     state.put("edges", asking());
     state.put("plan_ms", planMillis);
@@ -378,29 +380,29 @@
   /** What is expected of a function in the next slot, and how far that is believed. */
   public synchronized Map<String, Object> forecast(String function) {
     long slot = local.slot((long) now()) + 1;
-    Forecasts.Expected e = maker.forecasts().expect(function, slot);
+    Forecasts.Forecast e = maker.forecasts().forecast(function, slot);
     Map<String, Object> out = new LinkedHashMap<>();
     out.put("function", function);
     out.put("slot", slot);
     out.put("mean", e.mean());
     out.put("upper", e.upper());
-    out.put("by", e.by());
-    out.put("calls_believed", maker.trust().calls(function));
-    out.put("any_believed", maker.trust().any(function));
+    out.put("by", e.forecasterName());
+    out.put("calls_believed", maker.confidence().callsFactor(function));
+    out.put("any_believed", maker.confidence().occurrenceFactor(function));
     return out;
   }
 
   /** The account of all loads ahead that are kept. */
-  public synchronized AccountSheet account() throws IOException {
-    AccountSheet sheet = new AccountSheet();
+  public synchronized LoadAheadSummary account() throws IOException {
+    LoadAheadSummary sheet = new LoadAheadSummary();
     store.eachLoad(sheet::add);
     return sheet;
   }
 
   /** The account in a directory that no planner holds open. */
-  public static AccountSheet account(Path directory) throws IOException {
+  public static LoadAheadSummary account(Path directory) throws IOException {
     try (PlannerStore store = PlannerStore.open(directory)) {
-      AccountSheet sheet = new AccountSheet();
+      LoadAheadSummary sheet = new LoadAheadSummary();
       store.eachLoad(sheet::add);
       return sheet;
     }
