--- a/edge/src/main/java/gorseladder/edge/Edge.java
+++ b/edge/src/main/java/gorseladder/edge/Edge.java
@@ -1,8 +1,8 @@
 package gorseladder.edge;
 
-import gorseladder.RouterApi;
 import gorseladder.RouterApi.Phase;
 import gorseladder.RouterApi.WorkerListUpdate;
+import gorseladder.RouterApi;
 import gorseladder.answers.RetryAdvice;
 import gorseladder.config.Address;
 import gorseladder.config.SettingsFile;
@@ -207,7 +207,7 @@
         "edge {} takes webhooks at {}, up to {} bytes of messages; its ledger remembers {} messages, boot {}",
         settings.getOrdinal(),
         Address.print(address()),
-        messageBytes.most(),
+        messageBytes.limit(),
         ledger.size(),
         ledger.openCount());
   }
