--- a/store/src/main/java/gorseladder/store/Digests.java
+++ b/store/src/main/java/gorseladder/store/Digests.java
@@ -4,18 +4,18 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.zip.CRC32C;
 
-/** Checksums of what is written and digests of names. Any thread. */
+/** Checksum and digest functions. Thread-safe. */
 public final class Digests {
   private Digests() {}
 
-  /** CRC-32C of a part of the bytes. */
+  /** CRC-32C of {@code count} bytes starting at index {@code from}. */
   public static int crc32c(byte[] bytes, int from, int count) {
     CRC32C crc = new CRC32C();
     crc.update(bytes, from, count);
     return (int) crc.getValue();
   }
 
-  /** A fresh SHA-256, which every Java has. */
+  /** Returns a new SHA-256 digest, which every Java platform provides. */
   public static MessageDigest sha256() {
     try {
       return MessageDigest.getInstance("SHA-256");
--- a/store/src/main/java/gorseladder/store/Ledger.java
+++ b/store/src/main/java/gorseladder/store/Ledger.java
@@ -24,49 +24,42 @@
 import org.h2.mvstore.MVStoreException;
 
 /**
- * The durable memory of messages: how far each got, and which signed requests were taken. An append-only log of
- * segments with tables in memory of where each record stands. Group commit: whoever needs durability puts its records,
- * gets a ticket and waits for it, and one thread writes whatever has gathered since its last write as one frame.
+ * Durable store of message states and of accepted signed requests: an append-only log of segment files with an
+ * in-memory index from message and request to the offset of the record. Uses group commit: a caller puts records, gets
+ * a ticket and awaits it, and one thread writes everything put since its last write as one frame.
  *
- * <p>What a ticket's wait promises: after a kill of the process the record is there; with {@code sync} also after a
- * power cut. While writes or syncs fail (a full disk, an error of the device) nothing is promised: whoever waits gets
- * an exception, and {@link #hasRoom} says that nothing new should be taken. What was put is kept, within a bound, and
- * written again at the same place until that succeeds, so that the ends of calls in hand are not forgotten. A file that
- * cannot be removed is tried again.
+ * <p>An awaited record survives a kill of the process; with {@code sync} also a power loss. While writes or syncs fail
+ * (full disk, device error) there is no durability: waiting callers get an exception, and {@link #hasRoom} tells
+ * callers to accept nothing new. Records already put are kept in memory, up to a limit, and the write is retried at the
+ * same offset until it succeeds, so that outcomes of calls in progress are not lost. Failed file deletions are retried.
  *
- * <p>What has expired is not found any more; its bytes go when all of its segment has expired. Bounded by age and by
- * number. Any thread; atomicity over several calls is the caller's.
+ * <p>Expired records are no longer returned; their file is deleted once all of its records have expired. Age and number
+ * of messages are bounded. Thread-safe; callers that need several operations to be atomic synchronize themselves.
  */
 public final class Ledger implements Closeable {
-  private static final String SUFFIX = ".segment";
-  private static final String FORMER = ".mv";
-  /**
-   * A segment ends at this size, or at a part of the whole where that is more, so that there are never many to look
-   * into.
-   */
-  private static final int SEGMENT_BYTES = 32 << 20;
-
-  private static final int MOST_SEGMENT_BYTES = 1 << 30;
-  private static final int SEGMENTS = 32;
-  /**
-   * A segment also ends when it has run for this part of the time its messages are kept, so that bytes go soon after
-   * that.
-   */
-  private static final int TIME_PARTS = 16;
-  /** Messages that expire within the same second are counted together. */
-  private static final long COUNTED = 1_000_000;
-  /** Bytes that gather before a write begins without being asked for. */
-  private static final int MOST_GATHERED = 1 << 20;
-  /** Bytes that are kept while they cannot be written; past it nothing more can be put. */
-  private static final int MOST_UNWRITTEN = 32 << 20;
-  /** A write that takes longer is told. */
+  private static final String SEGMENT_SUFFIX = ".segment";
+  private static final String LEGACY_SUFFIX = ".mv";
+  /** Minimum size at which a segment counts as full. */
+  private static final int MIN_SEGMENT_BYTES = 32 << 20;
+
+  private static final int MAX_SEGMENT_BYTES = 1 << 30;
+  /** In a large ledger a segment is full at this part of all bytes: few segments, as a lookup searches each. */
+  private static final int TARGET_SEGMENTS = 32;
+  /** A segment is also full after this part of its retention time, so that its file is deleted soon after expiry. */
+  private static final int SEGMENTS_PER_RETENTION = 16;
+
+  private static final long EXPIRY_BUCKET_MICROS = 1_000_000;
+  /** Pending bytes above which a write starts without a request. */
+  private static final int FLUSH_THRESHOLD_BYTES = 1 << 20;
+  /** Pending bytes above which records are rejected while writes fail. */
+  private static final int MAX_UNWRITTEN_BYTES = 32 << 20;
+  /** {@link #writeProblem} reports a write that takes longer. */
   private static final long SLOW_WRITE_NANOS = 1_000_000_000;
-  /** One step of a wait that has no bound of its own. */
-  private static final long LONG_WAIT_NANOS = 1_000_000_000;
-  /** Between two tries of a write that failed. */
+
+  private static final long WAIT_STEP_NANOS = 1_000_000_000;
   private static final long RETRY_NANOS = 50_000_000;
 
-  private static final ThreadLocal<MessageDigest> SHA = ThreadLocal.withInitial(Digests::sha256);
+  private static final ThreadLocal<MessageDigest> SHA256 = ThreadLocal.withInitial(Digests::sha256);
 
   private final Path folder;
   private final boolean sync;
@@ -74,76 +67,85 @@
   private final int segmentBytes;
   private final LedgerFiles files;
   private final FileChannel lockFile;
-  /** Tables are keyed by a digest with this in it, so that no sender can choose where its messages come to stand. */
+  /** Secret part of the index digests, so that senders cannot choose colliding index slots. */
   private final byte[] salt = new byte[16];
 
   private final LedgerClock clock;
 
   private final ReentrantLock lock = new ReentrantLock();
-  private final Condition changed = lock.newCondition();
+  private final Condition stateChanged = lock.newCondition();
   private final Thread committer;
-  private final long boots;
-  /** Oldest first; the last is written. Guarded by the lock, as is all below. */
+  private final long openCount;
+  /** Oldest first; frames go to the last. Guarded by {@link #lock}, like the fields below unless stated otherwise. */
   private final List<LedgerSegment> segments = new ArrayList<>();
 
-  private final TreeMap<Long, Integer> expiring = new TreeMap<>();
-  private final List<LedgerSegment> unremoved = new ArrayList<>();
-  private Gathered pending = new Gathered();
-  /** What is being written, or is to be written again; null where nothing is. */
-  private Frame writing;
-
-  private int count;
-  private long seenBoots;
-  private long issued;
-  private long written;
-  private long commits;
-  private boolean wanted;
+  /** Number of messages by {@code keepUntil / EXPIRY_BUCKET_MICROS}. */
+  private final TreeMap<Long, Integer> expiryCounts = new TreeMap<>();
+  /** Used by the committer thread only. */
+  private final List<LedgerSegment> segmentsToDelete = new ArrayList<>();
+
+  private FrameBuffer pending = new FrameBuffer();
+  /** The frame that is being written or retried, or null. */
+  private Frame frameInProgress;
+
+  private int messageCount;
+  private long latestOpenCount;
+  private long lastTicket;
+  private long writtenTicket;
+  private long commitCount;
+  private boolean commitRequested;
   private boolean closing;
-  /** Why the last write failed; null where it did not. */
-  private volatile Throwable failure;
+  /** Cause of the last write's failure, or null if it succeeded. */
+  private volatile Throwable writeFailure;
 
-  /** When the write that goes on began, in nanoseconds of the system's clock; 0 where none does. */
-  private volatile long writingSince;
+  /** {@link System#nanoTime} at the start of the current write; 0 if none is running. */
+  private volatile long writeStartNanos;
 
-  private boolean ended;
+  private boolean committerStopped;
+  /** Latest time passed to {@link #expireUntil}, in microseconds. */
   private volatile long now;
 
   private record Digest(long first, long second) {}
 
   /**
-   * Where a record stands.
+   * Position of a record.
    *
-   * @param inMemory the record, where it is not in its file yet; else null
+   * @param inMemory the record if it is not yet in its file, else null
    */
-  private record Place(LedgerSegment segment, int at, LedgerRecord inMemory) {}
+  private record RecordLocation(LedgerSegment segment, int offset, LedgerRecord inMemory) {}
 
   /**
-   * What one commit writes.
+   * The unit of one commit.
    *
-   * @param at where in the segment's file
-   * @param upTo the last ticket in it
-   * @param seals no further frame of the segment comes after it
+   * @param offset offset in the segment file
+   * @param lastTicket highest ticket covered by the frame
+   * @param sealsSegment true if this is the last frame of the segment
    */
-  private record Frame(Gathered bytes, LedgerSegment to, int at, long upTo, boolean seals) {}
-
-  /** A frame that gathers what is put; its head is filled in when it is written. */
-  private static final class Gathered extends ByteArrayOutputStream {
-    Gathered() {
+  private record Frame(
+      FrameBuffer buffer,
+      LedgerSegment segment,
+      int offset,
+      long lastTicket,
+      boolean sealsSegment) {}
+
+  /** Collects records for the next frame; the header is filled in when the frame is written. */
+  private static final class FrameBuffer extends ByteArrayOutputStream {
+    FrameBuffer() {
       super(4096);
-      writeBytes(new byte[LedgerSegment.FRAME_HEAD]);
+      writeBytes(new byte[LedgerSegment.FRAME_HEADER_BYTES]);
     }
 
     boolean isEmpty() {
-      return count == LedgerSegment.FRAME_HEAD;
+      return count == LedgerSegment.FRAME_HEADER_BYTES;
     }
 
-    LedgerRecord at(int at) {
-      byte[] record = new byte[ByteBuffer.wrap(buf).getInt(at)];
-      System.arraycopy(buf, at + 4, record, 0, record.length);
+    LedgerRecord recordAt(int offset) {
+      byte[] record = new byte[ByteBuffer.wrap(buf).getInt(offset)];
+      System.arraycopy(buf, offset + 4, record, 0, record.length);
       return LedgerRecord.of(record);
     }
 
-    ByteBuffer frame() {
+    ByteBuffer toByteBuffer() {
       return ByteBuffer.wrap(buf, 0, count);
     }
   }
@@ -163,96 +165,104 @@
       if (lockFile.tryLock() == null) {
         throw new IOException("another process holds it");
       }
-      load();
+      loadSegments();
       clock = LedgerClock.open(folder);
     } catch (OverlappingFileLockException e) {
       lockFile.close();
-      throw new IOException("it is open already", e);
+      throw new IOException("it is already open in this process", e);
     } catch (IOException | RuntimeException e) {
-      release();
+      closeFiles();
       throw e;
     }
     committer = new Thread(null, this::run, "ledger", 512 << 10);
     committer.setDaemon(true);
     committer.start();
     try {
-      FormerLedger.takeOver(
-          folder.resolveSibling(folder.getFileName() + FORMER), new FormerLedger.Taker() {
+      LegacyLedgerImport.importFrom(
+          folder.resolveSibling(folder.getFileName() + LEGACY_SUFFIX),
+          new LegacyLedgerImport.RecordReceiver() {
             @Override
-            public void take(LedgerRecord record) throws LedgerException {
+            public void receive(LedgerRecord record) throws LedgerException {
               add(record);
             }
 
             @Override
-            public void written() throws IOException {
-              await(issued);
+            public void awaitWritten() throws IOException {
+              await(lastTicket);
             }
           });
-      boots = nextBoot();
-      await(add(new LedgerRecord(null, null, null, 0, boots)));
+      openCount = incrementOpenCount();
+      await(add(new LedgerRecord(null, null, null, 0, openCount)));
     } catch (IOException | RuntimeException e) {
       close();
       throw e;
     }
   }
 
-  private long nextBoot() {
+  private long incrementOpenCount() {
     lock.lock();
     try {
-      return ++seenBoots;
+      return ++latestOpenCount;
     } finally {
       lock.unlock();
     }
   }
 
-  private void load() throws IOException {
+  private void loadSegments() throws IOException {
     List<Path> segmentFiles;
     try (Stream<Path> all = Files.list(folder)) {
-      segmentFiles = all.filter(f -> f.toString().endsWith(SUFFIX)).sorted().toList();
+      segmentFiles =
+          all.filter(f -> f.toString().endsWith(SEGMENT_SUFFIX)).sorted().toList();
     }
     for (Path file : segmentFiles) {
       String name = file.getFileName().toString();
       LedgerSegment segment = new LedgerSegment(
-          file, Long.parseLong(name.substring(0, name.length() - SUFFIX.length()), 16), files);
+          file,
+          Long.parseLong(name.substring(0, name.length() - SEGMENT_SUFFIX.length()), 16),
+          files);
       segments.add(segment);
       segment.load(
           file.equals(segmentFiles.get(segmentFiles.size() - 1)),
-          (at, record) -> index(
-              segment, at, record, digest('m', record.message()), digest('r', record.request())));
+          (offset, record) -> index(
+              segment,
+              offset,
+              record,
+              digest('m', record.message()),
+              digest('r', record.request())));
     }
     if (segments.isEmpty()) {
-      begin(1);
+      startSegment(1);
     }
   }
 
-  private void begin(long number) {
-    segments.add(
-        new LedgerSegment(folder.resolve(String.format("%016x%s", number, SUFFIX)), number, files));
-    // Each segment knows the count of openings, as earlier ones go.
-    pending.writeBytes(new LedgerRecord(null, null, null, 0, seenBoots).toBytes());
+  private void startSegment(long number) {
+    segments.add(new LedgerSegment(
+        folder.resolve(String.format("%016x%s", number, SEGMENT_SUFFIX)), number, files));
+    // Each segment holds the open count, since older segments are deleted.
+    pending.writeBytes(new LedgerRecord(null, null, null, 0, latestOpenCount).toBytes());
   }
 
-  private LedgerSegment active() {
+  private LedgerSegment activeSegment() {
     return segments.get(segments.size() - 1);
   }
 
   /**
-   * Opens the ledger in a folder, reading every record once, and writes to it, so that damage and a full disk are found
-   * now. The file of a former format beside it is taken over.
+   * Opens the ledger in a folder. Reads every record and writes one, so that corruption and a full disk are detected
+   * here. Imports a legacy ledger file next to the folder.
    *
-   * @throws LedgerException where it is damaged, held by another process, of another format or cannot be written
+   * @throws LedgerException if the ledger is damaged, locked, of an unknown format or not writable
    */
   public static Ledger open(Path folder, boolean sync, int maxMessages) throws LedgerException {
     return open(folder, sync, maxMessages, LedgerFiles.DEFAULT);
   }
 
-  /** As above, with a way to write that tests choose. */
+  /** Opens the ledger with the given file operations, which tests replace. */
   public static Ledger open(Path folder, boolean sync, int maxMessages, LedgerFiles files)
       throws LedgerException {
-    return open(folder, sync, maxMessages, SEGMENT_BYTES, files);
+    return open(folder, sync, maxMessages, MIN_SEGMENT_BYTES, files);
   }
 
-  /** As above, with the least size of a segment. */
+  /** Opens the ledger with the given minimum segment size. */
   static Ledger open(
       Path folder, boolean sync, int maxMessages, int segmentBytes, LedgerFiles files)
       throws LedgerException {
@@ -270,78 +280,78 @@
     }
   }
 
-  /** How often this ledger was opened, this time included. */
+  /** Number of times this ledger was opened, including this one. */
   public long openCount() {
-    return boots;
+    return openCount;
   }
 
-  /** Messages remembered. */
+  /** Number of messages that have not expired. */
   public long size() {
     lock.lock();
     try {
-      return count;
+      return messageCount;
     } finally {
       lock.unlock();
     }
   }
 
-  /** True while records can be written and there is room for a further message. */
+  /** True if the last write succeeded and the ledger holds fewer than the maximum number of messages. */
   public boolean hasRoom() {
-    return failure == null && size() < maxMessages;
+    return writeFailure == null && size() < maxMessages;
   }
 
-  /** Why nothing can be written at present, or that a write takes long; null where all is well. */
+  /** Describes a failed or slow write; null if there is none. */
   public String writeProblem() {
-    Throwable why = failure;
+    Throwable why = writeFailure;
     if (why != null) {
       return String.valueOf(why.getMessage());
     }
-    long since = writingSince;
+    long since = writeStartNanos;
     boolean slow = since != 0 && System.nanoTime() - since > SLOW_WRITE_NANOS;
     return slow ? "a write has not ended for a second or more" : null;
   }
 
-  /** The time by which it remembers and forgets. */
+  /** The clock that expiry times refer to. */
   public LedgerClock clock() {
     return clock;
   }
 
   /**
-   * What is known of a message, or null. May wait for the disk.
+   * Returns the latest entry of a message, or null if there is none or it has expired. May read from disk.
    *
-   * @throws LedgerException where its record cannot be read
+   * @throws LedgerException if the record cannot be read
    */
   public LedgerEntry get(String message) throws LedgerException {
-    Place place = newest(message);
-    LedgerRecord record = place == null ? null : read(place);
+    RecordLocation location = newestLocation(message);
+    LedgerRecord record = location == null ? null : read(location);
     boolean known = record != null && record.entry().keepUntil() > now;
     return known ? record.entry() : null;
   }
 
-  /** True where something is known of a message, or was until lately; never waits for the disk. */
+  /** True if the index holds the message, expired or not. Never reads from disk. */
   public boolean isMessageIndexed(String message) {
-    return newest(message) != null;
+    return newestLocation(message) != null;
   }
 
   /**
-   * Names the newest record of a message: the same number as long as no other one was put; -1 where there is none.
-   * Never waits for the disk.
+   * Returns an identifier of the newest record of a message, which changes with each put; -1 if there is none. Never
+   * reads from disk.
    */
   public long newestRecordId(String message) {
-    Place place = newest(message);
-    return place == null ? -1 : place.segment().number << Integer.SIZE | place.at();
+    RecordLocation location = newestLocation(message);
+    return location == null ? -1 : location.segment().number << Integer.SIZE | location.offset();
   }
 
-  private Place newest(String message) {
+  private RecordLocation newestLocation(String message) {
     Digest d = digest('m', message);
     lock.lock();
     try {
       for (ListIterator<LedgerSegment> it = segments.listIterator(segments.size());
           it.hasPrevious(); ) {
         LedgerSegment segment = it.previous();
-        int at = segment.messages.get(d.first(), d.second());
-        if (at >= 0) {
-          return place(segment, at);
+        int offset = segment.messageOffsets.get(d.first(), d.second());
+        if (offset >= 0) {
+          return locate(segment, offset);
         }
       }
       return null;
@@ -351,134 +361,140 @@
   }
 
   /**
-   * True where this signed request was taken before. May wait for the disk.
+   * True if this signed request is recorded and has not expired. May read from disk.
    *
-   * @throws LedgerException where its record cannot be read
+   * @throws LedgerException if the record cannot be read
    */
   public boolean containsRequest(String request) throws LedgerException {
-    for (Place place : ofRequest(request)) {
-      LedgerRecord record = read(place);
-      if (record != null && record.requestUntil() > now) {
+    for (RecordLocation location : requestLocations(request)) {
+      LedgerRecord record = read(location);
+      if (record != null && record.requestKeepUntil() > now) {
         return true;
       }
     }
     return false;
   }
 
-  /** True where a signed request stands in the tables, expired or not; never waits for the disk. */
+  /** True if the index holds the signed request, expired or not. Never reads from disk. */
   public boolean isRequestIndexed(String request) {
-    return !ofRequest(request).isEmpty();
+    return !requestLocations(request).isEmpty();
   }
 
-  private List<Place> ofRequest(String request) {
+  private List<RecordLocation> requestLocations(String request) {
     Digest d = digest('r', request);
-    List<Place> places = new ArrayList<>(1);
+    List<RecordLocation> locations = new ArrayList<>(1);
     lock.lock();
     try {
       for (LedgerSegment segment : segments) {
-        int at = segment.requests.get(d.first(), d.second());
-        if (at >= 0) {
-          places.add(place(segment, at));
+        int offset = segment.requestOffsets.get(d.first(), d.second());
+        if (offset >= 0) {
+          locations.add(locate(segment, offset));
         }
       }
-      return places;
+      return locations;
     } finally {
       lock.unlock();
     }
   }
 
-  /** Records a message; returns the ticket to wait for. The first record of a message sets when it is forgotten. */
+  /**
+   * Records a message and returns the ticket to await.
+   *
+   * @param entry later entries of a message keep the {@code keepUntil} of the first, by which {@link #size} counts it
+   */
   public long put(String message, LedgerEntry entry) throws LedgerException {
     return put(message, entry, null, 0);
   }
 
-  /** Records a message and the signed request it came with as one; the request may be null. */
-  public long put(String message, LedgerEntry entry, String request, long requestUntil)
+  /** Records a message and its signed request in one record; the request may be null. */
+  public long put(String message, LedgerEntry entry, String request, long requestKeepUntil)
       throws LedgerException {
-    return add(new LedgerRecord(message, entry, request, requestUntil, 0));
+    return add(new LedgerRecord(message, entry, request, requestKeepUntil, 0));
   }
 
-  /** Records a signed request until it may be forgotten; returns the ticket to wait for. */
+  /** Records a signed request until its expiry time and returns the ticket to await. */
   public long putRequest(String request, long keepUntil) throws LedgerException {
     return add(new LedgerRecord(null, null, request, keepUntil, 0));
   }
 
   private long add(LedgerRecord record) throws LedgerException {
-    // Digests and bytes are made before the lock is taken: every call passes here.
+    // Every call takes the lock, so digests and bytes are computed before it.
     byte[] bytes = record.toBytes();
     Digest message = digest('m', record.message());
     Digest request = digest('r', record.request());
     lock.lock();
     try {
-      if (failure != null && pending.size() > MOST_UNWRITTEN) {
-        throw unwritable();
+      if (writeFailure != null && pending.size() > MAX_UNWRITTEN_BYTES) {
+        throw writeException();
       }
-      LedgerSegment segment = active();
-      int at = segment.end + pending.size();
+      LedgerSegment segment = activeSegment();
+      int offset = segment.endOffset + pending.size();
       pending.writeBytes(bytes);
-      index(segment, at, record, message, request);
-      if (pending.size() > MOST_GATHERED && !wanted) {
-        want();
+      index(segment, offset, record, message, request);
+      if (pending.size() > FLUSH_THRESHOLD_BYTES && !commitRequested) {
+        requestCommit();
       }
-      return ++issued;
+      return ++lastTicket;
     } finally {
       lock.unlock();
     }
   }
 
   private void index(
-      LedgerSegment segment, int at, LedgerRecord record, Digest message, Digest request) {
-    seenBoots = Math.max(seenBoots, record.boots());
-    segment.begunAt = segment.begunAt == 0 ? now : segment.begunAt;
+      LedgerSegment segment, int offset, LedgerRecord record, Digest message, Digest request) {
+    latestOpenCount = Math.max(latestOpenCount, record.openCount());
+    segment.firstRecordAt = segment.firstRecordAt == 0 ? now : segment.firstRecordAt;
     if (message != null) {
-      long until = record.entry().keepUntil();
-      boolean known =
-          segments.stream().anyMatch(s -> s.messages.get(message.first(), message.second()) >= 0);
-      segment.messages.put(message.first(), message.second(), at);
-      segment.messagesUntil = Math.max(segment.messagesUntil, until);
-      if (!known && until > now) {
-        count++;
-        expiring.merge(Math.floorDiv(until, COUNTED), 1, Integer::sum);
+      long keepUntil = record.entry().keepUntil();
+      boolean known = segments.stream()
+          .anyMatch(s -> s.messageOffsets.get(message.first(), message.second()) >= 0);
+      segment.messageOffsets.put(message.first(), message.second(), offset);
+      segment.messagesKeepUntil = Math.max(segment.messagesKeepUntil, keepUntil);
+      if (!known && keepUntil > now) {
+        messageCount++;
+        expiryCounts.merge(Math.floorDiv(keepUntil, EXPIRY_BUCKET_MICROS), 1, Integer::sum);
       }
     }
     if (request != null) {
-      segment.requests.put(request.first(), request.second(), at);
-      segment.requestsUntil = Math.max(segment.requestsUntil, record.requestUntil());
+      segment.requestOffsets.put(request.first(), request.second(), offset);
+      segment.requestsKeepUntil = Math.max(segment.requestsKeepUntil, record.requestKeepUntil());
     }
   }
 
-  /** Where a record is that was put: it may be gathered, being written, or in its file. The lock is held. */
-  private Place place(LedgerSegment segment, int at) {
+  /** Locates a record in the pending buffer, the frame in progress or its file. The caller holds the lock. */
+  private RecordLocation locate(LedgerSegment segment, int offset) {
     LedgerRecord inMemory = null;
-    if (segment == active() && at >= segment.end) {
-      inMemory = pending.at(at - segment.end);
-    } else if (writing != null && segment == writing.to() && at >= writing.at()) {
-      inMemory = writing.bytes().at(at - writing.at());
+    if (segment == activeSegment() && offset >= segment.endOffset) {
+      inMemory = pending.recordAt(offset - segment.endOffset);
+    } else if (frameInProgress != null
+        && segment == frameInProgress.segment()
+        && offset >= frameInProgress.offset()) {
+      inMemory = frameInProgress.buffer().recordAt(offset - frameInProgress.offset());
     }
-    return new Place(segment, at, inMemory);
+    return new RecordLocation(segment, offset, inMemory);
   }
 
   /**
-   * The record at a place; null where its segment was dropped meanwhile, with all in it expired. The lock is not held.
+   * Reads the record at a location; null if its segment was dropped meanwhile because everything in it expired.
    *
-   * <p>Guards against a disk that is slow to read: every call passes the lock, and the core's thread too, so one repeat
-   * whose record was read with it held stopped all others for as long.
+   * <p>The caller does not hold the lock: every call and the core's thread take it, so a slow disk read of one
+   * repeated message under the lock would stop all other calls.
    */
-  private LedgerRecord read(Place place) throws LedgerException {
-    if (place.inMemory() != null) {
-      return place.inMemory();
+  private LedgerRecord read(RecordLocation location) throws LedgerException {
+    if (location.inMemory() != null) {
+      return location.inMemory();
     }
     try {
-      return place.segment().read(place.at());
+      return location.segment().read(location.offset());
     } catch (IOException | IllegalArgumentException e) {
-      if (dropped(place.segment())) {
+      if (isDropped(location.segment())) {
         return null;
       }
       throw new LedgerException("ledger " + folder + " cannot be read: " + e.getMessage(), e);
     }
   }
 
-  private boolean dropped(LedgerSegment segment) {
+  private boolean isDropped(LedgerSegment segment) {
     lock.lock();
     try {
       return !segments.contains(segment);
@@ -487,78 +503,78 @@
     }
   }
 
-  /** Where a name stands in the tables; null for none. */
+  /** Returns the index key of a message or request; null for null. */
   private Digest digest(char kind, String name) {
     if (name == null) {
       return null;
     }
-    MessageDigest sha = SHA.get();
+    MessageDigest sha = SHA256.get();
     sha.update(salt);
     sha.update((byte) kind);
     ByteBuffer out = ByteBuffer.wrap(sha.digest(name.getBytes(StandardCharsets.UTF_8)));
     return new Digest(out.getLong(), out.getLong());
   }
 
-  private LedgerException unwritable() {
-    Throwable why = failure;
-    String said = why == null ? "it is closed" : why.getMessage();
-    return new LedgerException("ledger " + folder + " cannot be written: " + said, why);
+  private LedgerException writeException() {
+    Throwable why = writeFailure;
+    String reason = why == null ? "it is closed" : why.getMessage();
+    return new LedgerException("ledger " + folder + " cannot be written: " + reason, why);
   }
 
-  private void want() {
-    wanted = true;
-    changed.signalAll();
+  private void requestCommit() {
+    commitRequested = true;
+    stateChanged.signalAll();
   }
 
-  /** Lets the record be written soon, without waiting. */
+  /** Starts a write of the pending records without waiting for it. */
   public void flushSoon() {
     lock.lock();
     try {
-      want();
+      requestCommit();
     } finally {
       lock.unlock();
     }
   }
 
   /**
-   * Waits until everything up to the ticket is written.
+   * Waits until all records up to the ticket are written.
    *
-   * @throws LedgerException where it cannot be written at present; it may be later
+   * @throws LedgerException if writing fails now; a retry may still write the records later
    */
   public void await(long ticket) throws LedgerException {
-    while (!await(ticket, LONG_WAIT_NANOS)) {
+    while (!await(ticket, WAIT_STEP_NANOS)) {
       continue;
     }
   }
 
   /**
-   * Waits so long at the most until everything up to the ticket is written; false where it was not by then, and nothing
-   * is promised.
+   * Waits up to {@code nanos} until all records up to the ticket are written.
    *
-   * @throws LedgerException where it cannot be written at present; it may be later
+   * @return false on timeout, in which case the records may not be durable
+   * @throws LedgerException if writing fails now; a retry may still write the records later
    */
   public boolean await(long ticket, long nanos) throws LedgerException {
     long end = System.nanoTime() + nanos;
     boolean interrupted = false;
     lock.lock();
     try {
-      if (written < ticket) {
-        want();
+      if (writtenTicket < ticket) {
+        requestCommit();
       }
       for (long left = nanos;
-          written < ticket && failure == null && !ended && left > 0;
+          writtenTicket < ticket && writeFailure == null && !committerStopped && left > 0;
           left = end - System.nanoTime()) {
         try {
-          changed.awaitNanos(left);
+          stateChanged.awaitNanos(left);
         } catch (InterruptedException e) {
-          // What is waited for is a record that must not be doubted: the wait goes on.
+          // The caller must know whether the record is durable, so the wait continues.
           interrupted = true;
         }
       }
-      if (written < ticket && (failure != null || ended)) {
-        throw unwritable();
+      if (writtenTicket < ticket && (writeFailure != null || committerStopped)) {
+        throw writeException();
       }
-      return written >= ticket;
+      return writtenTicket >= ticket;
     } finally {
       lock.unlock();
       if (interrupted) {
@@ -567,57 +583,57 @@
     }
   }
 
-  /** Forgets what may be forgotten by this time (microseconds since 1970); its bytes go at the next commits. */
+  /** Expires records up to this time of {@link #clock}, in microseconds; later commits delete their files. */
   public void expireUntil(long time) {
     lock.lock();
     try {
       now = Math.max(now, time);
-      for (Map.Entry<Long, Integer> e = expiring.firstEntry();
-          e != null && e.getKey() * COUNTED < now;
-          e = expiring.firstEntry()) {
-        count -= e.getValue();
-        expiring.pollFirstEntry();
+      for (Map.Entry<Long, Integer> e = expiryCounts.firstEntry();
+          e != null && e.getKey() * EXPIRY_BUCKET_MICROS < now;
+          e = expiryCounts.firstEntry()) {
+        messageCount -= e.getValue();
+        expiryCounts.pollFirstEntry();
       }
-      want();
+      requestCommit();
     } finally {
       lock.unlock();
     }
   }
 
   private void run() {
-    boolean goesOn = true;
-    while (goesOn) {
+    boolean running = true;
+    while (running) {
       lock.lock();
       try {
-        while (!wanted && !closing && failure == null) {
-          changed.awaitUninterruptibly();
+        while (!commitRequested && !closing && writeFailure == null) {
+          stateChanged.awaitUninterruptibly();
         }
-        wanted = false;
-        goesOn = !closing;
+        commitRequested = false;
+        running = !closing;
       } finally {
         lock.unlock();
       }
       if (commit()) {
         dropExpired();
       } else {
-        pause();
+        waitBeforeRetry();
       }
     }
     lock.lock();
     try {
-      ended = true;
-      changed.signalAll();
+      committerStopped = true;
+      stateChanged.signalAll();
     } finally {
       lock.unlock();
     }
   }
 
-  private void pause() {
+  private void waitBeforeRetry() {
     lock.lock();
     try {
       long left = RETRY_NANOS;
       while (left > 0 && !closing) {
-        left = changed.awaitNanos(left);
+        left = stateChanged.awaitNanos(left);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -626,120 +642,118 @@
     }
   }
 
-  /**
-   * Writes what has gathered, or what could not be written before; false where it fails, and then it is to be tried
-   * again.
-   */
+  /** Writes the pending records, or retries the frame that failed before; false if the write fails. */
   private boolean commit() {
     Frame frame;
     lock.lock();
     try {
-      writing = writing == null ? gathered() : writing;
-      frame = writing;
+      frameInProgress = frameInProgress == null ? takePendingFrame() : frameInProgress;
+      frame = frameInProgress;
     } finally {
       lock.unlock();
     }
-    Throwable failed = null;
-    writingSince = Math.max(1, System.nanoTime());
+    Throwable error = null;
+    writeStartNanos = Math.max(1, System.nanoTime());
     try {
-      if (!frame.bytes().isEmpty()) {
-        frame.to().append(frame.bytes().frame(), frame.at(), sync);
+      if (!frame.buffer().isEmpty()) {
+        frame.segment().append(frame.buffer().toByteBuffer(), frame.offset(), sync);
       }
-      if (frame.seals()) {
-        frame.to().seal();
+      if (frame.sealsSegment()) {
+        frame.segment().seal();
       }
     } catch (IOException | RuntimeException | Error e) {
-      // Whatever ends the writing ends the waiting too.
-      failed = e;
+      // Any failure, even an Error, must release the waiting callers.
+      error = e;
     } finally {
-      writingSince = 0;
+      writeStartNanos = 0;
     }
     lock.lock();
     try {
-      failure = failed;
-      if (failed == null) {
-        commits += frame.bytes().isEmpty() ? 0 : 1;
-        written = Math.max(written, frame.upTo());
-        writing = null;
+      writeFailure = error;
+      if (error == null) {
+        commitCount += frame.buffer().isEmpty() ? 0 : 1;
+        writtenTicket = Math.max(writtenTicket, frame.lastTicket());
+        frameInProgress = null;
       }
-      changed.signalAll();
+      stateChanged.signalAll();
     } finally {
       lock.unlock();
     }
-    return failed == null;
+    return error == null;
   }
 
-  /** What has gathered, as a frame; a segment that is full by then gets no further one. The lock is held. */
-  private Frame gathered() {
-    LedgerSegment to = active();
-    int at = to.end;
-    Gathered bytes = pending;
+  /** Takes the pending records as a frame and starts a new segment if this one is full. The caller holds the lock. */
+  private Frame takePendingFrame() {
+    LedgerSegment to = activeSegment();
+    int offset = to.endOffset;
+    FrameBuffer bytes = pending;
     if (!bytes.isEmpty()) {
-      to.end += bytes.size();
-      pending = new Gathered();
+      to.endOffset += bytes.size();
+      pending = new FrameBuffer();
     }
-    boolean seals = full(to);
+    boolean seals = isFull(to);
     if (seals) {
-      begin(to.number + 1);
+      startSegment(to.number + 1);
     }
-    return new Frame(bytes, to, at, issued, seals);
+    return new Frame(bytes, to, offset, lastTicket, seals);
   }
 
-  private boolean full(LedgerSegment segment) {
-    long all = segments.stream().mapToLong(s -> s.end).sum();
-    boolean large =
-        segment.end >= Math.min(MOST_SEGMENT_BYTES, Math.max(segmentBytes, all / SEGMENTS));
-    boolean old = segment.begunAt > 0
-        && now - segment.begunAt > (segment.until() - segment.begunAt) / TIME_PARTS;
-    return segment.end > LedgerSegment.HEAD && (large || old);
+  private boolean isFull(LedgerSegment segment) {
+    long all = segments.stream().mapToLong(s -> s.endOffset).sum();
+    boolean large = segment.endOffset
+        >= Math.min(MAX_SEGMENT_BYTES, Math.max(segmentBytes, all / TARGET_SEGMENTS));
+    boolean old = segment.firstRecordAt > 0
+        && now - segment.firstRecordAt
+            > (segment.keepUntil() - segment.firstRecordAt) / SEGMENTS_PER_RETENTION;
+    return segment.endOffset > LedgerSegment.HEADER_BYTES && (large || old);
   }
 
-  /** Files and tables of which nothing is remembered any more; the last file stays, it will be written. */
+  /** Drops index tables and files whose records have all expired; the active segment stays. */
   private void dropExpired() {
     lock.lock();
     try {
       for (LedgerSegment s : List.copyOf(segments.subList(0, segments.size() - 1))) {
-        if (s.requestsUntil <= now && s.requests.size() > 0) {
-          s.requests = new DigestTable();
+        if (s.requestsKeepUntil <= now && s.requestOffsets.size() > 0) {
+          s.requestOffsets = new DigestTable();
         }
-        if (s.until() <= now) {
+        if (s.keepUntil() <= now) {
           segments.remove(s);
-          unremoved.add(s);
+          segmentsToDelete.add(s);
         }
       }
     } finally {
       lock.unlock();
     }
-    unremoved.removeIf(Ledger::removed);
+    segmentsToDelete.removeIf(Ledger::tryDelete);
   }
 
-  private static boolean removed(LedgerSegment segment) {
+  private static boolean tryDelete(LedgerSegment segment) {
     try {
-      segment.drop();
+      segment.delete();
       return true;
     } catch (IOException e) {
-      // Of no consequence but for its bytes; tried again at the next commit.
+      // Only disk space is lost; the next commit retries.
       return false;
     }
   }
 
-  /** Commits so far; for measurements. */
+  /** Number of frames written, for measurements. */
   public long commitCount() {
     lock.lock();
     try {
-      return commits;
+      return commitCount;
     } finally {
       lock.unlock();
     }
   }
 
-  /** Writes what was put and closes the files. */
+  /** Writes the pending records and closes the files. */
   @Override
   public void close() {
     lock.lock();
     try {
       closing = true;
-      changed.signalAll();
+      stateChanged.signalAll();
     } finally {
       lock.unlock();
     }
@@ -748,17 +762,17 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    release();
+    closeFiles();
   }
 
-  private void release() {
+  private void closeFiles() {
     try {
       for (LedgerSegment s : segments) {
         s.close();
       }
       lockFile.close();
     } catch (IOException e) {
-      failure = failure == null ? e : failure;
+      writeFailure = writeFailure == null ? e : writeFailure;
     }
   }
 }
--- a/store/src/main/java/gorseladder/store/LedgerClock.java
+++ b/store/src/main/java/gorseladder/store/LedgerClock.java
@@ -5,19 +5,18 @@
 import java.nio.file.Path;
 
 /**
- * The time by which the ledger remembers and forgets: microseconds that begin at the wall clock's and then go on with
- * the monotonic clock. Steps of the wall clock do not reach it, also not over a restart of the process: how far the two
- * clocks stood apart is kept in a file beside the ledger, with the boot of the machine for which that holds.
+ * Clock for expiry times of the ledger, in microseconds: starts at wall-clock time and advances with the monotonic
+ * clock, so that steps of the wall clock do not affect it. A file in the ledger's folder stores the offset between the
+ * two clocks and the machine's boot id, so that steps have no effect across restarts of the process either.
  *
- * <p>Guards against messages that are forgotten, or windows that count as over or as not begun, because the wall clock
- * was stepped. It could harm where the clock was wrong at the first start after a boot: this time is then wrong until
- * the next boot, which only matters where it is compared with another machine's; {@link #fromWallClock} is for that. Any
- * thread.
+ * <p>A stepped wall clock would otherwise expire messages early, or make time windows appear over or not yet begun. If
+ * the wall clock is wrong at the first start after a boot, this clock stays wrong until the next boot, which matters
+ * only in comparison with another machine's clock; {@link #fromWallClock} converts such times. Thread-safe.
  */
 public final class LedgerClock {
-  private static final Path BOOT = Path.of("/proc/sys/kernel/random/boot_id");
-  private static final String FILE = "clock";
-  private static final long NANOS = 1_000;
+  private static final Path BOOT_ID_FILE = Path.of("/proc/sys/kernel/random/boot_id");
+  private static final String FILE_NAME = "clock";
+  private static final long NANOS_PER_MICRO = 1_000;
 
   private final long offset;
 
@@ -25,55 +24,59 @@
     this.offset = offset;
   }
 
-  /** Opens the clock of a folder; where its file cannot be read or written the wall clock's present time begins it. */
+  /** Opens the clock of a folder; starts at the wall-clock time if no offset for this boot can be read. */
   static LedgerClock open(Path folder) {
-    return open(folder, boot(), System.currentTimeMillis() * NANOS, monotonic());
+    return open(folder, bootId(), System.currentTimeMillis() * NANOS_PER_MICRO, monotonicMicros());
   }
 
   /**
-   * The same for given readings of both clocks, in microseconds, and a given boot; null where the boot is not known.
+   * Opens the clock with the given readings.
+   *
+   * @param bootId boot id of the machine, or null if unknown; the offset is then not stored
+   * @param wall wall-clock time in microseconds since 1970
+   * @param monotonic monotonic time in microseconds
    */
-  static LedgerClock open(Path folder, String boot, long wall, long monotonic) {
-    Path file = folder.resolve(FILE);
-    Long kept = boot == null ? null : kept(file, boot);
-    if (kept != null) {
-      return new LedgerClock(kept);
+  static LedgerClock open(Path folder, String bootId, long wall, long monotonic) {
+    Path file = folder.resolve(FILE_NAME);
+    Long stored = bootId == null ? null : storedOffset(file, bootId);
+    if (stored != null) {
+      return new LedgerClock(stored);
     }
     long offset = wall - monotonic;
-    if (boot != null) {
+    if (bootId != null) {
       try {
-        Files.writeString(file, boot + " " + offset + "\n");
+        Files.writeString(file, bootId + " " + offset + "\n");
       } catch (IOException e) {
-        // The next opening begins by the wall clock again.
+        // The offset is not stored: the next start begins at wall-clock time again.
       }
     }
     return new LedgerClock(offset);
   }
 
-  private static Long kept(Path file, String boot) {
+  private static Long storedOffset(Path file, String bootId) {
     try {
       String[] words = Files.readString(file).strip().split(" ");
-      return words.length == 2 && words[0].equals(boot) ? Long.valueOf(words[1]) : null;
+      return words.length == 2 && words[0].equals(bootId) ? Long.valueOf(words[1]) : null;
     } catch (IOException | NumberFormatException e) {
       return null;
     }
   }
 
-  private static String boot() {
+  private static String bootId() {
     try {
-      return Files.readString(BOOT).strip();
+      return Files.readString(BOOT_ID_FILE).strip();
     } catch (IOException e) {
       return null;
     }
   }
 
-  private static long monotonic() {
-    return System.nanoTime() / NANOS;
+  private static long monotonicMicros() {
+    return System.nanoTime() / NANOS_PER_MICRO;
   }
 
-  /** The present time. */
+  /** Current time in microseconds. */
   public long micros() {
-    return at(monotonic());
+    return at(monotonicMicros());
   }
 
   long at(long monotonic) {
@@ -81,12 +84,12 @@
   }
 
   /**
-   * A moment told on the wall clock, on this one.
+   * Converts a wall-clock time to this clock.
    *
-   * @param moment microseconds since 1970, as another machine's clock has it
-   * @param wall this machine's wall clock now
+   * @param wallTime time in microseconds since 1970, for example from another machine
+   * @param wallNow current wall-clock time of this machine, in microseconds since 1970
    */
-  public long fromWallClock(long moment, long wall) {
-    return micros() + (moment - wall);
+  public long fromWallClock(long wallTime, long wallNow) {
+    return micros() + (wallTime - wallNow);
   }
 }
--- a/store/src/main/java/gorseladder/store/LedgerEntry.java
+++ b/store/src/main/java/gorseladder/store/LedgerEntry.java
@@ -6,18 +6,17 @@
 import java.util.Arrays;
 
 /**
- * What the ledger holds of one message. Times are microseconds since 1970. Immutable but for the arrays, which are not
- * changed after they were handed over.
+ * State of one message in the ledger. Times are microseconds of {@link LedgerClock}. Callers do not modify the arrays.
  *
- * @param stage how far the message got; the values are part of the file format
- * @param mayHaveRun true where some attempt is not known not to have run
- * @param takenAt when it was last taken
- * @param leftAt when the first attempt that may have run may have left; 0 where none
- * @param keepUntil when it may be forgotten
+ * @param stage progress of the message
+ * @param mayHaveRun true unless every attempt is known not to have run
+ * @param takenAt when the message was last accepted
+ * @param leftAt earliest time at which an attempt that may have run was sent; 0 if there is none
+ * @param keepUntil expiry time
  * @param contentDigest digest of class, function and body
- * @param reason the word of the final reason, empty before the end
- * @param status the HTTP status answered, 0 before the end
- * @param answer the answer's content where it is kept, else null
+ * @param reason code of the final reason, empty before the final answer
+ * @param status HTTP status of the final answer, 0 before it
+ * @param answer body of the answer if it is kept, else null
  */
 public record LedgerEntry(
     Stage stage,
@@ -31,28 +30,49 @@
     byte[] answer) {
   private static final byte FORMAT = 1;
 
-  /** How far a message got. Order and number are part of the file format. */
+  /** Progress of a message. The file format stores ordinals, so the order of the constants is fixed. */
   public enum Stage {
+    /** Accepted; no attempt has been sent. */
     ACCEPTED,
+    /** An attempt may have been sent. */
     LEAVING,
+    /** Answered by a runner; repeats get the stored answer. */
     SERVED,
+    /** Ended without an answer that the ledger stores. */
     CLOSED
   }
 
-  /** The same message at another stage, without an end. */
-  public LedgerEntry withStage(Stage next, boolean ran, long left) {
+  /** Returns a copy at another stage that keeps the outcome. */
+  public LedgerEntry withStage(Stage newStage, boolean newMayHaveRun, long newLeftAt) {
     return new LedgerEntry(
-        next, ran, takenAt, left, keepUntil, contentDigest, reason, status, answer);
+        newStage,
+        newMayHaveRun,
+        takenAt,
+        newLeftAt,
+        keepUntil,
+        contentDigest,
+        reason,
+        status,
+        answer);
   }
 
-  /** The same message with its end. */
-  public LedgerEntry withOutcome(Stage next, boolean ran, String why, int code, byte[] body) {
+  /** Returns a copy with the final answer; {@code leftAt} becomes 0 if no attempt may have run. */
+  public LedgerEntry withOutcome(
+      Stage newStage, boolean newMayHaveRun, String newReason, int newStatus, byte[] newAnswer) {
     return new LedgerEntry(
-        next, ran, takenAt, ran ? leftAt : 0, keepUntil, contentDigest, why, code, body);
+        newStage,
+        newMayHaveRun,
+        takenAt,
+        newMayHaveRun ? leftAt : 0,
+        keepUntil,
+        contentDigest,
+        newReason,
+        newStatus,
+        newAnswer);
   }
 
   byte[] toBytes() {
-    byte[] word = reason.getBytes(StandardCharsets.UTF_8);
+    byte[] reasonBytes = reason.getBytes(StandardCharsets.UTF_8);
     int answerLength = answer == null ? -1 : answer.length;
     ByteBuffer out = ByteBuffer.allocate(4
         + 3
@@ -60,7 +80,7 @@
         + 2
         + contentDigest.length
         + 2
-        + word.length
+        + reasonBytes.length
         + 2
         + 4
         + Math.max(0, answerLength));
@@ -68,7 +88,7 @@
     out.put(FORMAT).put((byte) stage.ordinal()).put((byte) (mayHaveRun ? 1 : 0));
     out.putLong(takenAt).putLong(leftAt).putLong(keepUntil);
     out.putShort((short) contentDigest.length).put(contentDigest);
-    out.putShort((short) word.length).put(word);
+    out.putShort((short) reasonBytes.length).put(reasonBytes);
     out.putShort((short) status).putInt(answerLength);
     if (answer != null) {
       out.put(answer);
--- a/store/src/main/java/gorseladder/store/LedgerFiles.java
+++ b/store/src/main/java/gorseladder/store/LedgerFiles.java
@@ -8,34 +8,33 @@
 import java.nio.file.Path;
 
 /**
- * What a ledger does with its files; tests give one that fails or stalls. Writes are called on the ledger's own thread,
- * reads on any.
+ * File operations of a ledger; tests replace them to inject failures and delays. The ledger's thread calls the methods
+ * that write; any thread may call {@link #read}.
  */
 public interface LedgerFiles {
-  /** Files as the system has them. */
+  /** Plain file system operations. */
   LedgerFiles DEFAULT = (to, bytes) -> {
     while (bytes.hasRemaining()) {
       to.write(bytes);
     }
   };
 
-  /** Writes all of the bytes, or fails. */
+  /** Writes all bytes or throws. */
   void write(FileChannel to, ByteBuffer bytes) throws IOException;
 
-  /** Makes what was written last. */
-  default void force(FileChannel written) throws IOException {
-    written.force(false);
+  /** Forces written data to disk. */
+  default void force(FileChannel channel) throws IOException {
+    channel.force(false);
   }
 
-  /** Reads the record at a place: its length as four bytes, then so many bytes. */
-  default byte[] read(RandomAccessFile from, int at) throws IOException {
-    from.seek(at);
+  /** Reads the record at an offset: a length prefix of four bytes, then the record. */
+  default byte[] read(RandomAccessFile from, int offset) throws IOException {
+    from.seek(offset);
     byte[] record = new byte[from.readInt()];
     from.readFully(record);
     return record;
   }
 
-  /** Removes a file. */
   default void remove(Path file) throws IOException {
     Files.deleteIfExists(file);
   }
--- a/store/src/main/java/gorseladder/store/LedgerRecord.java
+++ b/store/src/main/java/gorseladder/store/LedgerRecord.java
@@ -5,54 +5,59 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One record of the ledger: a message with how far it got, a signed request until it may be forgotten, both, or the
- * count of openings. Immutable but for the entry's arrays.
+ * One record of the ledger: a message and its state, a signed request and its expiry time, both, or the open count.
  *
- * @param message null where the record is about no message; {@code entry} stands and falls with it
- * @param request null where it is about no request
- * @param boots how often the ledger was opened; 0 in all other records
+ * @param message null if the record holds no message; {@code entry} is null exactly then
+ * @param request null if the record holds no signed request
+ * @param openCount how often the ledger was opened; 0 in records of messages and requests
  */
 record LedgerRecord(
-    String message, LedgerEntry entry, String request, long requestUntil, long boots) {
-  private static final int MESSAGE = 1;
-  private static final int REQUEST = 2;
-  private static final int BOOTS = 4;
+    String message, LedgerEntry entry, String request, long requestKeepUntil, long openCount) {
+  private static final int HAS_MESSAGE = 1;
+  private static final int HAS_REQUEST = 2;
+  private static final int HAS_OPEN_COUNT = 4;
 
-  /** The bytes as they stand in a frame, with their length before them. */
+  /** Encodes the record for a frame, with a length prefix. */
   byte[] toBytes() {
-    byte[] name = message == null ? null : message.getBytes(StandardCharsets.UTF_8);
-    byte[] about = entry == null ? null : entry.toBytes();
-    byte[] key = request == null ? null : request.getBytes(StandardCharsets.UTF_8);
+    byte[] messageBytes = message == null ? null : message.getBytes(StandardCharsets.UTF_8);
+    byte[] entryBytes = entry == null ? null : entry.toBytes();
+    byte[] requestBytes = request == null ? null : request.getBytes(StandardCharsets.UTF_8);
     int length = 1
-        + (name == null ? 0 : 8 + name.length + about.length)
-        + (key == null ? 0 : 12 + key.length)
-        + (boots > 0 ? 8 : 0);
+        + (messageBytes == null ? 0 : 8 + messageBytes.length + entryBytes.length)
+        + (requestBytes == null ? 0 : 12 + requestBytes.length)
+        + (openCount > 0 ? 8 : 0);
     ByteBuffer out = ByteBuffer.allocate(4 + length);
-    out.putInt(length).put((byte)
-        ((name == null ? 0 : MESSAGE) | (key == null ? 0 : REQUEST) | (boots > 0 ? BOOTS : 0)));
-    if (name != null) {
-      out.putInt(name.length).put(name).putInt(about.length).put(about);
+    out.putInt(length).put((byte) ((messageBytes == null ? 0 : HAS_MESSAGE)
+        | (requestBytes == null ? 0 : HAS_REQUEST)
+        | (openCount > 0 ? HAS_OPEN_COUNT : 0)));
+    if (messageBytes != null) {
+      out.putInt(messageBytes.length)
+          .put(messageBytes)
+          .putInt(entryBytes.length)
+          .put(entryBytes);
     }
-    if (key != null) {
-      out.putInt(key.length).put(key).putLong(requestUntil);
+    if (requestBytes != null) {
+      out.putInt(requestBytes.length).put(requestBytes).putLong(requestKeepUntil);
     }
-    if (boots > 0) {
-      out.putLong(boots);
+    if (openCount > 0) {
+      out.putLong(openCount);
     }
     return out.array();
   }
 
-  /** Reads a record without the length before it. */
+  /** Decodes a record without its length prefix. */
   static LedgerRecord of(byte[] bytes) {
     try {
       ByteBuffer in = ByteBuffer.wrap(bytes);
-      int has = in.get();
-      String message = (has & MESSAGE) != 0 ? new String(read(in), StandardCharsets.UTF_8) : null;
+      int flags = in.get();
+      String message =
+          (flags & HAS_MESSAGE) != 0 ? new String(read(in), StandardCharsets.UTF_8) : null;
       LedgerEntry entry = message == null ? null : LedgerEntry.of(read(in));
-      String request = (has & REQUEST) != 0 ? new String(read(in), StandardCharsets.UTF_8) : null;
-      long until = request == null ? 0 : in.getLong();
+      String request =
+          (flags & HAS_REQUEST) != 0 ? new String(read(in), StandardCharsets.UTF_8) : null;
+      long keepUntil = request == null ? 0 : in.getLong();
       return new LedgerRecord(
-          message, entry, request, until, (has & BOOTS) != 0 ? in.getLong() : 0);
+          message, entry, request, keepUntil, (flags & HAS_OPEN_COUNT) != 0 ? in.getLong() : 0);
     } catch (BufferUnderflowException e) {
       throw new IllegalArgumentException("length", e);
     }
--- a/store/src/main/java/gorseladder/store/LedgerSegment.java
+++ b/store/src/main/java/gorseladder/store/LedgerSegment.java
@@ -13,34 +13,35 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * One file of the ledger and the tables of what stands in it. A head of 24 bytes (mark, format, number, checksum), then
- * frames: what one commit wrote, with mark, length and checksum. Only the last file is written, and only at its end.
+ * One file of the ledger and its in-memory index. The file starts with a header of 24 bytes (magic, format, number,
+ * checksum), followed by frames, one for each commit, with magic, length and checksum. Only the last file is written,
+ * and only at its end.
  *
- * <p>The caller guards the tables; {@link #read} may be called by any thread.
+ * <p>The caller synchronizes access to the index; {@link #read} is thread-safe.
  */
 final class LedgerSegment implements Closeable {
-  static final int HEAD = 24;
-  static final int FRAME_HEAD = 12;
-  private static final int MARK = 0x474c4c47;
-  private static final int FRAME_MARK = 0x66724d21;
+  static final int HEADER_BYTES = 24;
+  static final int FRAME_HEADER_BYTES = 12;
+  private static final int MAGIC = 0x474c4c47;
+  private static final int FRAME_MAGIC = 0x66724d21;
   private static final int FORMAT = 3;
-  private static final int MOST_FRAME = 1 << 30;
+  private static final int MAX_FRAME_BYTES = 1 << 30;
 
-  /** Hears each record of a file and where it stands. */
-  interface Reader {
-    void record(int at, LedgerRecord record);
+  /** Receives each record of a file and its offset. */
+  interface RecordVisitor {
+    void visit(int offset, LedgerRecord record);
   }
 
   final Path file;
   final long number;
-  final DigestTable messages = new DigestTable();
-  DigestTable requests = new DigestTable();
-  long messagesUntil;
-  long requestsUntil;
-  /** Told time at which the first record was put; 0 before. */
-  long begunAt;
-  /** Where the next frame will begin, with all that was put by now. */
-  int end = HEAD;
+  final DigestTable messageOffsets = new DigestTable();
+  DigestTable requestOffsets = new DigestTable();
+  long messagesKeepUntil;
+  long requestsKeepUntil;
+  /** Latest time passed to {@link Ledger#expireUntil} when the first record was put; 0 before. */
+  long firstRecordAt;
+  /** Offset of the next frame, after all frames taken for writing so far. */
+  int endOffset = HEADER_BYTES;
 
   private final LedgerFiles files;
   private FileChannel out;
@@ -52,62 +53,64 @@
     this.files = files;
   }
 
-  /** When all in it may be forgotten. */
-  long until() {
-    return Math.max(messagesUntil, requestsUntil);
+  /** Time at which all records of the segment have expired. */
+  long keepUntil() {
+    return Math.max(messagesKeepUntil, requestsKeepUntil);
   }
 
   /**
-   * Writes a frame at a place of the file, which is made at its first frame; the first bytes are kept free for its
-   * head. What stands there and behind is of a write that failed: it was promised to nobody.
+   * Writes a frame at an offset and creates the file if needed. The first bytes of the buffer are reserved for the
+   * frame header. On reopening, bytes from the offset on are truncated: they come from a failed write that nobody was
+   * told is durable.
    *
-   * @throws IOException where it was not written whole; it may then be written again at the same place
+   * @throws IOException if the frame was not written completely; the caller may write it again at the same offset
    */
-  void append(ByteBuffer frame, int at, boolean sync) throws IOException {
+  void append(ByteBuffer frame, int offset, boolean sync) throws IOException {
     try {
-      write(frame, at, sync);
+      write(frame, offset, sync);
     } catch (IOException | RuntimeException e) {
-      letGo();
+      closeOutput();
       throw e;
     }
   }
 
-  private void write(ByteBuffer frame, int at, boolean sync) throws IOException {
+  private void write(ByteBuffer frame, int offset, boolean sync) throws IOException {
     if (out == null) {
       out = FileChannel.open(file, StandardOpenOption.WRITE, StandardOpenOption.CREATE);
-      if (out.size() < HEAD) {
-        ByteBuffer head = ByteBuffer.allocate(HEAD).putInt(MARK).putInt(FORMAT).putLong(number);
-        head.putInt(Digests.crc32c(head.array(), 0, HEAD - 8)).putInt(0);
+      if (out.size() < HEADER_BYTES) {
+        ByteBuffer header =
+            ByteBuffer.allocate(HEADER_BYTES).putInt(MAGIC).putInt(FORMAT).putLong(number);
+        header.putInt(Digests.crc32c(header.array(), 0, HEADER_BYTES - 8)).putInt(0);
         out.truncate(0);
-        files.write(out, head.flip());
+        files.write(out, header.flip());
       }
-      out.truncate(at);
+      out.truncate(offset);
     }
-    out.position(at);
-    int length = frame.limit() - FRAME_HEAD;
+    out.position(offset);
+    int length = frame.limit() - FRAME_HEADER_BYTES;
     frame
-        .putInt(0, FRAME_MARK)
+        .putInt(0, FRAME_MAGIC)
         .putInt(4, length)
-        .putInt(8, Digests.crc32c(frame.array(), FRAME_HEAD, length));
+        .putInt(8, Digests.crc32c(frame.array(), FRAME_HEADER_BYTES, length));
     files.write(out, frame);
     if (sync) {
       files.force(out);
     }
   }
 
-  /** Closes the file for writing, whatever comes of that; a later frame opens it again. */
-  private void letGo() {
+  /** Closes the output and ignores failures; the next frame reopens the file. */
+  private void closeOutput() {
     try {
       if (out != null) {
         out.close();
       }
     } catch (IOException e) {
-      // What was to be written is written again.
+      // The caller writes the frame again.
     }
     out = null;
   }
 
-  /** No further frame comes: what was written is made to last before a later file has any. */
+  /** Syncs and closes a file that gets no further frame, before a later file is written. */
   void seal() throws IOException {
     if (out == null) {
       return;
@@ -115,67 +118,69 @@
     try {
       files.force(out);
     } finally {
-      letGo();
+      closeOutput();
     }
   }
 
-  /** The record at that place, which was written before. */
-  synchronized LedgerRecord read(int at) throws IOException {
+  /** Reads a record that is already in the file. */
+  synchronized LedgerRecord read(int offset) throws IOException {
     if (in == null) {
       in = new RandomAccessFile(file.toFile(), "r");
     }
-    return LedgerRecord.of(files.read(in, at));
+    return LedgerRecord.of(files.read(in, offset));
   }
 
   /**
-   * Reads the file from its beginning and sets where it ends.
+   * Reads all records and sets {@link #endOffset}.
    *
-   * <p>A last frame that is not whole is what a kill in the middle of a write leaves; it was promised to nobody and is
-   * cut off where this is the last file. Anything after it, or a file that is followed by others, makes it damage.
+   * <p>A kill during a write leaves an incomplete last frame, which nobody was told is durable: it is truncated if this
+   * is the last file. It counts as damage if an intact frame or another file follows it.
    *
-   * @param last true for the file that will be written on
+   * @param last true for the newest file, to which further frames are appended
    */
-  void load(boolean last, Reader reader) throws IOException {
+  void load(boolean last, RecordVisitor visitor) throws IOException {
     long length = Files.size(file);
-    if (length < HEAD && last) {
+    if (length < HEADER_BYTES && last) {
       Files.delete(file);
       return;
     }
     try (DataInputStream bytes =
         new DataInputStream(new BufferedInputStream(Files.newInputStream(file), 1 << 18))) {
-      byte[] head = new byte[HEAD];
-      bytes.readFully(head);
-      ByteBuffer h = ByteBuffer.wrap(head);
-      if (h.getInt() != MARK || h.getInt(16) != Digests.crc32c(head, 0, HEAD - 8)) {
+      byte[] header = new byte[HEADER_BYTES];
+      bytes.readFully(header);
+      ByteBuffer headerFields = ByteBuffer.wrap(header);
+      if (headerFields.getInt() != MAGIC
+          || headerFields.getInt(16) != Digests.crc32c(header, 0, HEADER_BYTES - 8)) {
         throw new IOException(file.getFileName() + " is damaged at byte 0");
       }
-      int format = h.getInt();
+      int format = headerFields.getInt();
       if (format != FORMAT) {
         throw new IOException("the format of " + file.getFileName() + " is " + format
             + " and this program reads " + FORMAT);
       }
-      while (end < length && frame(bytes, length - end, reader)) {
+      while (endOffset < length && readFrame(bytes, length - endOffset, visitor)) {
         continue;
       }
     }
-    if (end < length) {
-      if (!last || wholeFrameAfter(end)) {
-        throw new IOException(file.getFileName() + " is damaged at byte " + end);
+    if (endOffset < length) {
+      if (!last || hasIntactFrameAfter(endOffset)) {
+        throw new IOException(file.getFileName() + " is damaged at byte " + endOffset);
       }
-      try (FileChannel cut = FileChannel.open(file, StandardOpenOption.WRITE)) {
-        cut.truncate(end);
-        cut.force(true);
+      try (FileChannel truncated = FileChannel.open(file, StandardOpenOption.WRITE)) {
+        truncated.truncate(endOffset);
+        truncated.force(true);
       }
     }
   }
 
-  private boolean frame(DataInputStream bytes, long left, Reader reader) throws IOException {
-    if (left < FRAME_HEAD || bytes.readInt() != FRAME_MARK) {
+  private boolean readFrame(DataInputStream bytes, long remaining, RecordVisitor visitor)
+      throws IOException {
+    if (remaining < FRAME_HEADER_BYTES || bytes.readInt() != FRAME_MAGIC) {
       return false;
     }
     int length = bytes.readInt();
     int crc = bytes.readInt();
-    if (length < 0 || length > Math.min(MOST_FRAME, left - FRAME_HEAD)) {
+    if (length < 0 || length > Math.min(MAX_FRAME_BYTES, remaining - FRAME_HEADER_BYTES)) {
       return false;
     }
     byte[] payload = new byte[length];
@@ -185,26 +190,26 @@
     }
     ByteBuffer in = ByteBuffer.wrap(payload);
     while (in.hasRemaining()) {
-      int at = end + FRAME_HEAD + in.position();
+      int offset = endOffset + FRAME_HEADER_BYTES + in.position();
       byte[] record = new byte[in.getInt()];
       in.get(record);
-      reader.record(at, LedgerRecord.of(record));
+      visitor.visit(offset, LedgerRecord.of(record));
     }
-    end += FRAME_HEAD + length;
+    endOffset += FRAME_HEADER_BYTES + length;
     return true;
   }
 
-  /** Looks for a frame that is whole beyond a place where none is; a torn tail has none. */
-  private boolean wholeFrameAfter(int at) throws IOException {
+  /** Searches for an intact frame after an invalid one; an incomplete last write has none after it. */
+  private boolean hasIntactFrameAfter(int offset) throws IOException {
     try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ)) {
-      ByteBuffer rest = channel.map(FileChannel.MapMode.READ_ONLY, at, channel.size() - at);
-      for (int i = 1; i + FRAME_HEAD <= rest.capacity(); i++) {
-        if (rest.getInt(i) == FRAME_MARK) {
-          int length = rest.getInt(i + 4);
-          if (length >= 0 && length <= rest.capacity() - i - FRAME_HEAD) {
+      ByteBuffer tail = channel.map(FileChannel.MapMode.READ_ONLY, offset, channel.size() - offset);
+      for (int i = 1; i + FRAME_HEADER_BYTES <= tail.capacity(); i++) {
+        if (tail.getInt(i) == FRAME_MAGIC) {
+          int length = tail.getInt(i + 4);
+          if (length >= 0 && length <= tail.capacity() - i - FRAME_HEADER_BYTES) {
             byte[] payload = new byte[length];
-            rest.get(i + FRAME_HEAD, payload);
-            if (Digests.crc32c(payload, 0, length) == rest.getInt(i + 8)) {
+            tail.get(i + FRAME_HEADER_BYTES, payload);
+            if (Digests.crc32c(payload, 0, length) == tail.getInt(i + 8)) {
               return true;
             }
           }
@@ -214,7 +219,6 @@
     }
   }
 
-  /** Lets go of the file. */
   @Override
   public synchronized void close() throws IOException {
     if (in != null) {
@@ -227,8 +231,8 @@
     }
   }
 
-  /** Removes the file: all in it may be forgotten. */
-  void drop() throws IOException {
+  /** Closes and deletes the file. */
+  void delete() throws IOException {
     close();
     files.remove(file);
   }
