--- a/edge/src/main/java/gorseladder/edge/Edge.java
+++ b/edge/src/main/java/gorseladder/edge/Edge.java
@@ -1,8 +1,8 @@
 package gorseladder.edge;
 
+import gorseladder.RouterApi;
 import gorseladder.RouterApi.Phase;
 import gorseladder.RouterApi.WorkerListUpdate;
-import gorseladder.RouterApi;
 import gorseladder.answers.RetryAdvice;
 import gorseladder.config.Address;
 import gorseladder.config.SettingsFile;
--- a/edge/src/main/java/gorseladder/edge/EdgeConfig.java
+++ b/edge/src/main/java/gorseladder/edge/EdgeConfig.java
@@ -1,7 +1,7 @@
 package gorseladder.edge;
 
-import gorseladder.RouterApi.RequestClass;
 import gorseladder.RouterApi;
+import gorseladder.RouterApi.RequestClass;
 import gorseladder.admission.Admission;
 import gorseladder.config.Networks;
 import gorseladder.config.proto.EdgeSettings;
