--- a/core/src/main/java/gorseladder/core/PauseClock.java
+++ b/core/src/main/java/gorseladder/core/PauseClock.java
@@ -22,7 +22,7 @@
   }
 
   private void tickLater() {
-    watchdog.after(StallWatch.TICK, () -> {
+    watchdog.after(StallWatch.TICK_MICROS, () -> {
       if (!stopped) {
         tick();
         tickLater();
@@ -44,7 +44,7 @@
   /** The earliest time at which something may have come that is read now. */
   public long cameAt(long now) {
     synchronized (watch) {
-      return watch.cameAt(now);
+      return watch.earliestArrival(now);
     }
   }
 
--- a/decisions/src/main/java/gorseladder/gate/SendGate.java
+++ b/decisions/src/main/java/gorseladder/gate/SendGate.java
@@ -39,7 +39,7 @@
   }
 
   /** How long after its drain was told a worker may still be sent to, by the rule. */
-  public long grace() {
+  public long drainGrace() {
     return rules.drainGrace();
   }
 
@@ -47,7 +47,7 @@
    * News of a worker's phase, at the time its bytes reached this process, in the order in which it was told. Older news
    * never opens a gate closed later; of news that came in one go the last stands.
    */
-  public void told(String worker, Phase phase, long at) {
+  public void phaseReported(String worker, Phase phase, long at) {
     Long closed = closedSince.get(worker);
     if (phase != Phase.RUNNING) {
       closedSince.merge(worker, at, Math::min);
@@ -62,7 +62,7 @@
    * @param born when it started, 0 for long ago
    * @param news the number of the list's news that tells it, from 1; what was decided before that news met another life
    */
-  public void started(String worker, long born, long news, long at) {
+  public void startReported(String worker, long born, long news, long at) {
     Start before = starts.get(worker);
     if (before == null || before.born() != born) {
       starts.put(worker, new Start(born, before == null ? 0 : news, at));
@@ -81,7 +81,7 @@
   }
 
   /** True where a call may leave for the worker as far as its drain is concerned; one that may not is counted. */
-  public boolean callMayLeave(String worker) {
+  public boolean maySendCall(String worker) {
     boolean open = !closedSince.containsKey(worker);
     refusedCalls += open ? 0 : 1;
     return open;
@@ -98,20 +98,20 @@
   }
 
   /** Drops what is remembered of workers that are not named: no list has them and nothing waits for them. */
-  public void forgetUnless(Predicate<String> named) {
+  public void retainWorkers(Predicate<String> named) {
     closedSince.keySet().removeIf(named.negate());
     starts.keySet().removeIf(named.negate());
   }
 
   /** A call was taken; it earns its share of the load ration. */
-  public void taken(long at) {
+  public void callTaken(long at) {
     if (rules.loadWindow() > 0) {
       taken.addLast(at);
     }
   }
 
   /** Whether a load order may leave for the worker now; where it may it is counted in the ration. */
-  public Verdict orderMayLeave(String worker, long news, long now) {
+  public Verdict maySendLoadOrder(String worker, long news, long now) {
     Verdict verdict = Permits.mayOrder(
         closedSince.containsKey(worker), restartedSince(worker, news), inRation(now));
     if (verdict.allowed() && rules.loadWindow() > 0) {
--- a/decisions/src/main/java/gorseladder/permits/Permits.java
+++ b/decisions/src/main/java/gorseladder/permits/Permits.java
@@ -25,18 +25,18 @@
    * What is known at the last moment before an attempt leaves.
    *
    * @param callEnded the call has its final answer, or its client left
-   * @param until when the time of the attempt is over
+   * @param expiresAt when the time of the attempt is over
    * @param draining the worker is draining or gone
    * @param restartedSince the worker started after the attempt was decided
-   * @param clientSeen from when on what clients did before a pause of this process is known; 0 for always
+   * @param clientSeenFrom from when on what clients did before a pause of this process is known; 0 for always
    * @param earlier what the earlier attempts allow
    */
   public record Sending(
       boolean callEnded,
-      long until,
+      long expiresAt,
       boolean draining,
       boolean restartedSince,
-      long clientSeen,
+      long clientSeenFrom,
       Verdict earlier) {}
 
   /** True where the attempt may leave now; bytes must follow at once. */
@@ -44,7 +44,7 @@
     if (attempt.callEnded()) {
       return Verdict.CALL_ENDED;
     }
-    if (now >= attempt.until()) {
+    if (now >= attempt.expiresAt()) {
       return Verdict.TIME_UP;
     }
     if (attempt.draining()) {
@@ -56,7 +56,7 @@
     if (!attempt.earlier().allowed()) {
       return attempt.earlier();
     }
-    return now < attempt.clientSeen() ? Verdict.CLIENT_UNSEEN : Verdict.ALLOWED;
+    return now < attempt.clientSeenFrom() ? Verdict.CLIENT_UNSEEN : Verdict.ALLOWED;
   }
 
   /**
--- a/decisions/src/main/java/gorseladder/stalls/StallWatch.java
+++ b/decisions/src/main/java/gorseladder/stalls/StallWatch.java
@@ -6,7 +6,7 @@
  *
  * <p>Guards against times that are taken when something is read and not when it came: after a pause a request looks new
  * whose client has waited for long, and one whose client has left long ago looks open until its connection's end is
- * read too. So what is read within {@link #SETTLE} after a pause counts as arrived when the pause began, and nothing
+ * read too. So what is read within {@link #SETTLE_MICROS} after a pause counts as arrived when the pause began, and nothing
  * new leaves before that. It could harm where pauses follow each other closely: requests then get less time than their
  * clients would wait.
  *
@@ -14,11 +14,11 @@
  */
 public final class StallWatch {
   /** Between two ticks. */
-  public static final long TICK = 25_000;
+  public static final long TICK_MICROS = 25_000;
   /** A tick that is late by this much says that the process stood still; far less than the slack on deadlines. */
   private static final long STALL = 50_000;
   /** After a pause, the time in which what came during it is read. */
-  public static final long SETTLE = 30_000;
+  public static final long SETTLE_MICROS = 30_000;
 
   private long tickedAt;
   private long beganAt;
@@ -38,7 +38,7 @@
   }
 
   private void look(long now) {
-    if (now - tickedAt > TICK + STALL) {
+    if (now - tickedAt > TICK_MICROS + STALL) {
       beganAt = tickedAt;
       endedAt = now;
       tickedAt = now;
@@ -46,14 +46,14 @@
   }
 
   /** The earliest time at which something may have come that is read now. */
-  public long cameAt(long now) {
+  public long earliestArrival(long now) {
     look(now);
-    return endedAt > 0 && now - endedAt < SETTLE ? beganAt : now;
+    return endedAt > 0 && now - endedAt < SETTLE_MICROS ? beganAt : now;
   }
 
   /** From when on what clients did during the last pause is known; 0 where there was none. */
   public long settledAt(long now) {
     look(now);
-    return endedAt == 0 ? 0 : endedAt + SETTLE;
+    return endedAt == 0 ? 0 : endedAt + SETTLE_MICROS;
   }
 }
--- a/decisions/src/test/java/gorseladder/gate/SendGateTest.java
+++ b/decisions/src/test/java/gorseladder/gate/SendGateTest.java
@@ -17,23 +17,23 @@
   @Test
   void closesAtTheNewsAndOpensOnlyForNewerNews() {
     SendGate gate = new SendGate(RULES);
-    assertTrue(gate.callMayLeave("w"));
-    gate.told("w", Phase.DRAINING, 100);
-    assertFalse(gate.callMayLeave("w"));
-    assertFalse(gate.orderMayLeave("w", 0, 101).allowed());
-    assertTrue(gate.callMayLeave("v"));
-    gate.told("w", Phase.RUNNING, 90);
-    assertFalse(gate.callMayLeave("w"), "older news opened it");
-    gate.told("w", Phase.RUNNING, 200);
-    assertTrue(gate.callMayLeave("w"));
-    gate.told("v", Phase.GONE, 250);
-    gate.told("v", Phase.RUNNING, 250);
-    assertTrue(gate.callMayLeave("v"), "gone and back in one go");
-    gate.told("w", Phase.GONE, 300);
-    gate.told("u", Phase.GONE, 300);
-    gate.forgetUnless(worker -> worker.equals("u"));
-    assertFalse(gate.callMayLeave("u"));
-    assertTrue(gate.callMayLeave("w"));
+    assertTrue(gate.maySendCall("w"));
+    gate.phaseReported("w", Phase.DRAINING, 100);
+    assertFalse(gate.maySendCall("w"));
+    assertFalse(gate.maySendLoadOrder("w", 0, 101).allowed());
+    assertTrue(gate.maySendCall("v"));
+    gate.phaseReported("w", Phase.RUNNING, 90);
+    assertFalse(gate.maySendCall("w"), "older news opened it");
+    gate.phaseReported("w", Phase.RUNNING, 200);
+    assertTrue(gate.maySendCall("w"));
+    gate.phaseReported("v", Phase.GONE, 250);
+    gate.phaseReported("v", Phase.RUNNING, 250);
+    assertTrue(gate.maySendCall("v"), "gone and back in one go");
+    gate.phaseReported("w", Phase.GONE, 300);
+    gate.phaseReported("u", Phase.GONE, 300);
+    gate.retainWorkers(worker -> worker.equals("u"));
+    assertFalse(gate.maySendCall("u"));
+    assertTrue(gate.maySendCall("w"));
     assertEquals(3, gate.refusedCalls());
     assertEquals(1, gate.refusedOrders());
   }
@@ -49,9 +49,9 @@
     for (int i = 0; i < 20_000; i++) {
       now += random.nextInt(400);
       if (random.nextInt(3) > 0) {
-        gate.taken(now);
+        gate.callTaken(now);
         taken.add(now);
-      } else if (gate.orderMayLeave("w", 0, now).allowed()) {
+      } else if (gate.maySendLoadOrder("w", 0, now).allowed()) {
         ordered.add(now);
         long from = now - 5000;
         long orders = ordered.stream().filter(t -> t > from).count();
@@ -65,7 +65,7 @@
   void withoutAWindowOrdersAreFree() {
     SendGate gate = new SendGate(new Rules(500, 0.2, 1000, 2.5, 100, 0, 0, 0));
     for (int i = 0; i < 100; i++) {
-      assertTrue(gate.orderMayLeave("w", 0, i).allowed());
+      assertTrue(gate.maySendLoadOrder("w", 0, i).allowed());
     }
   }
 }
--- a/decisions/src/test/java/gorseladder/stalls/StallWatchTest.java
+++ b/decisions/src/test/java/gorseladder/stalls/StallWatchTest.java
@@ -12,9 +12,9 @@
 
   @Test
   void steadyTicksAreNoPause() {
-    for (long now = START; now < 2 * START; now += StallWatch.TICK + 40_000) {
+    for (long now = START; now < 2 * START; now += StallWatch.TICK_MICROS + 40_000) {
       assertEquals(0, watch.tick(now));
-      assertEquals(now + 3_000, watch.cameAt(now + 3_000));
+      assertEquals(now + 3_000, watch.earliestArrival(now + 3_000));
       assertEquals(0, watch.settledAt(now));
     }
   }
@@ -23,12 +23,12 @@
   @Test
   void whatIsReadSoonAfterAPauseMayHaveComeWhenItBegan() {
     long woke = START + STOOD;
-    assertEquals(START, watch.cameAt(woke));
-    assertEquals(woke + StallWatch.SETTLE, watch.settledAt(woke + 1_000));
+    assertEquals(START, watch.earliestArrival(woke));
+    assertEquals(woke + StallWatch.SETTLE_MICROS, watch.settledAt(woke + 1_000));
     assertEquals(0, watch.tick(woke + 2_000));
-    assertEquals(START, watch.cameAt(woke + StallWatch.SETTLE - 1));
-    long later = woke + StallWatch.SETTLE;
-    assertEquals(later, watch.cameAt(later));
+    assertEquals(START, watch.earliestArrival(woke + StallWatch.SETTLE_MICROS - 1));
+    long later = woke + StallWatch.SETTLE_MICROS;
+    assertEquals(later, watch.earliestArrival(later));
     assertEquals(0, watch.tick(woke + 27_000));
     assertEquals(STOOD, watch.tick(woke + 27_000 + STOOD));
   }
--- a/edge/src/main/java/gorseladder/edge/runners/Runners.java
+++ b/edge/src/main/java/gorseladder/edge/runners/Runners.java
@@ -124,9 +124,9 @@
    */
   public void told(String worker, Phase phase, long born, long news, long at) {
     synchronized (gate) {
-      gate.told(worker, phase, at);
+      gate.phaseReported(worker, phase, at);
       if (phase != Phase.GONE) {
-        gate.started(worker, born, news, at);
+        gate.startReported(worker, born, news, at);
       }
     }
   }
@@ -134,7 +134,7 @@
   /** A call was taken. */
   public void taken(long at) {
     synchronized (gate) {
-      gate.taken(at);
+      gate.callTaken(at);
     }
   }
 
@@ -324,7 +324,7 @@
         long now = Clock.micros();
         Call.LastLook look = new Call.LastLook(
             isCancelled() ? now : until,
-            !gate.callMayLeave(worker),
+            !gate.maySendCall(worker),
             gate.restartedSince(worker, call.attempt(number).decidedWith()),
             0,
             settings.mayDuplicate());
@@ -351,7 +351,7 @@
           leftAt,
           writtenAt,
           drainToldAt,
-          gate.grace(),
+          gate.drainGrace(),
           restartToldAt,
           call.attempt(number).decidedAt(),
           call.endedAt(),
@@ -485,7 +485,7 @@
       boolean open;
       synchronized (gate) {
         open = connection != null
-            && gate.orderMayLeave(worker, decidedWith, Clock.micros()).allowed();
+            && gate.maySendLoadOrder(worker, decidedWith, Clock.micros()).allowed();
       }
       if (!open) {
         return loaded(
@@ -588,7 +588,7 @@
     Set<String> inUse = new HashSet<>();
     out.values().forEach(all -> all.values().forEach(exchange -> inUse.add(exchange.worker)));
     synchronized (gate) {
-      gate.forgetUnless(worker -> addresses.apply(worker) != null || inUse.contains(worker));
+      gate.retainWorkers(worker -> addresses.apply(worker) != null || inUse.contains(worker));
     }
   }
 
--- a/node/src/main/java/gorseladder/node/front/Arrival.java
+++ b/node/src/main/java/gorseladder/node/front/Arrival.java
@@ -15,7 +15,7 @@
   static Arrival of(ArrivalTimes times) {
     long came = times.came();
     long readAt = times.readAt();
-    boolean late = readAt - came > StallWatch.SETTLE;
-    return new Arrival(came, late ? readAt + StallWatch.SETTLE : 0);
+    boolean late = readAt - came > StallWatch.SETTLE_MICROS;
+    return new Arrival(came, late ? readAt + StallWatch.SETTLE_MICROS : 0);
   }
 }
--- a/node/src/main/java/gorseladder/node/runners/AttemptRequest.java
+++ b/node/src/main/java/gorseladder/node/runners/AttemptRequest.java
@@ -57,7 +57,7 @@
     SendGate gate = links.gate();
     Call.LastLook look = new Call.LastLook(
         until,
-        !gate.callMayLeave(worker()),
+        !gate.maySendCall(worker()),
         gate.restartedSince(worker(), call.attempt(number).decidedWith()),
         Math.max(call.seenFrom(), links.clientsSeenFrom(now)),
         links.mayDuplicate());
@@ -95,7 +95,7 @@
                 leftAt(),
                 now,
                 drainToldAt,
-                gate.grace(),
+                gate.drainGrace(),
                 restartToldAt,
                 attempt.decidedAt(),
                 call.endedAt(),
--- a/node/src/main/java/gorseladder/node/runners/LoadOrder.java
+++ b/node/src/main/java/gorseladder/node/runners/LoadOrder.java
@@ -48,7 +48,7 @@
 
   @Override
   Verdict mayLeave(long now) {
-    return links.gate().orderMayLeave(worker(), decidedWith, now);
+    return links.gate().maySendLoadOrder(worker(), decidedWith, now);
   }
 
   @Override
--- a/node/src/main/java/gorseladder/node/runners/RunnerLinks.java
+++ b/node/src/main/java/gorseladder/node/runners/RunnerLinks.java
@@ -212,10 +212,10 @@
     Phase phase = entry.phase();
     Link before;
     synchronized (gate) {
-      gate.told(uid, phase, at);
+      gate.phaseReported(uid, phase, at);
       mayForget = true;
       if (phase != Phase.GONE) {
-        gate.started(uid, entry.startedAt(), news, at);
+        gate.startReported(uid, entry.startedAt(), news, at);
       }
       before = links.get(uid);
       if (phase != Phase.GONE && before != null && before.address().equals(address)) {
@@ -240,7 +240,7 @@
   /** A call was taken; it earns its share of the load ration. */
   public void taken(long at) {
     synchronized (gate) {
-      gate.taken(at);
+      gate.callTaken(at);
     }
   }
 
@@ -367,7 +367,7 @@
       leaving.removeIf(Link::finished);
       mayForget = !leaving.isEmpty();
       Set<String> last = leaving.stream().map(Link::uid).collect(Collectors.toSet());
-      gate.forgetUnless(uid -> links.containsKey(uid) || last.contains(uid));
+      gate.retainWorkers(uid -> links.containsKey(uid) || last.contains(uid));
     }
   }
 
--- a/node/src/main/java/gorseladder/node/runners/RunnerRequest.java
+++ b/node/src/main/java/gorseladder/node/runners/RunnerRequest.java
@@ -176,7 +176,7 @@
     if (call() != null) {
       call().release(by);
     }
-    links.after(StallWatch.SETTLE, () -> links.carryOrWait(this));
+    links.after(StallWatch.SETTLE_MICROS, () -> links.carryOrWait(this));
   }
 
   /** The answer; on the connection's thread. */
--- a/node/src/test/java/gorseladder/node/front/ArrivalTimesTest.java
+++ b/node/src/test/java/gorseladder/node/front/ArrivalTimesTest.java
@@ -34,7 +34,7 @@
     assertEquals(first, read(0, ACCEPTED + 10, 100, first));
     long busyUntil = first + 301_000;
     assertEquals(first, read(100, busyUntil, 100, busyUntil + 5));
-    assertEquals(busyUntil + 5 + StallWatch.SETTLE, Arrival.of(times).clientSeenFrom());
+    assertEquals(busyUntil + 5 + StallWatch.SETTLE_MICROS, Arrival.of(times).clientSeenFrom());
   }
 
   @Test
--- a/testbed/src/test/java/gorseladder/testbed/LastLookTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/LastLookTest.java
@@ -158,7 +158,7 @@
                 new AdmissionCheck(null).enter(1, "", 0, 0, false)))
             .call();
         Thread.sleep(300);
-        gate.told(first[0], Phase.DRAINING, Clock.micros());
+        gate.phaseReported(first[0], Phase.DRAINING, Clock.micros());
       }
       FinalAnswer answer = call.await(Clock.micros() + 3_000_000);
       assertEquals(200, answer.reason().status);
