--- a/decisions/src/main/java/gorseladder/Fleet.java
+++ b/decisions/src/main/java/gorseladder/Fleet.java
@@ -7,59 +7,58 @@
 import java.util.List;
 
 /**
- * The workers that are not gone: the order that functions share, a list of them, and counts that are kept as workers
- * change, so that nobody walks the fleet to learn one number. A worker counts as it was at its last {@link #count}.
- * Not thread safe.
+ * The workers that are not gone, with their shared order and totals. The totals are updated as workers change, so that
+ * no query iterates over the fleet; a worker contributes its values of the last {@link #recount}. Not thread safe.
  */
 final class Fleet {
   private final SharedOrder<Worker> order = new SharedOrder<>();
-  private final List<Worker> list = new ArrayList<>();
+  private final List<Worker> workers = new ArrayList<>();
 
   private int running;
   private int suspects;
-  private double weight;
+  private double totalWeight;
   private double trustedLoad;
   private double suspectLoad;
 
-  /** The order of the workers that all functions share. */
+  /** The order of workers from which all functions derive their candidates. */
   SharedOrder<Worker> order() {
     return order;
   }
 
-  /** Workers that are not gone. */
+  /** Number of workers that are not gone. */
   int size() {
-    return list.size();
+    return workers.size();
   }
 
-  /** Any worker by a number below {@link #size}; numbers change as workers come and go. */
-  Worker get(int number) {
-    return list.get(number);
+  /** The worker at an index below {@link #size}; indexes change as workers come and go. */
+  Worker get(int index) {
+    return workers.get(index);
   }
 
-  /** Takes a worker in or out as its phase and weight say; true where the shared order has changed. */
+  /** Adds, moves or removes a worker according to its phase and weight; true if the shared order has changed. */
   boolean update(Worker worker) {
-    boolean out = worker.phase == Phase.GONE;
-    if (out && worker.fleetIndex >= 0) {
-      Worker last = list.remove(list.size() - 1);
+    boolean gone = worker.phase == Phase.GONE;
+    if (gone && worker.fleetIndex >= 0) {
+      Worker last = workers.remove(workers.size() - 1);
       if (last != worker) {
-        list.set(worker.fleetIndex, last);
+        workers.set(worker.fleetIndex, last);
         last.fleetIndex = worker.fleetIndex;
       }
       worker.fleetIndex = -1;
-    } else if (!out && worker.fleetIndex < 0) {
-      worker.fleetIndex = list.size();
-      list.add(worker);
+    } else if (!gone && worker.fleetIndex < 0) {
+      worker.fleetIndex = workers.size();
+      workers.add(worker);
     }
-    return out ? order.remove(worker) : order.put(worker, worker.weight);
+    return gone ? order.remove(worker) : order.put(worker, worker.weight);
   }
 
-  /** Counts a worker as it is now; {@code suspect} where it is to be avoided. */
-  void count(Worker worker, boolean suspect) {
+  /** Updates the totals with the current values of a worker; {@code suspect} if it is to be avoided. */
+  void recount(Worker worker, boolean suspect) {
     count(worker, -1);
     worker.countedPhase = worker.phase;
     worker.countedSuspect = suspect;
     worker.countedWeight = worker.weight;
-    worker.countedLoad = (worker.inFlight + worker.others) / worker.weight;
+    worker.countedLoad = (worker.inFlight + worker.othersInFlight) / worker.weight;
     count(worker, 1);
   }
 
@@ -67,7 +66,7 @@
     if (worker.countedPhase == Phase.GONE) {
       return;
     }
-    weight += sign * worker.countedWeight;
+    totalWeight += sign * worker.countedWeight;
     if (worker.countedPhase != Phase.RUNNING) {
       return;
     }
@@ -80,20 +79,20 @@
     }
   }
 
-  /** Mean weight of the workers that are not gone; 1 where there are none. */
+  /** Mean weight of the workers that are not gone; 1 if there are none. */
   double meanWeight() {
-    return list.isEmpty() ? 1 : weight / list.size();
+    return workers.isEmpty() ? 1 : totalWeight / workers.size();
   }
 
-  /** True where more than half of the running workers are suspect. */
+  /** True if more than half of the running workers are suspect. */
   boolean mostSuspect() {
     return suspects * 2 > running;
   }
 
-  /** Calls in flight at a running worker of mean weight, on the mean; suspects count only where all are distrusted. */
+  /** Mean calls in flight at a running worker, scaled to mean weight, with or without suspect workers. */
   double meanLoad(boolean withSuspects) {
-    int workers = withSuspects ? running : running - suspects;
+    int counted = withSuspects ? running : running - suspects;
     double load = withSuspects ? trustedLoad + suspectLoad : trustedLoad;
-    return workers == 0 ? 0 : Math.max(0, load) * meanWeight() / workers;
+    return counted == 0 ? 0 : Math.max(0, load) * meanWeight() / counted;
   }
 }
--- a/decisions/src/main/java/gorseladder/Router.java
+++ b/decisions/src/main/java/gorseladder/Router.java
@@ -8,80 +8,79 @@
 import java.util.function.Consumer;
 
 /**
- * The decisions of one dispatcher; its settings, events and actions stand in {@code RouterApi.java}.
+ * Makes the decisions of one dispatcher; {@code RouterApi.java} has its settings, events and actions.
  *
- * <p>It remembers which functions it sent to which worker and sends a call to a worker believed warm
- * that has a lane free. When its own load there is uneven beyond {@link #BALANCE} it takes the worker
- * where the call should be over first, by calls in flight. A dispatcher that sees a function too seldom
- * to remember it believes in an order of workers that all dispatchers share: the first few of it, the
- * function's home, are likely warm by others' doing. Everything else answers a way in which that plain
- * rule breaks; each such exception says when it acts.
+ * <p>A call goes to a worker that is known to have a warm copy and a free lane. If the load of that worker
+ * exceeds {@link #MAX_LOAD_RATIO}, the call goes to the worker with the lowest expected latency. All
+ * dispatchers derive the same order of workers for a function and assume its first workers, the home, to
+ * be warm, because the other dispatchers use them too; so rarely called functions find copies. The other
+ * rules handle cases in which this basic rule fails; each says when it applies. Not thread safe.
  */
 public final class Router {
-  /** Load of the warm choice, in means over the fleet, beyond which the fewest in flight decide. */
-  private static final double BALANCE = 2.0;
-  /** Calls by which loads may differ by chance alone; without it small counts would always look uneven. */
-  private static final double BALANCE_SLACK = 2.0;
-  /** Calls that a worker of mean weight runs about as fast as one; only sets queues against loads. */
-  private static final double PARALLEL = 4.0;
-  /** Calls of a function at each worker of its home, as a part of what a copy runs at once. */
-  private static final double HOME_FILL = 0.5;
-  /** A home may look this many times too narrow at one answer; a backlog is not a lasting need. */
-  private static final double HOME_STEP = 3.0;
-  /** Part of the usual time by which chance spreads calls over a home, so that dispatchers do not herd. */
+  /** Load of the best warm worker, relative to the fleet's mean, above which the lowest cost decides. */
+  private static final double MAX_LOAD_RATIO = 2.0;
+  /** Calls by which loads may differ by chance; without this slack small counts always look uneven. */
+  private static final double LOAD_SLACK_CALLS = 2.0;
+  /** Calls that a worker of mean weight runs about as fast as one; weighs load against queueing. */
+  private static final double PARALLEL_CALLS = 4.0;
+  /** Calls of a function at each worker of its home, as a fraction of a copy's lanes. */
+  private static final double HOME_FILL_FRACTION = 0.5;
+  /** Limit on how much one answer may widen a home; a backlog is not lasting demand. */
+  private static final double MAX_HOME_GROWTH = 3.0;
+  /** Random fraction added to costs within a home, so that dispatchers do not pick the same worker. */
   private static final double JITTER = 0.2;
-  /** Part of a load's time by which each further worker of the shared order is less liked. */
-  private static final double RANK_COST = 0.05;
-  /** Weight of the newest answer in a running mean; about the last ten count. */
-  private static final double NEWEST = 0.1;
-  /** Weight of the newest outcome in a worker's failures: two errors near each other pass SUSPECT. */
+  /** Cost of each place in the shared order behind the home, as a fraction of the load time. */
+  private static final double RANK_COST_FRACTION = 0.05;
+  /** Weight of the newest answer in a moving average over about ten answers. */
+  private static final double AVERAGE_WEIGHT = 0.1;
+  /** Weight of the newest outcome in a failure rate; two errors close together exceed SUSPECT_FROM. */
   private static final double FAILURE_WEIGHT = 0.25;
-  /** Share of late or refused answers from which calls are turned away; a few slow workers stay below. */
-  private static final double STRAINED = 0.5;
-  /** Part of the calls admitted that is cut at each late or refused answer while strained. */
-  private static final double SHED_STEP = 0.4;
-  /** Aims in which a strain that no answer confirms is half forgotten. */
-  private static final double STRAIN_AIMS = 2.0;
-  /** Aims in which shedding ends once the strain is over; slower than answers tell of its effect. */
-  private static final double RELIEF_AIMS = 10.0;
-  /** Part of calls admitted at the least, so that relief is noticed. */
-  private static final double LEAST_ADMITTED = 0.1;
-  /** Share of failures from which a worker is avoided. */
-  private static final double SUSPECT = 0.3;
-  /** Part of the own mean gap between calls to one worker before a suspect is tried again. */
+  /** Share of late or refused answers from which calls are shed; a few slow workers stay below it. */
+  private static final double OVERLOAD_THRESHOLD = 0.5;
+  /** Fraction by which each late or refused answer during overload reduces the admitted calls. */
+  private static final double SHED_FRACTION = 0.4;
+  /** Latency targets in which the overload estimate halves if no answer confirms it. */
+  private static final double OVERLOAD_HALVING_TARGETS = 2.0;
+  /** Latency targets in which shedding ends after an overload; slower than its effect shows in answers. */
+  private static final double RECOVERY_TARGETS = 10.0;
+  /** Fraction of calls that is always admitted, so that the end of an overload is noticed. */
+  private static final double MIN_ADMITTED_FRACTION = 0.1;
+  /** Failure rate from which a worker is suspect and avoided. */
+  private static final double SUSPECT_FROM = 0.3;
+  /** Wait before a suspect worker is tried again, in mean times between this dispatcher's calls to it. */
   private static final double TRIAL_GAPS = 0.5;
-  /** Doublings of that wait at most, so that a healed worker is found again. */
-  private static final int TRIAL_DOUBLINGS = 3;
-  /** An attempt this many times over its expected time, at a worker silent since, makes it suspect. */
-  private static final double SILENT = 5.0;
-  /** An attempt this many times over its expected time is worth a second try elsewhere. */
-  private static final double OVERDUE = 2.5;
-  /** Second tries for lateness as a share of requests taken, so that a slow fleet is not made slower. */
-  private static final double SECOND_SHARE = 0.1;
-  /** Seconds over which the own rate of served calls is measured. */
-  private static final double RATE_SECONDS = 5.0;
-  /** Parts of the shortest aim between two looks at what waits or is out. */
-  private static final long SWEEPS_PER_AIM = 40;
-  /** Part of its aim after which an answer counts as late for the fleet's strain; the rest is the tail's. */
-  private static final double LATE_PART = 0.5;
-  /** Weight of the newest answer in what changes within an aim: strain and reports. */
-  private static final double FAST_WEIGHT = 0.2;
-  /** Usual times a call needs before its aim, below which it counts as late. */
+  /** Limit on the doublings of that wait, so that a recovered worker is found. */
+  private static final int MAX_TRIAL_DOUBLINGS = 3;
+  /** Multiple of its expected latency after which an attempt makes a worker that is silent suspect. */
+  private static final double SILENT_FACTOR = 5.0;
+  /** Multiple of its expected latency after which an attempt is repeated at another worker. */
+  private static final double OVERDUE_FACTOR = 2.5;
+  /** Such second attempts per request, limited so that a slow fleet is not slowed further. */
+  private static final double SECOND_ATTEMPT_SHARE = 0.1;
+  /** Window over which this dispatcher's rate of served calls is averaged. */
+  private static final double RATE_WINDOW_SECONDS = 5.0;
+  /** Sweeps over queued and outstanding calls in the shortest latency target. */
+  private static final long SWEEPS_PER_TARGET = 40;
+  /** Fraction of the latency target after which an answer counts as overload; the rest is for the tail. */
+  private static final double LATE_FRACTION = 0.5;
+  /** Weight of the newest value in averages that change within a latency target: overload, reports. */
+  private static final double FAST_AVERAGE_WEIGHT = 0.2;
+  /** Typical latencies that must remain before its latency target, or a queued call counts as late. */
   private static final double LATE_MARGIN = 1.5;
-  /** Waiting calls tried at one look; bounds the work of a look when thousands wait. */
-  private static final int MOST_TRIES = 64;
-  /** Part of the load ration that plans may use; the rest is left for calls that wait. */
-  private static final double AHEAD_PART = 0.5;
-  /** Part of the keep-alive that must be gone before a copy that stands is ordered held anew by a plan. */
-  private static final double RENEW_PART = 0.5;
-  /** Workers of the shared order asked for at first; nearly all calls are decided among them. */
-  private static final int FEWEST_CANDIDATES = 4;
-  /** Growth of that number where more are needed. */
+  /** Queued calls tried in one pass; bounds its cost when thousands wait. */
+  private static final int MAX_TRIES = 64;
+  /** Part of the load ration that plans may use; the rest is reserved for calls that wait. */
+  private static final double PLANNED_RATION_FRACTION = 0.5;
+  /** A plan renews a copy once its remaining keep-alive is at most this fraction of the whole. */
+  private static final double RENEW_FRACTION = 0.5;
+  /** Workers of the shared order fetched at first; nearly all calls are placed among them. */
+  private static final int MIN_CANDIDATES = 4;
+  /** Factor by which that number grows when more are needed. */
   private static final int CANDIDATE_GROWTH = 4;
-  /** Workers looked at for a call at the most, so that its cost does not grow with the fleet. */
-  private static final int MOST_CANDIDATES = 256;
-  /** First word of the message that a worker is sick. */
-  private static final String SICK = "sick ";
+  /** Workers examined per call at most, so that its cost does not grow with the fleet. */
+  private static final int MAX_CANDIDATES = 256;
+  /** First word of the peer message that names a suspect worker. */
+  private static final String SUSPECT_WORD = "sick ";
 
   private final Settings settings;
   private final Random random;
@@ -89,31 +88,31 @@
   private final Map<String, Worker> workers = new LinkedHashMap<>();
   private final Fleet fleet = new Fleet();
   private final Set<Worker> gone = new LinkedHashSet<>();
-  private int listVersion;
-  private int listNumber;
-  private int nextInFleet;
+  private int orderVersion;
+  private int listUpdates;
+  private int nextFleetIndex;
   private final Map<String, Function> functions = new LinkedHashMap<>();
   private final Map<Long, PendingCall> requests = new LinkedHashMap<>();
-  private final Set<Function> waiting = new LinkedHashSet<>();
-  private final ArrayDeque<Long> takenTimes = new ArrayDeque<>();
-  private final ArrayDeque<Long> loadTimes = new ArrayDeque<>();
-  private final long sweepEvery;
-  private final long shortestAim;
-  private Consumer<Action> out;
+  private final Set<Function> queuedFunctions = new LinkedHashSet<>();
+  private final ArrayDeque<Long> requestTimes = new ArrayDeque<>();
+  private final ArrayDeque<Long> loadOrderTimes = new ArrayDeque<>();
+  private final long sweepInterval;
+  private final long minLatencyTarget;
+  private Consumer<Action> sink;
   private long now;
   private boolean sweeping;
-  private double secondTokens = 1;
+  private double secondAttemptTokens = 1;
   private double meanLoadTime;
-  private double meanUsual;
-  private double servedRate;
-  private long lastServed;
-  private double strain;
-  private long strainAt;
-  private long notedAt;
-  private long shedAt;
-  private double admitted = 1;
-  private final double dearest;
-  private long nextForget;
+  private double meanLatency;
+  private double servedPerSecond;
+  private long lastServedAt;
+  private double overload;
+  private long overloadDecayedAt;
+  private long overloadNotedAt;
+  private long lastShedAt;
+  private double admittedFraction = 1;
+  private final double maxWorth;
+  private long nextForgetAt;
   private long workersExamined;
   private long fallThroughs;
 
@@ -124,18 +123,19 @@
     this.settings = settings;
     this.random = new Random(seed);
     settings.classes().forEach(c -> classes.put(c.name(), c));
-    shortestAim =
+    minLatencyTarget =
         settings.classes().stream().mapToLong(RequestClass::latencyTarget).min().orElseThrow();
-    sweepEvery = Math.max(settings.tick(), shortestAim / SWEEPS_PER_AIM);
-    dearest = settings.classes().stream().mapToDouble(RequestClass::worth).max().orElseThrow();
-    meanUsual = shortestAim / 5.0;
-    meanLoadTime = shortestAim;
+    sweepInterval = Math.max(settings.tick(), minLatencyTarget / SWEEPS_PER_TARGET);
+    maxWorth =
+        settings.classes().stream().mapToDouble(RequestClass::worth).max().orElseThrow();
+    meanLatency = minLatencyTarget / 5.0;
+    meanLoadTime = minLatencyTarget;
   }
 
-  /** Takes one event at the given time and hands the actions that answer it to {@code sink}. */
-  public void on(long nowMicros, Event event, Consumer<Action> sink) {
+  /** Handles one event at the given time and passes the resulting actions to {@code actions}. */
+  public void on(long nowMicros, Event event, Consumer<Action> actions) {
     now = nowMicros;
-    out = sink;
+    sink = actions;
     if (event instanceof Request e) {
       onRequest(e);
     } else if (event instanceof Answer e) {
@@ -145,13 +145,13 @@
     } else if (event instanceof Loaded e) {
       onLoaded(e);
     } else if (event instanceof PlannedLoad e) {
-      onHold(e);
+      onPlannedLoad(e);
     } else if (event instanceof WorkerListUpdate e) {
       onWorkers(e);
     } else if (event instanceof ClientGone e) {
       onClientGone(requests.get(e.id()));
     } else if (event instanceof AnswerDue e) {
-      timeUp(requests.get(e.id()));
+      endOverdue(requests.get(e.id()));
     } else if (event instanceof FirstByte e && requests.containsKey(e.id())) {
       requests.get(e.id()).streaming = true;
     } else if (event instanceof PeerMessage e) {
@@ -159,20 +159,20 @@
     }
   }
 
-  /** Workers looked at so far, by calls, changes of the list and the shared order; a measure of work. */
+  /** Workers examined so far by calls, list updates and the shared order; a measure of work. */
   public long workersExamined() {
     return workersExamined + fleet.order().examined();
   }
 
-  /** Calls so far that found nobody among their candidates and looked through a part of the whole fleet. */
+  /** Searches so far that found no worker among the candidates and scanned a part of the fleet. */
   public long fallThroughs() {
     return fallThroughs;
   }
 
-  /** Candidates and beliefs kept of all functions together; a measure of state. */
+  /** Candidates and copy states stored for all functions; a measure of memory. */
   long functionEntries() {
     return functions.values().stream()
-        .mapToLong(f -> f.order.size() + f.known.size())
+        .mapToLong(f -> f.candidates.size() + f.copyStates.size())
         .sum();
   }
 
@@ -180,159 +180,157 @@
 
   private void onWorkers(WorkerListUpdate event) {
     if (event.kind() == ListKind.FAILED) {
-      out.accept(new SubscribeWorkerList());
+      sink.accept(new SubscribeWorkerList());
       return;
     }
     if (event.kind() == ListKind.SAVED && settings.asksForList()) {
-      out.accept(new SubscribeWorkerList());
+      sink.accept(new SubscribeWorkerList());
     }
-    listNumber++;
+    listUpdates++;
     event.entries().forEach(this::onWorker);
     if (event.kind() != ListKind.DELTA) {
-      workers.values().forEach(this::goneUnlessListed);
+      workers.values().forEach(this::removeUnlessListed);
     }
     gone.removeIf(w -> w.phase != Phase.GONE || w.inFlight == 0 && workers.remove(w.name(), w));
-    serveWaiting();
+    placeAllQueued();
   }
 
   private void onWorker(WorkerEntry entry) {
     workersExamined++;
     Worker w = workers.computeIfAbsent(entry.worker(), Worker::new);
-    w.listed = listNumber;
+    w.lastListUpdate = listUpdates;
     w.zone = entry.zone();
     w.cell = entry.cell();
     w.phase = entry.phase();
     w.weight = entry.weight() > 0 ? entry.weight() : 1;
-    if (entry.startedAt() > w.born) {
-      w.born = entry.startedAt();
-      restarted(w);
+    if (entry.startedAt() > w.startedAt) {
+      w.startedAt = entry.startedAt();
+      resetAfterRestart(w);
     }
-    takeInOrOut(w);
+    updateFleet(w);
   }
 
-  private void goneUnlessListed(Worker w) {
+  private void removeUnlessListed(Worker w) {
     workersExamined++;
-    if (w.listed != listNumber) {
+    if (w.lastListUpdate != listUpdates) {
       w.phase = Phase.GONE;
-      takeInOrOut(w);
+      updateFleet(w);
     }
   }
 
-  private void takeInOrOut(Worker w) {
-    listVersion += fleet.update(w) ? 1 : 0;
+  private void updateFleet(Worker w) {
+    orderVersion += fleet.update(w) ? 1 : 0;
     if (w.phase == Phase.GONE) {
       gone.add(w);
     }
-    count(w);
+    recount(w);
   }
 
-  private void count(Worker w) {
-    fleet.count(w, w.failures >= SUSPECT);
+  private void recount(Worker w) {
+    fleet.recount(w, w.failureRate >= SUSPECT_FROM);
   }
 
-  /** A new birth time: whatever was loaded is gone, and so is what made the old process suspect. */
-  private void restarted(Worker w) {
-    w.life++;
-    w.failures = 0;
-    w.suspicions = 0;
-    w.pace = 1;
-    w.lastHeard = now;
-    w.cold.restart(random.nextDouble(), now);
+  /** Discards what was known of the old process: its copies, failures and latency. */
+  private void resetAfterRestart(Worker w) {
+    w.incarnation++;
+    w.failureRate = 0;
+    w.suspectFailures = 0;
+    w.slowdown = 1;
+    w.lastHeardAt = now;
+    w.coldBudget.restart(random.nextDouble(), now);
   }
 
-  // ---- requests and their ends
+  // ---- requests and their final answers
 
   private void onRequest(Request event) {
     RequestClass requestClass = classes.get(event.requestClass());
     if (requestClass == null) {
       throw new IllegalArgumentException("unknown class " + event.requestClass());
     }
-    forgetFunctions();
+    forgetUnusedFunctions();
     Function f = functions.computeIfAbsent(event.function(), Function::new);
     f.lanes = Math.max(1, event.lanes());
     f.loadTime = event.loadTime();
-    f.lastAsked = now;
-    if (f.inFlight + f.queue.size() > f.atOnce) {
-      noteNeed(f, f.inFlight + f.queue.size());
+    f.lastUsedAt = now;
+    if (f.inFlight + f.queue.size() > f.fleetConcurrency) {
+      noteConcurrency(f, f.inFlight + f.queue.size());
     }
-    secondTokens = Math.min(secondTokens + SECOND_SHARE, 10);
+    secondAttemptTokens = Math.min(secondAttemptTokens + SECOND_ATTEMPT_SHARE, 10);
     if (settings.rules().loadWindow() > 0) {
-      takenTimes.addLast(now);
+      requestTimes.addLast(now);
     }
     PendingCall call = new PendingCall();
     call.id = event.id();
     call.requestClass = requestClass;
     call.function = f;
-    call.aimAt = now + requestClass.latencyTarget();
+    call.targetAt = now + requestClass.latencyTarget();
     call.deadline = now + event.timeLeft();
     call.worth = requestClass.worth() * (event.repeat() ? requestClass.lateWorth() : 1);
     requests.put(call.id, call);
     long left = Math.max(0, event.timeLeft() - settings.tick());
-    out.accept(new SetTimer(left, SetTimer.DEADLINE + call.id));
+    sink.accept(new SetTimer(left, SetTimer.DEADLINE + call.id));
     if (admits(call)) {
       place(call);
     } else {
-      giveUp(call);
+      refuseOrFail(call);
     }
     armSweep();
   }
 
   /**
-   * Sheds calls while most answers come late, are refused or are left by their clients: then the fleet
-   * as a whole holds more than it can run, whoever sent it. Cheap calls go first. It could harm where all
-   * work alone takes half its aim; a trickle is always admitted, so that relief is seen.
+   * Sheds calls, those of low worth first, while most answers are late, refused or abandoned: the fleet
+   * then holds more than it can run. Does harm if execution alone takes half the latency target.
    */
   private boolean admits(PendingCall call) {
-    double aims = (now - strainAt) / (double) shortestAim;
-    strainAt = now;
-    strain /= 1 + aims / STRAIN_AIMS;
-    if (strain < STRAINED) {
-      admitted = Math.min(1, admitted + aims / RELIEF_AIMS);
+    double targets = (now - overloadDecayedAt) / (double) minLatencyTarget;
+    overloadDecayedAt = now;
+    overload /= 1 + targets / OVERLOAD_HALVING_TARGETS;
+    if (overload < OVERLOAD_THRESHOLD) {
+      admittedFraction = Math.min(1, admittedFraction + targets / RECOVERY_TARGETS);
     }
-    return random.nextDouble() < Math.pow(admitted, dearest / Math.max(1e-9, call.worth));
+    return random.nextDouble() < Math.pow(admittedFraction, maxWorth / Math.max(1e-9, call.worth));
   }
 
-  private void noteStrain(boolean bad) {
-    double gap = (now - notedAt) / (double) shortestAim;
-    notedAt = now;
-    strain += Math.max(FAST_WEIGHT / 10, Math.min(FAST_WEIGHT, gap)) * ((bad ? 1 : 0) - strain);
-    if (strain > STRAINED && now - shedAt > meanUsual) {
-      shedAt = now;
-      admitted = Math.max(LEAST_ADMITTED, admitted * (1 - SHED_STEP));
+  private void noteOverload(boolean overloaded) {
+    double targets = (now - overloadNotedAt) / (double) minLatencyTarget;
+    overloadNotedAt = now;
+    overload += Math.max(FAST_AVERAGE_WEIGHT / 10, Math.min(FAST_AVERAGE_WEIGHT, targets))
+        * ((overloaded ? 1 : 0) - overload);
+    if (overload > OVERLOAD_THRESHOLD && now - lastShedAt > meanLatency) {
+      lastShedAt = now;
+      admittedFraction = Math.max(MIN_ADMITTED_FRACTION, admittedFraction * (1 - SHED_FRACTION));
     }
   }
 
-  /** Drops functions not asked for in two keep-alives: nothing believed of them can still be true. */
-  private void forgetFunctions() {
-    if (now >= nextForget) {
-      nextForget = now + settings.keepAlive();
+  /** Drops functions unused for two keep-alives, after which none of their copies can still be warm. */
+  private void forgetUnusedFunctions() {
+    if (now >= nextForgetAt) {
+      nextForgetAt = now + settings.keepAlive();
       long old = now - 2 * settings.keepAlive();
-      functions.values().removeIf(f -> f.lastAsked < old && f.inFlight == 0 && f.queue.isEmpty());
-      functions.values().forEach(f -> f.known.values().removeIf(this::saysNothing));
+      functions.values().removeIf(f -> f.lastUsedAt < old && f.inFlight == 0 && f.queue.isEmpty());
+      functions.values().forEach(f -> f.copyStates.values().removeIf(this::isUninformative));
     }
   }
 
   private void onClientGone(PendingCall call) {
     if (call != null && !call.done) {
-      // A client that waited long says that the fleet is slow; one that withdraws at once says
-      // nothing of it. Guards against shedding for clients that take back what they just asked;
-      // it covers connections that break. It could harm where clients give up within half an
-      // aim: their leaving is then no sign.
-      long waited = now - (call.aimAt - call.requestClass.latencyTarget());
-      if (waited > LATE_PART * call.requestClass.latencyTarget()) {
-        noteStrain(true);
+      // A client that leaves late indicates overload. One that leaves at once, or whose connection
+      // breaks, must not cause shedding. Misses clients that give up within half a target.
+      long waited = now - (call.targetAt - call.requestClass.latencyTarget());
+      if (waited > LATE_FRACTION * call.requestClass.latencyTarget()) {
+        noteOverload(true);
       }
       finish(call);
     }
   }
 
-  /** The one final answer that is not a served one: refused where a repeat is harmless, else failed. */
-  private void giveUp(PendingCall call) {
-    out.accept(harmless(call) ? new Refuse(call.id, 0) : new Fail(call.id));
+  /** Ends a call that is not served: refused if a repeat is harmless, else failed. */
+  private void refuseOrFail(PendingCall call) {
+    sink.accept(mayRefuse(call) ? new Refuse(call.id, 0) : new Fail(call.id));
     finish(call);
   }
 
-  private boolean harmless(PendingCall call) {
+  private boolean mayRefuse(PendingCall call) {
     RequestClass c = call.requestClass;
     return call.attempts.stream()
         .allMatch(
@@ -341,20 +339,20 @@
 
   private void finish(PendingCall call) {
     call.done = true;
-    unqueue(call);
+    dequeue(call);
     for (int i = 0; i < call.attempts.size(); i++) {
       cancel(call, i);
     }
-    if (call.out == 0) {
+    if (call.attemptsOut == 0) {
       requests.remove(call.id);
     }
   }
 
   private void cancel(PendingCall call, int number) {
     Attempt attempt = call.attempts.get(number);
-    if (attempt.out && !attempt.cancelled && settings.limits().cancelling()) {
+    if (attempt.outstanding && !attempt.cancelled && settings.limits().cancelling()) {
       attempt.cancelled = true;
-      out.accept(new Cancel(call.id, number));
+      sink.accept(new Cancel(call.id, number));
     }
   }
 
@@ -363,42 +361,39 @@
     if (call == null
         || event.attempt() < 0
         || event.attempt() >= call.attempts.size()
-        || !call.attempts.get(event.attempt()).out) {
+        || !call.attempts.get(event.attempt()).outstanding) {
       return;
     }
     Attempt attempt = call.attempts.get(event.attempt());
-    attempt.out = false;
-    call.out--;
-    // Guards against a keyed call that is sent again past the window of an attempt that was out
-    // beside
-    // another: once two were out the platform holds both windows, whatever one of them proves
-    // later. It
-    // covers groups and refusals too; it could harm where the proof comes late and the call has
-    // time left.
+    attempt.outstanding = false;
+    call.attemptsOut--;
+    // Once two attempts were outstanding the platform holds the repeat windows of both, even if one
+    // is later proved not to have run: otherwise a keyed call is sent again after its window. Also
+    // covers groups and refusals. Does harm if the proof comes late and the call has time left.
     attempt.neverRan = event.outcome().neverRan && !attempt.overlapped;
-    noteColdAnswer(attempt.copy.worker, event);
+    settleColdBudget(attempt.copy.worker, event);
     attempt.copy.worker.inFlight--;
     attempt.copy.inFlight--;
     call.function.inFlight--;
     learn(call, attempt, event);
-    count(attempt.copy.worker);
+    recount(attempt.copy.worker);
     if (call.done) {
-      if (call.out == 0) {
+      if (call.attemptsOut == 0) {
         requests.remove(call.id);
       }
     } else if (event.finalAnswer()) {
       finish(call);
-    } else if (call.out == 0) {
-      goOn(call);
+    } else if (call.attemptsOut == 0) {
+      retryOrEnd(call);
     }
-    serve(call.function, MOST_TRIES);
+    placeQueued(call.function, MAX_TRIES);
   }
 
-  /** After a failed attempt: try again where the class allows it, else answer now. */
-  private void goOn(PendingCall call) {
+  /** After a failed attempt: tries again if the class allows it, else ends the call. */
+  private void retryOrEnd(PendingCall call) {
     boolean attemptsLeft = call.attempts.size() < settings.limits().maxAttempts();
     if (!attemptsLeft || call.deadline <= now || !mayResend(call)) {
-      giveUp(call);
+      refuseOrFail(call);
     } else {
       place(call);
     }
@@ -412,35 +407,37 @@
             .allowed());
   }
 
-  // ---- what an answer teaches
+  // ---- learning from answers
 
   private void learn(PendingCall call, Attempt attempt, Answer event) {
-    Copy copy = attempt.copy;
+    CopyState copy = attempt.copy;
     Worker w = copy.worker;
     Function f = call.function;
-    noteReport(w, event.report());
-    boolean heard = event.outcome() != Outcome.TIMEOUT && event.outcome() != Outcome.CANCELLED;
-    w.lastHeard = heard ? now : w.lastHeard;
+    applyLoadReport(w, event.report());
+    boolean responded = event.outcome() != Outcome.TIMEOUT && event.outcome() != Outcome.CANCELLED;
+    w.lastHeardAt = responded ? now : w.lastHeardAt;
     boolean full = event.outcome() == Outcome.FULL;
     boolean warm = event.outcome() == Outcome.OK
         && (event.copyStatus() == CopyStatus.WARM || event.copyStatus() == CopyStatus.NONE);
-    // Guards against shedding what is served well since rare functions find no room: full, with
-    // no call of the function there and no copy believed to stand, speaks of memory and not of
-    // lanes. It covers loads in line too; it could harm where all are short of memory and calls
-    // turned away come back at once.
-    boolean noRoom = full && event.concurrency() == 0 && attempt.blind;
-    if (!attempt.slow && (full && !noRoom || warm)) {
-      noteStrain(full || event.latency() > LATE_PART * call.requestClass.latencyTarget());
+    // FULL with no call of the function and no known copy there means memory or queued loads, not
+    // lanes: rare functions without memory must not shed calls that are served well. Does harm if
+    // all workers are short of memory and refused calls return at once.
+    boolean noRoom = full && event.concurrency() == 0 && attempt.unconfirmed;
+    if (!attempt.markedSlow && (full && !noRoom || warm)) {
+      noteOverload(full || event.latency() > LATE_FRACTION * call.requestClass.latencyTarget());
     }
     if (event.concurrency() >= 0) {
-      copy.crowd = Math.max(0, event.concurrency() - copy.inFlight - (full ? 0 : 1));
-      copy.crowdUntil = now + (long) (usual(f) * Math.max(1, copy.crowd / f.lanes));
-      double most = HOME_STEP * fill(f);
-      noteNeed(
-          f, Math.max(f.inFlight + f.queue.size(), home(f) * Math.min(event.concurrency(), most)));
+      copy.othersInFlight = Math.max(0, event.concurrency() - copy.inFlight - (full ? 0 : 1));
+      copy.othersInFlightUntil =
+          now + (long) (typicalLatency(f) * Math.max(1, copy.othersInFlight / f.lanes));
+      double maxCalls = MAX_HOME_GROWTH * homeFill(f);
+      noteConcurrency(
+          f,
+          Math.max(
+              f.inFlight + f.queue.size(), homeSize(f) * Math.min(event.concurrency(), maxCalls)));
     }
     switch (event.outcome()) {
-      case OK -> learnServed(call, attempt, event, warm);
+      case OK -> learnFromServed(call, attempt, event, warm);
       case MISS -> {
         attempt.missed = true;
         copy.copies = 0;
@@ -448,111 +445,113 @@
         if (event.copyStatus() == CopyStatus.LOAD_FAILED) {
           copy.busyUntil = now + (long) loadTime(f);
         } else if (!settings.loadsOnMiss()) {
-          order(copy, 1);
+          orderCopies(copy, 1);
         }
       }
-      case FULL -> copy.busyUntil = now + (long) usual(f);
+      case FULL -> copy.busyUntil = now + (long) typicalLatency(f);
       case ERROR -> {
-        // Guards against a call that fails wherever it goes: from its second error on it speaks
-        // of itself. It covers bad input of any kind; it could harm where two sick workers meet
-        // one call after the other.
-        boolean again = call.attempts.stream().anyMatch(a -> a.erred);
-        attempt.erred = true;
+        // From its second error on a failure is attributed to the call (such as bad input) and not
+        // to workers. Does harm if two failing workers meet the same call.
+        boolean secondError = call.attempts.stream().anyMatch(a -> a.hadError);
+        attempt.hadError = true;
         if (event.copyStatus() == CopyStatus.LOAD_FAILED) {
           copy.copies = 0;
-        } else if (!again) {
-          failed(w, FAILURE_WEIGHT, true);
+        } else if (!secondError) {
+          noteFailure(w, FAILURE_WEIGHT, true);
         }
       }
       case RESET, CONNECT_FAILED -> {
-        w.life += event.outcome() == Outcome.RESET ? 1 : 0;
-        failed(w, 1, true);
+        w.incarnation += event.outcome() == Outcome.RESET ? 1 : 0;
+        noteFailure(w, 1, true);
       }
-      case TIMEOUT -> failed(w, FAILURE_WEIGHT, true);
+      case TIMEOUT -> noteFailure(w, FAILURE_WEIGHT, true);
       case CANCELLED, MOOT -> {}
     }
   }
 
-  private void learnServed(PendingCall call, Attempt attempt, Answer event, boolean warm) {
-    Copy copy = attempt.copy;
+  private void learnFromServed(PendingCall call, Attempt attempt, Answer event, boolean warm) {
+    CopyState copy = attempt.copy;
     Worker w = copy.worker;
     Function f = call.function;
-    w.failures *= 1 - FAILURE_WEIGHT;
-    if (w.failures < SUSPECT) {
-      w.suspicions = 0;
-    }
-    double gap = Math.max(1, now - lastServed) / 1e6;
-    servedRate += Math.min(1, gap / RATE_SECONDS) * (1 / gap - servedRate);
-    lastServed = now;
-    boolean grew = event.copyStatus() == CopyStatus.BEGAN && warm(copy);
-    stands(copy, warm(copy) ? copy.copies + (grew ? 1 : 0) : 1);
+    w.failureRate *= 1 - FAILURE_WEIGHT;
+    if (w.failureRate < SUSPECT_FROM) {
+      w.suspectFailures = 0;
+    }
+    double gap = Math.max(1, now - lastServedAt) / 1e6;
+    servedPerSecond += Math.min(1, gap / RATE_WINDOW_SECONDS) * (1 / gap - servedPerSecond);
+    lastServedAt = now;
+    boolean grew = event.copyStatus() == CopyStatus.BEGAN && isWarm(copy);
+    markWarm(copy, isWarm(copy) ? copy.copies + (grew ? 1 : 0) : 1);
     if (warm
         && event.concurrency() >= f.lanes * copy.copies
-        && event.latency() < LATE_MARGIN * usual(f)) {
+        && event.latency() < LATE_MARGIN * typicalLatency(f)) {
       copy.copies = event.concurrency() / f.lanes + 1;
     }
     if (warm && event.concurrency() < f.lanes * copy.copies) {
-      double ratio = event.latency() / usual(f);
-      w.pace += NEWEST * (Math.min(10, ratio) - w.pace);
-      double capped = Math.min(event.latency(), 4 * usual(f));
-      f.usual = f.usual == 0 ? capped : f.usual + NEWEST * (capped - f.usual);
-      meanUsual += NEWEST * (capped - meanUsual);
+      double ratio = event.latency() / typicalLatency(f);
+      w.slowdown += AVERAGE_WEIGHT * (Math.min(10, ratio) - w.slowdown);
+      double capped = Math.min(event.latency(), 4 * typicalLatency(f));
+      f.typicalLatency = f.typicalLatency == 0
+          ? capped
+          : f.typicalLatency + AVERAGE_WEIGHT * (capped - f.typicalLatency);
+      meanLatency += AVERAGE_WEIGHT * (capped - meanLatency);
     }
   }
 
   /**
-   * How many calls of a function the fleet holds at once: the crowd met, over all of its home, or more
-   * where this dispatcher alone has more. It sets how far calls walk down the shared order, so that a hot
-   * function finds lanes though nobody sees its whole load, and draws back when the crowds thin.
+   * Averages how many calls of a function the fleet holds at once: the reported concurrency times the
+   * home's size, or this dispatcher's own calls if more. It sets the home's size, so that a hot function
+   * gets enough lanes though no dispatcher sees its whole load, and shrinks when the load falls.
    */
-  private void noteNeed(Function f, double calls) {
-    f.seen++;
-    f.atOnce += Math.max(NEWEST, 1.0 / f.seen) * (calls - f.atOnce);
+  private void noteConcurrency(Function f, double calls) {
+    f.samples++;
+    f.fleetConcurrency += Math.max(AVERAGE_WEIGHT, 1.0 / f.samples) * (calls - f.fleetConcurrency);
   }
 
-  private double fill(Function f) {
-    return HOME_FILL * (settings.loadsOnMiss() ? 1 : Math.min(f.lanes, PARALLEL));
+  private double homeFill(Function f) {
+    return HOME_FILL_FRACTION * (settings.loadsOnMiss() ? 1 : Math.min(f.lanes, PARALLEL_CALLS));
   }
 
-  /** How many workers of the shared order, from the first, are taken to hold the function. */
-  private double home(Function f) {
-    return Math.max(1, Math.min(fleet.size(), f.atOnce / fill(f)));
+  /** Number of workers at the start of the shared order that are assumed to have the function loaded. */
+  private double homeSize(Function f) {
+    return Math.max(1, Math.min(fleet.size(), f.fleetConcurrency / homeFill(f)));
   }
 
   /**
-   * Suspicion. Where messages are allowed others are told at once, since with many dispatchers each would
-   * pay for its own discovery; a single message is not enough to shun a worker.
+   * Adds a failure and marks the worker suspect from SUSPECT_FROM on. Peers are told, so that not each
+   * dispatcher loses calls to find out; one message alone does not make a worker suspect.
    */
-  private void failed(Worker w, double weight, boolean own) {
-    w.failures += weight * (1 - w.failures);
-    count(w);
-    if (w.failures < SUSPECT) {
+  private void noteFailure(Worker w, double weight, boolean firstHand) {
+    w.failureRate += weight * (1 - w.failureRate);
+    recount(w);
+    if (w.failureRate < SUSPECT_FROM) {
       return;
     }
-    double gap = fleet.size() / Math.max(1e-3, servedRate) * 1e6;
-    double wait = Math.max(shortestAim, Math.min(TRIAL_GAPS * gap, settings.keepAlive()));
-    w.trialAt = now + (long) wait * (1 << Math.min(w.suspicions, TRIAL_DOUBLINGS));
-    w.suspicions++;
-    boolean news = w.toldSick == 0 || now - w.toldSick > settings.keepAlive();
-    if (own && news && settings.limits().peers() && settings.dispatchers() > 1) {
-      w.toldSick = now;
-      out.accept(new TellPeers(SICK + w.name()));
+    double callGap = fleet.size() / Math.max(1e-3, servedPerSecond) * 1e6;
+    double wait = Math.max(minLatencyTarget, Math.min(TRIAL_GAPS * callGap, settings.keepAlive()));
+    w.nextTrialAt = now + (long) wait * (1 << Math.min(w.suspectFailures, MAX_TRIAL_DOUBLINGS));
+    w.suspectFailures++;
+    boolean unreported = w.suspectToldAt == 0 || now - w.suspectToldAt > settings.keepAlive();
+    if (firstHand && unreported && settings.limits().peers() && settings.dispatchers() > 1) {
+      w.suspectToldAt = now;
+      sink.accept(new TellPeers(SUSPECT_WORD + w.name()));
     }
   }
 
   private void onPeerMessage(String text) {
-    Worker w = text.startsWith(SICK) ? workers.get(text.substring(SICK.length())) : null;
-    if (w != null && w.failures < SUSPECT) {
-      failed(w, FAILURE_WEIGHT, false);
-      w.toldSick = w.failures < SUSPECT ? w.toldSick : now;
+    Worker w =
+        text.startsWith(SUSPECT_WORD) ? workers.get(text.substring(SUSPECT_WORD.length())) : null;
+    if (w != null && w.failureRate < SUSPECT_FROM) {
+      noteFailure(w, FAILURE_WEIGHT, false);
+      w.suspectToldAt = w.failureRate < SUSPECT_FROM ? w.suspectToldAt : now;
     }
   }
 
-  private void noteReport(Worker w, Map<String, Double> report) {
-    double seen = report.containsKey("inFlight")
+  private void applyLoadReport(Worker w, Map<String, Double> report) {
+    double reported = report.containsKey("inFlight")
         ? Math.max(0, report.get("inFlight") - w.inFlight)
-        : report.getOrDefault("queued", w.others);
-    w.others += FAST_WEIGHT * (seen - w.others);
+        : report.getOrDefault("queued", w.othersInFlight);
+    w.othersInFlight += FAST_AVERAGE_WEIGHT * (reported - w.othersInFlight);
   }
 
   // ---- load orders
@@ -563,99 +562,99 @@
     if (w == null || f == null) {
       return;
     }
-    Copy copy = copyAt(f, w);
-    copy.ordered = -1;
+    CopyState copy = copyState(f, w);
+    copy.orderedCopies = -1;
     switch (event.outcome()) {
       case OK -> {
-        w.lastHeard = now;
+        w.lastHeardAt = now;
         learnLoad(f, event.latency());
-        stands(copy, event.copies());
+        markWarm(copy, event.copies());
       }
-      case RESET, CONNECT_FAILED -> failed(w, 1, true);
+      case RESET, CONNECT_FAILED -> noteFailure(w, 1, true);
       default -> {
         copy.busyUntil = now + (long) loadTime(f);
         copy.missingUntil = copy.busyUntil;
         copy.copies = event.copies();
       }
     }
-    serve(f, MOST_TRIES);
+    placeQueued(f, MAX_TRIES);
   }
 
   private void learnLoad(Function f, long latency) {
     if (latency * 4 > meanLoadTime) {
-      f.seenLoad = f.seenLoad == 0 ? latency : (f.seenLoad + latency) / 2;
-      meanLoadTime += NEWEST * (latency - meanLoadTime);
+      f.measuredLoadTime = f.measuredLoadTime == 0 ? latency : (f.measuredLoadTime + latency) / 2;
+      meanLoadTime += AVERAGE_WEIGHT * (latency - meanLoadTime);
     }
   }
 
   private double loadTime(Function f) {
-    double told = f.loadTime > 0 ? f.loadTime : meanLoadTime;
-    return f.seenLoad > 0 ? f.seenLoad : told;
+    double reported = f.loadTime > 0 ? f.loadTime : meanLoadTime;
+    return f.measuredLoadTime > 0 ? f.measuredLoadTime : reported;
   }
 
-  private double usual(Function f) {
-    return f.usual > 0 ? f.usual : meanUsual;
+  private double typicalLatency(Function f) {
+    return f.typicalLatency > 0 ? f.typicalLatency : meanLatency;
   }
 
   /**
-   * A copy that a plan wants ahead of need. It yields to calls: nothing is ordered while one waits, from
-   * the part of the ration kept for them, or at a worker that is cold or suspect. It could harm where a
-   * plan is wrong: each order may push out what a later call needs; the plan's maker pays for that.
+   * Orders a copy that a plan requests. Calls have priority: no order while a call waits, from the part of
+   * the ration reserved for calls, or at a cold or suspect worker. Does harm if the plan is wrong: an
+   * order may evict what a later call needs, which is charged to the planner.
    */
-  private void onHold(PlannedLoad event) {
+  private void onPlannedLoad(PlannedLoad event) {
     Worker w = workers.get(event.worker());
     if (w == null
-        || !waiting.isEmpty()
+        || !queuedFunctions.isEmpty()
         || warmth(w) < 1
-        || w.failures >= SUSPECT
-        || !mayLoad(AHEAD_PART)) {
+        || w.failureRate >= SUSPECT_FROM
+        || !rationAllows(PLANNED_RATION_FRACTION)) {
       return;
     }
     Function f = functions.computeIfAbsent(event.function(), Function::new);
     f.lanes = f.lanes == 0 ? event.lanes() : f.lanes;
     f.loadTime = f.loadTime == 0 ? event.loadTime() : f.loadTime;
-    f.lastAsked = now;
-    Copy copy = copyAt(f, w);
-    boolean fresh = copy.until - now > RENEW_PART * settings.keepAlive();
-    if (!warm(copy) || copy.copies < event.copies() || !fresh) {
-      order(copy, event.copies());
+    f.lastUsedAt = now;
+    CopyState copy = copyState(f, w);
+    boolean fresh = copy.warmUntil - now > RENEW_FRACTION * settings.keepAlive();
+    if (!isWarm(copy) || copy.copies < event.copies() || !fresh) {
+      orderCopies(copy, event.copies());
     }
   }
 
-  /** The load ration: orders in the window, this one included, may not pass this part of what is allowed. */
-  private boolean mayLoad(double part) {
+  /** Checks the load ration: orders in the window, with the next one, up to a fraction of the limit. */
+  private boolean rationAllows(double fraction) {
     Rules rules = settings.rules();
-    while (!loadTimes.isEmpty() && loadTimes.peekFirst() <= now - rules.loadWindow()) {
-      loadTimes.removeFirst();
+    while (!loadOrderTimes.isEmpty() && loadOrderTimes.peekFirst() <= now - rules.loadWindow()) {
+      loadOrderTimes.removeFirst();
     }
-    while (!takenTimes.isEmpty()
-        && takenTimes.peekFirst() < now - rules.loadWindow() + settings.tick()) {
-      takenTimes.removeFirst();
+    while (!requestTimes.isEmpty()
+        && requestTimes.peekFirst() < now - rules.loadWindow() + settings.tick()) {
+      requestTimes.removeFirst();
     }
-    double most = rules.freeLoads() + rules.loadsPerCall() * takenTimes.size();
-    return rules.loadWindow() == 0 || loadTimes.size() + 1 <= part * most;
+    double limit = rules.freeLoads() + rules.loadsPerCall() * requestTimes.size();
+    return rules.loadWindow() == 0 || loadOrderTimes.size() + 1 <= fraction * limit;
   }
 
-  /** The one place that emits a load order. */
-  private void order(Copy copy, int count) {
+  /** Emits a load order; the only place that does. */
+  private void orderCopies(CopyState copy, int count) {
     boolean running = copy.worker.phase == Phase.RUNNING;
-    if (copy.ordered >= 0 || !running || !settings.limits().orders() || !mayLoad(1)) {
+    if (copy.orderedCopies >= 0 || !running || !settings.limits().orders() || !rationAllows(1)) {
       return;
     }
     if (settings.rules().loadWindow() > 0) {
-      loadTimes.addLast(now);
+      loadOrderTimes.addLast(now);
     }
-    copy.ordered = count;
+    copy.orderedCopies = count;
     copy.orderedAt = now;
-    out.accept(new Load(copy.worker.name(), copy.function.name, count));
+    sink.accept(new Load(copy.worker.name(), copy.function.name, count));
   }
 
-  // ---- what waits
+  // ---- queued calls
 
   private void armSweep() {
     if (!sweeping && !requests.isEmpty()) {
       sweeping = true;
-      out.accept(new SetTimer(sweepEvery, "sweep"));
+      sink.accept(new SetTimer(sweepInterval, "sweep"));
     }
   }
 
@@ -663,198 +662,196 @@
     if (!call.queued) {
       call.queued = true;
       call.function.queue.addLast(call);
-      waiting.add(call.function);
+      queuedFunctions.add(call.function);
     }
   }
 
-  private void unqueue(PendingCall call) {
+  private void dequeue(PendingCall call) {
     if (call.queued) {
       call.queued = false;
       call.function.queue.removeFirstOccurrence(call);
       if (call.function.queue.isEmpty()) {
-        waiting.remove(call.function);
+        queuedFunctions.remove(call.function);
       }
     }
   }
 
-  /** Places what waits for one function, newest first, while there is room; returns the tries left. */
-  private int serve(Function f, int tries) {
-    int left = tries;
-    while (left > 0 && !f.queue.isEmpty()) {
+  /** Places queued calls of a function, newest first, while there is room; returns the tries left. */
+  private int placeQueued(Function f, int tries) {
+    int triesLeft = tries;
+    while (triesLeft > 0 && !f.queue.isEmpty()) {
       PendingCall call = f.queue.peekLast();
-      left--;
+      triesLeft--;
       place(call);
       if (call.queued) {
         break;
       }
     }
-    return left;
+    return triesLeft;
   }
 
   /**
-   * Places what waits, dearest first and then newest, while any worker has room. What can no longer be
-   * in time counts its late worth. Under overload this sheds what is worth least: a call that found no
-   * room is refused, where that is harmless, just before its aim.
+   * Places queued calls, highest value first and then newest, while any worker has room. A call that
+   * will be late counts with its late worth and is refused if that is harmless.
    */
-  private void serveWaiting() {
-    List<Function> order = new ArrayList<>(waiting);
-    order.sort((a, b) -> Double.compare(value(b.queue.peekLast()), value(a.queue.peekLast())));
-    int tries = MOST_TRIES;
-    for (Function f : order) {
-      tries = serve(f, tries);
-      while (!f.queue.isEmpty() && late(f.queue.peekFirst()) && harmless(f.queue.peekFirst())) {
-        giveUp(f.queue.peekFirst());
+  private void placeAllQueued() {
+    List<Function> byValue = new ArrayList<>(queuedFunctions);
+    byValue.sort((a, b) -> Double.compare(value(b.queue.peekLast()), value(a.queue.peekLast())));
+    int tries = MAX_TRIES;
+    for (Function f : byValue) {
+      tries = placeQueued(f, tries);
+      while (!f.queue.isEmpty() && isLate(f.queue.peekFirst()) && mayRefuse(f.queue.peekFirst())) {
+        refuseOrFail(f.queue.peekFirst());
       }
     }
   }
 
-  private boolean late(PendingCall call) {
-    return call.aimAt - now < LATE_MARGIN * usual(call.function);
+  private boolean isLate(PendingCall call) {
+    return call.targetAt - now < LATE_MARGIN * typicalLatency(call.function);
   }
 
   private double value(PendingCall call) {
-    return call.worth * (late(call) ? call.requestClass.lateWorth() : 1);
+    return call.worth * (isLate(call) ? call.requestClass.lateWorth() : 1);
   }
 
-  // ---- the pick
+  // ---- choosing a worker
 
-  /** Sends a request to the worker chosen for it, or has the function loaded there and waits. */
+  /** Sends a call to the worker chosen for it, or orders the function there and queues the call. */
   private void place(PendingCall call) {
-    Copy copy = choose(call);
-    boolean orders = !settings.loadsOnMiss() && settings.limits().orders();
-    boolean blind =
-        copy != null && copy.home && call.attempts.size() < settings.limits().maxAttempts() - 2;
-    if (copy != null && (warm(copy) || blind || !orders)) {
+    CopyState copy = choose(call);
+    boolean useOrders = !settings.loadsOnMiss() && settings.limits().orders();
+    boolean unconfirmed =
+        copy != null && copy.inHome && call.attempts.size() < settings.limits().maxAttempts() - 2;
+    if (copy != null && (isWarm(copy) || unconfirmed || !useOrders)) {
       send(call, copy);
-    } else if (copy != null && copy.ordered < 0) {
-      order(copy, 1);
+    } else if (copy != null && copy.orderedCopies < 0) {
+      orderCopies(copy, 1);
     }
-    if (call.out == 0 && !call.done) {
+    if (call.attemptsOut == 0 && !call.done) {
       enqueue(call);
     }
   }
 
-  /** Begins the order of a function's workers anew where the list has changed. */
-  private void arrange(Function f) {
-    if (f.version != listVersion) {
-      f.version = listVersion;
-      f.order = fleet.order().first(f.hash, FEWEST_CANDIDATES);
-      f.known.values().removeIf(copy -> !copy.worker.isOrdered() && copy.inFlight == 0);
+  /** Fetches a function's first candidates anew if the shared order has changed. */
+  private void refreshCandidates(Function f) {
+    if (f.orderVersion != orderVersion) {
+      f.orderVersion = orderVersion;
+      f.candidates = fleet.order().first(f.hash, MIN_CANDIDATES);
+      f.copyStates.values().removeIf(copy -> !copy.worker.isOrdered() && copy.inFlight == 0);
     }
   }
 
-  /** Asks for more of a function's order where it is needed; false where it does not reach so far. */
-  private boolean reaches(Function f, int place) {
-    if (place >= f.order.size() && f.order.size() < fleet.size()) {
-      int more = Math.min(f.order.size() * CANDIDATE_GROWTH, MOST_CANDIDATES);
-      int block = (place / MOST_CANDIDATES + 1) * MOST_CANDIDATES;
-      f.order = fleet.order().first(f.hash, place < more ? more : block);
+  /** Fetches more candidates if needed; false if the shared order has no worker at this place. */
+  private boolean hasCandidate(Function f, int place) {
+    if (place >= f.candidates.size() && f.candidates.size() < fleet.size()) {
+      int more = Math.min(f.candidates.size() * CANDIDATE_GROWTH, MAX_CANDIDATES);
+      int block = (place / MAX_CANDIDATES + 1) * MAX_CANDIDATES;
+      f.candidates = fleet.order().first(f.hash, place < more ? more : block);
     }
-    return place < f.order.size();
+    return place < f.candidates.size();
   }
 
-  private Copy copyAt(Function f, Worker w) {
-    return f.known.computeIfAbsent(w, worker -> new Copy(f, worker));
+  private CopyState copyState(Function f, Worker w) {
+    return f.copyStates.computeIfAbsent(w, worker -> new CopyState(f, worker));
   }
 
-  /** True where it makes no difference to a call whether this is remembered. */
-  private boolean saysNothing(Copy copy) {
-    long until = Math.max(Math.max(copy.busyUntil, copy.missingUntil), copy.crowdUntil);
-    return !warm(copy) && copy.inFlight == 0 && copy.ordered < 0 && until <= now;
+  /** True if forgetting this state would not change any decision. */
+  private boolean isUninformative(CopyState copy) {
+    long until = Math.max(Math.max(copy.busyUntil, copy.missingUntil), copy.othersInFlightUntil);
+    return !isWarm(copy) && copy.inFlight == 0 && copy.orderedCopies < 0 && until <= now;
   }
 
-  private Copy choose(PendingCall call) {
-    arrange(call.function);
-    Copy untried = choose(call, true);
+  private CopyState choose(PendingCall call) {
+    refreshCandidates(call.function);
+    CopyState untried = choose(call, true);
     return untried != null || call.attempts.isEmpty() ? untried : choose(call, false);
   }
 
   /**
-   * The one place where a worker is chosen: the least loaded of the believed-warm with a lane free,
-   * unless its load passes the balance threshold; then the one where the call should be over first. Null
-   * where none may take it, or where a lane should be free here before a load is done.
+   * Chooses a worker: the cheapest warm one with a free lane unless its load exceeds the limit, else the
+   * cheapest of all. Null if no worker is eligible, or if a lane should be free before a load completes.
    */
-  private Copy choose(PendingCall call, boolean untried) {
+  private CopyState choose(PendingCall call, boolean untried) {
     Function f = call.function;
-    boolean distrust = fleet.mostSuspect();
-    long home = Math.round(home(f));
-    // A home wider than may be looked at is sampled.
-    int from = home <= MOST_CANDIDATES ? 0 : random.nextInt((int) home - MOST_CANDIDATES + 1);
-    int rank = from;
-    int warm = -1;
-    int soonest = -1;
-    double warmCost = 0;
-    double soonestCost = 0;
-    int lanesOut = 0;
-    int knownSeen = 0;
-    for (int i = from; i < from + MOST_CANDIDATES && reaches(f, i); i++) {
-      boolean othersUnknown = rank >= home && knownSeen >= f.known.size();
-      if (othersUnknown && soonest >= 0 && soonestCost <= leastCost(f, rank, home)) {
+    boolean allowSuspects = fleet.mostSuspect();
+    long home = Math.round(homeSize(f));
+    // A home larger than MAX_CANDIDATES is sampled.
+    int first = home <= MAX_CANDIDATES ? 0 : random.nextInt((int) home - MAX_CANDIDATES + 1);
+    int rank = first;
+    int bestWarm = -1;
+    int best = -1;
+    double bestWarmCost = 0;
+    double bestCost = 0;
+    int busyLanes = 0;
+    int statesSeen = 0;
+    for (int i = first; i < first + MAX_CANDIDATES && hasCandidate(f, i); i++) {
+      boolean restUnknown = rank >= home && statesSeen >= f.copyStates.size();
+      if (restUnknown && best >= 0 && bestCost <= minLoadCost(f, rank, home)) {
         break;
       }
       workersExamined++;
-      Worker w = f.order.get(i);
-      Copy copy = f.known.get(w);
-      knownSeen += copy == null ? 0 : 1;
+      Worker w = f.candidates.get(i);
+      CopyState copy = f.copyStates.get(w);
+      statesSeen += copy == null ? 0 : 1;
       int place = rank;
-      rank += eligible(call, w, distrust) ? 1 : 0;
+      rank += eligible(call, w, allowSuspects) ? 1 : 0;
       if (place == rank || untried && tried(call, w)) {
         continue;
       }
-      boolean known = copy != null && warm(copy);
-      boolean shared = place < home && (copy == null || copy.missingUntil <= now);
-      double cost = cost(call, w, copy, shared);
+      boolean known = copy != null && isWarm(copy);
+      boolean assumedWarm = place < home && (copy == null || copy.missingUntil <= now);
+      double cost = cost(call, w, copy, assumedWarm);
       cost += place >= home
-          ? RANK_COST * (place - home + 1) * loadTime(f)
-          : copy == null || copy.ordered <= 0 ? JITTER * cost * random.nextDouble() : 0;
-      boolean free =
-          copy == null || copy.busyUntil <= now && busy(copy) < f.lanes * Math.max(1, copy.copies);
-      if ((known || shared) && free && (warm < 0 || cost < warmCost)) {
-        warm = i;
-        warmCost = cost;
+          ? RANK_COST_FRACTION * (place - home + 1) * loadTime(f)
+          : copy == null || copy.orderedCopies <= 0 ? JITTER * cost * random.nextDouble() : 0;
+      boolean laneFree = copy == null
+          || copy.busyUntil <= now && callsInFlight(copy) < f.lanes * Math.max(1, copy.copies);
+      if ((known || assumedWarm) && laneFree && (bestWarm < 0 || cost < bestWarmCost)) {
+        bestWarm = i;
+        bestWarmCost = cost;
       }
-      if (soonest < 0 || cost < soonestCost) {
-        soonest = i;
-        soonestCost = cost;
+      if (best < 0 || cost < bestCost) {
+        best = i;
+        bestCost = cost;
       }
-      lanesOut += known && copy.busyUntil <= now && copy.inFlight > 0 ? f.lanes * copy.copies : 0;
+      busyLanes += known && copy.busyUntil <= now && copy.inFlight > 0 ? f.lanes * copy.copies : 0;
     }
-    double balanced = BALANCE * fleet.meanLoad(distrust) + BALANCE_SLACK;
-    if (warm >= 0 && load(f.order.get(warm)) <= balanced) {
-      return chosen(f, f.order.get(warm), warm < home);
+    double maxLoad = MAX_LOAD_RATIO * fleet.meanLoad(allowSuspects) + LOAD_SLACK_CALLS;
+    if (bestWarm >= 0 && load(f.candidates.get(bestWarm)) <= maxLoad) {
+      return chosen(f, f.candidates.get(bestWarm), bestWarm < home);
     }
-    if (soonest < 0) {
-      return fleet.size() <= MOST_CANDIDATES ? null : fallThrough(call, untried, distrust);
+    if (best < 0) {
+      return fleet.size() <= MAX_CANDIDATES ? null : fallThrough(call, untried, allowSuspects);
     }
-    // Guards against copies loaded for a moment's queue, which under overload push each other
-    // out. It could harm where others keep the lanes taken: the answers' crowd counts then
-    // widen the home.
-    boolean wait = warm < 0 && (f.queue.size() + 1) * usual(f) < loadTime(f) * lanesOut;
-    return wait ? null : chosen(f, f.order.get(soonest), soonest < home);
+    // Avoids loading copies for a short queue, which under overload evict each other. Does harm if
+    // others keep the lanes busy; the reported concurrency then widens the home.
+    boolean wait =
+        bestWarm < 0 && (f.queue.size() + 1) * typicalLatency(f) < loadTime(f) * busyLanes;
+    return wait ? null : chosen(f, f.candidates.get(best), best < home);
   }
 
-  /** What a call costs at the least at a worker of this place or behind, where no copy is known. */
-  private double leastCost(Function f, int place, long home) {
-    return loadTime(f) * (1 + RANK_COST * (place - home + 1));
+  /** Lower bound of a call's cost at this place or behind it, where no copy is known. */
+  private double minLoadCost(Function f, int place, long home) {
+    return loadTime(f) * (1 + RANK_COST_FRACTION * (place - home + 1));
   }
 
   /**
-   * The best of the next few of the whole fleet. Guards against candidates that are all drained, suspect,
-   * cold, tried or of another zone while others are free; a call that still finds nobody waits and goes on
-   * from there. It could harm where most of a large fleet is out: each call then costs as much as it may.
+   * The cheapest of the next MAX_CANDIDATES workers of the fleet, for the case that all candidates are
+   * ineligible while other workers are free. A call that finds none waits; the next scan continues there.
+   * Does harm if most of a large fleet is down: each call then costs the maximum.
    */
-  private Copy fallThrough(PendingCall call, boolean untried, boolean distrust) {
+  private CopyState fallThrough(PendingCall call, boolean untried, boolean allowSuspects) {
     fallThroughs++;
     Worker best = null;
     double bestCost = 0;
-    for (int i = 0; i < MOST_CANDIDATES; i++) {
+    for (int i = 0; i < MAX_CANDIDATES; i++) {
       workersExamined++;
-      nextInFleet = (nextInFleet + 1) % fleet.size();
-      Worker w = fleet.get(nextInFleet);
-      if (!eligible(call, w, distrust) || untried && tried(call, w)) {
+      nextFleetIndex = (nextFleetIndex + 1) % fleet.size();
+      Worker w = fleet.get(nextFleetIndex);
+      if (!eligible(call, w, allowSuspects) || untried && tried(call, w)) {
         continue;
       }
-      double cost = cost(call, w, call.function.known.get(w), false);
+      double cost = cost(call, w, call.function.copyStates.get(w), false);
       if (best == null || cost < bestCost) {
         best = w;
         bestCost = cost;
@@ -863,21 +860,21 @@
     return best == null ? null : chosen(call.function, best, false);
   }
 
-  private Copy chosen(Function f, Worker w, boolean isHome) {
-    Copy copy = copyAt(f, w);
-    copy.home = isHome && copy.missingUntil <= now;
+  private CopyState chosen(Function f, Worker w, boolean isHome) {
+    CopyState copy = copyState(f, w);
+    copy.inHome = isHome && copy.missingUntil <= now;
     return copy;
   }
 
-  private boolean eligible(PendingCall call, Worker w, boolean distrust) {
+  private boolean eligible(PendingCall call, Worker w, boolean allowSuspects) {
     return w.phase == Phase.RUNNING
-        && coldRoom(w)
+        && hasColdBudget(w)
         && groupAllows(call, w)
-        && (w.failures < SUSPECT || distrust || trialDue(call, w));
+        && (w.failureRate < SUSPECT_FROM || allowSuspects || trialDue(call, w));
   }
 
   private boolean trialDue(PendingCall call, Worker w) {
-    return w.trialAt <= now
+    return w.nextTrialAt <= now
         && w.inFlight == 0
         && call.requestClass.effect() == Effect.SAFE
         && call.attempts.isEmpty();
@@ -898,108 +895,108 @@
         .allMatch(before -> zone ? before.zone.equals(w.zone) : before.cell == w.cell);
   }
 
-  /** Whether the budget of a worker that is starting has a call left. */
-  private boolean coldRoom(Worker w) {
-    double served = servedRate / Math.max(1, fleet.size());
-    ColdBudget.Pace pace = new ColdBudget.Pace(served, meanUsual, settings.dispatchers());
-    return w.cold.hasRoom(settings.rules(), w.born, w.inFlight, pace, now);
+  /** True unless the worker is cold and its budget has no call left. */
+  private boolean hasColdBudget(Worker w) {
+    double served = servedPerSecond / Math.max(1, fleet.size());
+    ColdBudget.Pace pace = new ColdBudget.Pace(served, meanLatency, settings.dispatchers());
+    return w.coldBudget.hasRoom(settings.rules(), w.startedAt, w.inFlight, pace, now);
   }
 
-  /** Settles the cold budget for the time in which a call was out, and learns what it took without a load. */
-  private void noteColdAnswer(Worker w, Answer event) {
+  /** Updates a cold worker's budget for the time that a call was outstanding, and its latency. */
+  private void settleColdBudget(Worker w, Answer event) {
     if (warmth(w) >= 1) {
       return;
     }
-    coldRoom(w);
+    hasColdBudget(w);
     boolean withoutLoad =
         event.copyStatus() == CopyStatus.WARM || event.copyStatus() == CopyStatus.NONE;
     if (event.outcome() == Outcome.OK && withoutLoad) {
-      w.cold.answered(event.latency());
+      w.coldBudget.answered(event.latency());
     }
   }
 
-  /** What is saved up for a starting worker, in calls, for logs; NaN for one that is warm or unknown. */
+  /** The calls left in a cold worker's budget, for logs; NaN for a warm or unknown worker. */
   public double coldBudget(String worker) {
     Worker w = workers.get(worker);
-    return w == null || warmth(w) >= 1 ? Double.NaN : w.cold.saved();
+    return w == null || warmth(w) >= 1 ? Double.NaN : w.coldBudget.saved();
   }
 
-  /** The part of its capacity that a worker has at least, by its birth and the told ramp. */
+  /** Fraction of its capacity that a worker has since its start, by the ramp of the rules. */
   private double warmth(Worker w) {
-    return ColdBudget.warmth(settings.rules(), w.born, now);
+    return ColdBudget.warmth(settings.rules(), w.startedAt, now);
   }
 
-  private boolean warm(Copy copy) {
-    return copy.copies > 0 && copy.until > now && copy.life == copy.worker.life;
+  private boolean isWarm(CopyState copy) {
+    return copy.copies > 0 && copy.warmUntil > now && copy.incarnation == copy.worker.incarnation;
   }
 
-  private void stands(Copy copy, int count) {
+  private void markWarm(CopyState copy, int count) {
     copy.copies = count;
-    copy.life = copy.worker.life;
-    copy.until = now + settings.keepAlive();
+    copy.incarnation = copy.worker.incarnation;
+    copy.warmUntil = now + settings.keepAlive();
     copy.missingUntil = 0;
   }
 
-  private int busy(Copy copy) {
-    return copy.inFlight + (copy.crowdUntil > now ? copy.crowd : 0);
+  private int callsInFlight(CopyState copy) {
+    return copy.inFlight + (copy.othersInFlightUntil > now ? copy.othersInFlight : 0);
   }
 
-  /** Calls in flight there as far as known, for a worker of mean weight. */
+  /** Known calls in flight at a worker, scaled to a worker of mean weight. */
   private double load(Worker w) {
-    return (w.inFlight + w.others) * fleet.meanWeight() / w.weight;
+    return (w.inFlight + w.othersInFlight) * fleet.meanWeight() / w.weight;
   }
 
-  /** How long a call sent now should take: calls in flight in time, plus queue or load. */
-  private double cost(PendingCall call, Worker w, Copy copy, boolean shared) {
+  /** Expected latency of a call sent now: execution under the current load, plus queueing or loading. */
+  private double cost(PendingCall call, Worker w, CopyState copy, boolean assumedWarm) {
     Function f = call.function;
-    double own = usual(f) * w.pace;
-    double time = own * (1 + load(w) / PARALLEL) / warmth(w);
-    if (copy != null && warm(copy)) {
+    double own = typicalLatency(f) * w.slowdown;
+    double time = own * (1 + load(w) / PARALLEL_CALLS) / warmth(w);
+    if (copy != null && isWarm(copy)) {
       int lanes = f.lanes * copy.copies;
-      time += own * Math.max(0, busy(copy) + 1 - lanes) / lanes;
-    } else if (copy != null && copy.ordered > 0) {
+      time += own * Math.max(0, callsInFlight(copy) + 1 - lanes) / lanes;
+    } else if (copy != null && copy.orderedCopies > 0) {
       time += Math.max(0, loadTime(f) - (now - copy.orderedAt));
     } else {
-      time += shared ? 0 : loadTime(f);
+      time += assumedWarm ? 0 : loadTime(f);
     }
     return time + (copy == null ? 0 : Math.max(0, copy.busyUntil - now));
   }
 
-  /** The one place that emits a send; a request that may not be sent again never passes here. */
-  private void send(PendingCall call, Copy copy) {
+  /** Emits a send unless a rule forbids it; the only place that does. */
+  private void send(PendingCall call, CopyState copy) {
     Worker w = copy.worker;
-    boolean second = call.out > 0;
+    boolean second = call.attemptsOut > 0;
     boolean allowed = call.attempts.isEmpty() || mayResend(call);
     if (call.done
         || !allowed
         || second && !settings.limits().duplicates()
         || w.phase != Phase.RUNNING
         || call.attempts.size() >= settings.limits().maxAttempts()
-        || !coldRoom(w)) {
+        || !hasColdBudget(w)) {
       return;
     }
-    unqueue(call);
-    call.attempts.forEach(earlier -> earlier.overlapped |= earlier.out);
+    dequeue(call);
+    call.attempts.forEach(earlier -> earlier.overlapped |= earlier.outstanding);
     Attempt attempt = new Attempt();
     attempt.copy = copy;
     attempt.sentAt = now;
-    attempt.blind = !warm(copy);
-    attempt.expected = cost(call, w, copy, copy.home);
+    attempt.unconfirmed = !isWarm(copy);
+    attempt.expectedLatency = cost(call, w, copy, copy.inHome);
     call.attempts.add(attempt);
-    call.out++;
+    call.attemptsOut++;
     w.inFlight++;
-    count(w);
+    recount(w);
     copy.inFlight++;
     call.function.inFlight++;
-    if (warm(copy)) {
-      copy.until = Math.max(copy.until, now + settings.keepAlive());
+    if (isWarm(copy)) {
+      copy.warmUntil = Math.max(copy.warmUntil, now + settings.keepAlive());
     } else if (settings.loadsOnMiss()) {
-      stands(copy, 1);
+      markWarm(copy, 1);
     }
     if (warmth(w) < 1) {
-      w.cold.spend();
+      w.coldBudget.spend();
     }
-    out.accept(new Send(call.id, w.name(), 0));
+    sink.accept(new Send(call.id, w.name(), 0));
   }
 
   // ---- timers
@@ -1011,66 +1008,69 @@
       armSweep();
       return;
     }
-    timeUp(
+    endOverdue(
         token.startsWith(SetTimer.DEADLINE)
             ? requests.get(Long.parseLong(token.substring(1)))
             : null);
   }
 
-  private void timeUp(PendingCall call) {
+  private void endOverdue(PendingCall call) {
     if (call != null && !call.done && !call.streaming) {
-      giveUp(call);
+      refuseOrFail(call);
     }
   }
 
   private void sweep() {
     for (PendingCall call : requests.values()) {
-      if (!call.done && !call.streaming && call.out > 0) {
-        watch(call);
+      if (!call.done && !call.streaming && call.attemptsOut > 0) {
+        checkOverdue(call);
       }
     }
-    serveWaiting();
+    placeAllQueued();
   }
 
-  /** Looks at the attempts of a request that take longer than they should. */
-  private void watch(PendingCall call) {
+  /** Checks whether the latest attempt of a call takes longer than it should. */
+  private void checkOverdue(PendingCall call) {
     Attempt last = call.attempts.get(call.attempts.size() - 1);
-    if (!last.out || last.cancelled) {
+    if (!last.outstanding || last.cancelled) {
       return;
     }
     Function f = call.function;
-    // Guards against lanes that hold more than they can run and so never answer: calls still
-    // out there are the only sign. It covers slow workers too; it could harm where all work
-    // takes half its aim.
-    if (!last.slow
-        && !last.blind
-        && now - last.sentAt > LATE_PART * call.requestClass.latencyTarget()) {
-      last.slow = true;
-      noteStrain(true);
-      noteNeed(f, home(f) * HOME_STEP * fill(f));
-      last.copy.busyUntil = now + (long) usual(f);
-    }
-    double age = (now - last.sentAt) / last.expected;
+    // Overloaded lanes may never answer, so outstanding calls are the only sign of them. Covers
+    // slow workers too. Does harm if execution takes half the latency target.
+    if (!last.markedSlow
+        && !last.unconfirmed
+        && now - last.sentAt > LATE_FRACTION * call.requestClass.latencyTarget()) {
+      last.markedSlow = true;
+      noteOverload(true);
+      noteConcurrency(f, homeSize(f) * MAX_HOME_GROWTH * homeFill(f));
+      last.copy.busyUntil = now + (long) typicalLatency(f);
+    }
+    double ratio = (now - last.sentAt) / last.expectedLatency;
     Worker w = last.copy.worker;
-    if (age > SILENT && w.lastHeard < last.sentAt && w.failures < SUSPECT) {
-      failed(w, 1, true);
+    if (ratio > SILENT_FACTOR && w.lastHeardAt < last.sentAt && w.failureRate < SUSPECT_FROM) {
+      noteFailure(w, 1, true);
     }
-    if (age > OVERDUE) {
-      w.pace = Math.max(w.pace, Math.min(10, age));
-      second(call, last);
+    if (ratio > OVERDUE_FACTOR) {
+      w.slowdown = Math.max(w.slowdown, Math.min(10, ratio));
+      trySecondAttempt(call, last);
     }
   }
 
-  /** A second try elsewhere for an overdue attempt, where class, site and budget allow it. */
-  private void second(PendingCall call, Attempt last) {
-    boolean left = call.attempts.size() < settings.limits().maxAttempts();
-    boolean suspect = last.copy.worker.failures >= SUSPECT;
-    Copy copy = left && mayResend(call) && secondTokens >= 1 && call.out < 2 ? choose(call) : null;
-    boolean better = copy != null && copy.worker != last.copy.worker && (warm(copy) || copy.home);
+  /** Repeats an overdue attempt at another worker if class, limits and token budget allow it. */
+  private void trySecondAttempt(PendingCall call, Attempt last) {
+    boolean attemptsLeft = call.attempts.size() < settings.limits().maxAttempts();
+    boolean suspect = last.copy.worker.failureRate >= SUSPECT_FROM;
+    CopyState copy =
+        attemptsLeft && mayResend(call) && secondAttemptTokens >= 1 && call.attemptsOut < 2
+            ? choose(call)
+            : null;
+    boolean better =
+        copy != null && copy.worker != last.copy.worker && (isWarm(copy) || copy.inHome);
     if (copy == null || !better && !suspect) {
       return;
     }
-    secondTokens--;
+    secondAttemptTokens--;
     if (!settings.limits().duplicates()) {
       cancel(call, call.attempts.size() - 1);
     } else if (better || settings.loadsOnMiss()) {
--- a/decisions/src/main/java/gorseladder/RouterApi.java
+++ b/decisions/src/main/java/gorseladder/RouterApi.java
@@ -4,20 +4,23 @@
 import java.util.Map;
 
 /**
- * The interface of {@link Router}: the settings it starts with, the events it is told and the actions
- * it answers with. All times and durations are whole microseconds. Nothing here decides anything.
+ * The interface of {@link Router}: the settings it starts with, the events it takes and the actions it
+ * returns. All times and durations are whole microseconds. These types hold data and no decisions.
  */
 public final class RouterApi {
   private RouterApi() {}
 
-  /** What a repeat of a request of a class does. */
+  /**
+   * Whether a request of a class may run twice: SAFE requests may, KEYED ones may where workers detect the
+   * repeat by its key, UNSAFE ones may not.
+   */
   public enum Effect {
     SAFE,
     KEYED,
     UNSAFE
   }
 
-  /** Which workers drop a repeat of a keyed request. */
+  /** The workers that detect a repeat of a keyed request: all, those of one zone or those of one cell. */
   public enum Group {
     ALL,
     ZONE,
@@ -36,7 +39,7 @@
     MOOT(true),
     MISS(true);
 
-    /** True where this outcome proves that the attempt did not run. */
+    /** True if this outcome proves that the attempt did not run. */
     public final boolean neverRan;
 
     Outcome(boolean neverRan) {
@@ -44,14 +47,14 @@
     }
   }
 
-  /** What the worker list says of a worker. */
+  /** The state of a worker according to the worker list. */
   public enum Phase {
     RUNNING,
     DRAINING,
     GONE
   }
 
-  /** How much of the worker list an update carries. */
+  /** The contents of a worker list update: changes, the whole list, a saved copy of it, or a failed subscription. */
   public enum ListKind {
     DELTA,
     FULL,
@@ -59,7 +62,7 @@
     FAILED
   }
 
-  /** What an answer tells of the copy that served it. */
+  /** What an answer reports about the copy: not reported, warm, load begun, load awaited or load failed. */
   public enum CopyStatus {
     NONE,
     WARM,
@@ -68,7 +71,16 @@
     LOAD_FAILED
   }
 
-  /** A class of requests. */
+  /**
+   * A class of requests.
+   *
+   * @param repeatWindow how long workers detect repeats of a keyed request
+   * @param latencyTarget latency up to which an answer counts as in time
+   * @param deadline latency after which the client gives up
+   * @param worth value of an answer in time, relative to other classes
+   * @param lateWorth fraction of {@code worth} that a later answer keeps
+   * @param stream true if answers are streamed
+   */
   public record RequestClass(
       String name,
       Effect effect,
@@ -89,7 +101,7 @@
     }
   }
 
-  /** A tenant and its share, in requests a second over all dispatchers. */
+  /** A tenant, its share and its quota in requests per second over all dispatchers. */
   public record Tenant(String name, double share, double quotaPerSecond) {
     public Tenant {
       require(name != null, "tenant name");
@@ -98,7 +110,16 @@
     }
   }
 
-  /** What the site allows and limits. */
+  /**
+   * The limits of the platform and the features that it permits.
+   *
+   * @param duplicates true if two attempts of a request may be outstanding at a time
+   * @param cancelling true if attempts may be cancelled
+   * @param probing true if workers may be probed
+   * @param peers true if dispatchers may send messages to each other
+   * @param orders true if load orders may be sent
+   * @param retryAfter true if a refusal may carry a delay for the next try
+   */
   public record Limits(
       int maxAttempts,
       boolean duplicates,
@@ -116,7 +137,18 @@
     }
   }
 
-  /** The figures of the rules on drains, cold workers and load orders. */
+  /**
+   * The parameters of the rules on drains, cold workers and load orders.
+   *
+   * @param drainGrace how long after its drain was announced a worker may still receive attempts
+   * @param initialCapacity fraction of its capacity that a worker has at its start
+   * @param rampDuration time after a start in which the capacity grows linearly to its full value
+   * @param overloadMultiple multiple of a cold worker's capacity that may be sent to it
+   * @param overloadWindow window over which that multiple is measured
+   * @param freeLoads load orders permitted in every load window
+   * @param loadsPerCall further load orders permitted for each call taken in the window
+   * @param loadWindow window of the load ration; 0 turns the ration off
+   */
   public record Rules(
       long drainGrace,
       double initialCapacity,
@@ -137,7 +169,16 @@
     }
   }
 
-  /** Everything a dispatcher is told at its start. */
+  /**
+   * The configuration of a dispatcher, fixed at its start. The router does not use {@code askWithin} and
+   * {@code overShareWorth}.
+   *
+   * @param ordinal number of this dispatcher, from 0
+   * @param tick resolution of timers
+   * @param keepAlive how long a worker keeps an unused copy
+   * @param loadsOnMiss true if a worker loads a missing function by itself
+   * @param asksForList true if the dispatcher has to subscribe to changes of the worker list
+   */
   public record Settings(
       int ordinal,
       int dispatchers,
@@ -169,7 +210,7 @@
     }
   }
 
-  /** One entry of the worker list; {@code startedAt} is 0 where the last start was long ago. */
+  /** One entry of the worker list; {@code startedAt} is 0 if the last start was long ago. */
   public record WorkerEntry(
       String worker, String zone, int cell, Phase phase, double weight, long startedAt) {
     public WorkerEntry {
@@ -178,10 +219,10 @@
     }
   }
 
-  /** Something the dispatcher is told. */
+  /** An input of the router. */
   public sealed interface Event {}
 
-  /** News of the worker list. */
+  /** A change of the worker list. */
   public record WorkerListUpdate(ListKind kind, List<WorkerEntry> entries) implements Event {
     public WorkerListUpdate {
       require(kind != null, "list kind");
@@ -189,7 +230,7 @@
     }
   }
 
-  /** A request taken from a client; {@code loadTime} and {@code durationHint} are 0 where not told. */
+  /** A request accepted from a client; {@code loadTime} and {@code durationHint} are 0 if unknown. */
   public record Request(
       long id,
       String requestClass,
@@ -203,12 +244,15 @@
       boolean repeat)
       implements Event {}
 
-  /** The first part of a streamed answer went to the client. */
+  /** The first part of a streamed answer was sent to the client. */
   public record FirstByte(long id, int attempt, String worker, long latency) implements Event {}
 
   /**
-   * An attempt ended. {@code crowd} is the calls of the function found there, -1 where not told; a
-   * report may name {@code inFlight} or {@code queued} calls.
+   * An attempt ended.
+   *
+   * @param finalAnswer true if this answer is the request's final one
+   * @param concurrency calls of the function that the attempt found at the worker; -1 if not reported
+   * @param report load figures of the worker; {@code inFlight} and {@code queued} calls are used
    */
   public record Answer(
       long id,
@@ -222,29 +266,29 @@
       Map<String, Double> report)
       implements Event {}
 
-  /** The client left, or the final answer came too late. */
+  /** The client disconnected, or the final answer came too late. */
   public record ClientGone(long id) implements Event {}
 
-  /** The final answer is owed now, ahead of the client's time. */
+  /** The final answer is due now, before the client's deadline. */
   public record AnswerDue(long id) implements Event {}
 
-  /** A timer set by the router is due. */
+  /** A timer set by the router has expired. */
   public record TimerDue(String token) implements Event {}
 
   /** A probe ended. */
   public record Probed(String worker, Outcome outcome, long latency, Map<String, Double> report)
       implements Event {}
 
-  /** A message of another dispatcher. */
+  /** A message from another dispatcher. */
   public record PeerMessage(int sender, String text) implements Event {}
 
-  /** A load order ended, with the copies that stand there. */
+  /** A load order ended; {@code copies} is the number of copies then loaded at the worker. */
   public record Loaded(String worker, String function, int copies, Outcome outcome, long latency)
       implements Event {}
 
   /**
-   * A plan wants copies held at a worker ahead of need; the router may pass it over, and then nothing follows.
-   * {@code loadTime} is 0 where not told.
+   * A plan asks for copies at a worker before they are needed. The router may ignore it without an answer.
+   * {@code loadTime} is 0 if unknown.
    */
   public record PlannedLoad(String worker, String function, int copies, int lanes, long loadTime)
       implements Event {
@@ -255,27 +299,30 @@
     }
   }
 
-  /** Something the dispatcher is to do. */
+  /** An output of the router, to be carried out by the dispatcher. */
   public sealed interface Action {}
 
-  /** Starts an attempt; a {@code timeout} of 0 lasts until the client gives up. */
+  /** Starts an attempt; with a {@code timeout} of 0 it lasts until the client gives up. */
   public record Send(long id, String worker, long timeout) implements Action {}
 
   /** Stops waiting for an attempt. */
   public record Cancel(long id, int attempt) implements Action {}
 
-  /** Final answer: no, and a new try does no harm. */
+  /** Final answer: refused; trying again is harmless. */
   public record Refuse(long id, long retryAfter) implements Action {}
 
-  /** Final answer: failed, with no promise of its effect. */
+  /** Final answer: failed; whether the request took effect is unknown. */
   public record Fail(long id) implements Action {}
 
-  /** Asks for a {@link TimerDue}. */
+  /** Requests a {@link TimerDue} after a delay. */
   public record SetTimer(long delay, String token) implements Action {
-    /** The first letter of a call's deadline; its id follows. */
+    /** Token prefix of a call's deadline timer; the call's id follows. */
     static final String DEADLINE = "d";
 
-    /** True for the end of a call's time: it need not come once the call is over and no attempt of it is out. */
+    /**
+     * True for the deadline timer of a call, which may be dropped once the call has ended and none of its
+     * attempts is outstanding.
+     */
     public boolean isDeadline() {
       return token.startsWith(DEADLINE);
     }
@@ -284,17 +331,17 @@
   /** Sends text to every other dispatcher. */
   public record TellPeers(String text) implements Action {}
 
-  /** Orders at least so many copies held; 0 only asks how many stand. */
+  /** Orders at least this many copies to be loaded; 0 only queries how many are loaded. */
   public record Load(String worker, String function, int copies) implements Action {}
 
-  /** Asks for list changes from now on. */
+  /** Subscribes to changes of the worker list. */
   public record SubscribeWorkerList() implements Action {}
 
-  /** A line for the log. */
+  /** Writes a line to the log. */
   public record Log(String text) implements Action {}
 
-  private static void require(boolean holds, String field) {
-    if (!holds) {
+  private static void require(boolean valid, String field) {
+    if (!valid) {
       throw new IllegalArgumentException("impossible setting: " + field);
     }
   }
--- a/decisions/src/main/java/gorseladder/RouterState.java
+++ b/decisions/src/main/java/gorseladder/RouterState.java
@@ -11,34 +11,42 @@
 import java.util.List;
 import java.util.Map;
 
-/** What {@link Router} keeps in mind: fields only. Every decision on them is the router's. */
+/** The records of {@link Router}. They have fields only; the router contains all logic. Times are microseconds. */
 final class RouterState {
   private RouterState() {}
 
-  /** What is known of one worker. */
+  /** The state of one worker. */
   static final class Worker extends Member {
     String zone;
     int cell;
     Phase phase = Phase.GONE;
     double weight = 1;
-    long born;
-    /** Counts the lives of the process; beliefs of an earlier life are void. */
-    int life;
+    long startedAt;
+    /** Number of starts and resets seen; copies of an earlier incarnation count as lost. */
+    int incarnation;
 
+    /** Attempts of this dispatcher. */
     int inFlight;
-    double others;
-    double pace = 1;
-    double failures;
-    int suspicions;
-    long trialAt;
-    long toldSick;
-    long lastHeard;
-    final ColdBudget cold = new ColdBudget();
-    /** The number of the last list that named it. */
-    int listed;
-    /** Its number in the {@link Fleet}; -1 where it is not in. */
+    /** Average of the calls in flight from other dispatchers, by the worker's load reports. */
+    double othersInFlight;
+    /** Average ratio of the worker's latencies to the typical latency of their functions. */
+    double slowdown = 1;
+
+    double failureRate;
+    /** Failures since the worker became suspect. */
+    int suspectFailures;
+    /** When a suspect worker may be tried again. */
+    long nextTrialAt;
+    /** When peers last told, or were told, that the worker is suspect; 0 for never. */
+    long suspectToldAt;
+
+    long lastHeardAt;
+    final ColdBudget coldBudget = new ColdBudget();
+    /** Number of the last list update that named the worker. */
+    int lastListUpdate;
+    /** Index in the {@link Fleet}; -1 if absent. */
     int fleetIndex = -1;
-    /** As {@link Fleet} last counted it. */
+    /** This and the next three fields: the values that the totals of {@link Fleet} contain. */
     Phase countedPhase = Phase.GONE;
 
     boolean countedSuspect;
@@ -50,48 +58,61 @@
     }
   }
 
-  /** What is believed of one function at one worker. */
-  static final class Copy {
+  /** What is assumed about one function at one worker. */
+  static final class CopyState {
     final Function function;
     final Worker worker;
-    int life;
+    int incarnation;
     int copies;
-    long until;
+    long warmUntil;
+    /** Attempts of this dispatcher. */
     int inFlight;
-    int crowd;
-    long crowdUntil;
+    /** Calls of other dispatchers, by the last answer; assumed until {@link #othersInFlightUntil}. */
+    int othersInFlight;
+
+    long othersInFlightUntil;
+    /** Until when the worker is assumed to have no free lane for the function. */
     long busyUntil;
+    /** Until when the worker is assumed to have no copy, though it belongs to the home. */
     long missingUntil;
-    int ordered = -1;
+    /** Copies of the outstanding load order; -1 if there is none. */
+    int orderedCopies = -1;
+
     long orderedAt;
-    /** Set by the pick: likely warm by others' doing. */
-    boolean home;
+    /** Set when the worker is chosen: it belongs to the home, so other dispatchers probably keep it warm. */
+    boolean inHome;
 
-    Copy(Function function, Worker worker) {
+    CopyState(Function function, Worker worker) {
       this.function = function;
       this.worker = worker;
     }
   }
 
-  /** What is known of one function; the order of workers is shared by all dispatchers. */
+  /** The state of one function. */
   static final class Function {
     final String name;
     final long hash;
     int lanes;
+    /** Load time by the last request; 0 if unknown. */
     long loadTime;
-    double usual;
-    double seenLoad;
-    /** Calls that the fleet holds at once, as far as seen. */
-    double atOnce;
+    /** Moving average of latencies without a load; 0 before the first. */
+    double typicalLatency;
+
+    double measuredLoadTime;
+    /** Estimate of the calls that the fleet holds at once. */
+    double fleetConcurrency;
+
+    /** Samples in {@link #fleetConcurrency}. */
+    int samples;
 
-    int seen;
     int inFlight;
-    long lastAsked;
-    int version = -1;
-    /** The first workers of the shared order, as many as were asked for so far. */
-    List<Worker> order = List.of();
-    /** What is known of the function at single workers, in the order or not. */
-    final Map<Worker, Copy> known = new HashMap<>(4);
+    long lastUsedAt;
+    /** Version of the shared order from which the candidates were taken. */
+    int orderVersion = -1;
+    /** The first workers of the shared order, as many as were needed so far. */
+    List<Worker> candidates = List.of();
+    /** State of the function at single workers, candidates or not. */
+    final Map<Worker, CopyState> copyStates = new HashMap<>(4);
 
     final ArrayDeque<PendingCall> queue = new ArrayDeque<>(1);
 
@@ -103,38 +124,41 @@
 
   /** One attempt of a request. */
   static final class Attempt {
-    Copy copy;
+    CopyState copy;
     long sentAt;
-    double expected;
-    /** Sent without a belief of its own that the copy stands. */
-    boolean blind;
+    double expectedLatency;
+    /** Sent though the copy was not known to be warm. */
+    boolean unconfirmed;
 
-    boolean out = true;
+    boolean outstanding = true;
     boolean cancelled;
     boolean neverRan;
-    /** Was out when another attempt of the request was sent. */
+    /** Was outstanding when another attempt of the request was sent. */
     boolean overlapped;
 
-    boolean slow;
-    /** Found no copy there; the worker may still serve the request after a load. */
+    /** Counted as overload while it was outstanding. */
+    boolean markedSlow;
+    /** Found no copy; the worker may still serve the request after a load. */
     boolean missed;
     /** Answered with an error. */
-    boolean erred;
+    boolean hadError;
   }
 
-  /** A request taken and not yet forgotten; done once it has its final answer. */
+  /** An accepted request, kept until it is done and no attempt is outstanding. */
   static final class PendingCall {
     long id;
     RequestClass requestClass;
     Function function;
-    long aimAt;
+    long targetAt;
     long deadline;
     double worth;
+    /** True once the request has its final answer. */
     boolean done;
+
     boolean queued;
     boolean streaming;
     final List<Attempt> attempts = new ArrayList<>(2);
-    /** Attempts out. */
-    int out;
+    /** Number of outstanding attempts. */
+    int attemptsOut;
   }
 }
--- a/decisions/src/main/java/gorseladder/gate/SendGate.java
+++ b/decisions/src/main/java/gorseladder/gate/SendGate.java
@@ -104,7 +104,7 @@
   }
 
   /** A call was taken; it earns its share of the load ration. */
-  public void callTaken(long at) {
+  public void callAccepted(long at) {
     if (rules.loadWindow() > 0) {
       taken.addLast(at);
     }
--- a/decisions/src/test/java/gorseladder/LargeFleetTest.java
+++ b/decisions/src/test/java/gorseladder/LargeFleetTest.java
@@ -42,8 +42,8 @@
   private static final int CELLS = 64;
   /** The last place that 16 bits can hold. */
   private static final int LAST_OF_16_BITS = 65_535;
-  /** Workers that a call may look at, {@code Router.MOST_CANDIDATES}. */
-  private static final int MOST_CANDIDATES = 256;
+  /** Workers that a call may look at, {@code Router.MAX_CANDIDATES}. */
+  private static final int MAX_CANDIDATES = 256;
 
   private final Router router = new Router(TestSites.settings(true, false), 1);
   private final Map<Long, String> functions = new HashMap<>();
@@ -247,7 +247,7 @@
         used.add(worker);
       }
     }
-    assertTrue((router.workersExamined() - before) / 400 <= 3 * MOST_CANDIDATES);
+    assertTrue((router.workersExamined() - before) / 400 <= 3 * MAX_CANDIDATES);
     assertTrue(used.size() >= 300, used.size() + " workers used");
   }
 
@@ -315,7 +315,7 @@
   @Test
   void aCallWhoseCandidatesAllDrainFallsThroughToTheFleet() {
     int count = 3_000;
-    List<Integer> candidates = order("function", count).subList(0, 2 * MOST_CANDIDATES);
+    List<Integer> candidates = order("function", count).subList(0, 2 * MAX_CANDIDATES);
     Set<Integer> drained = new HashSet<>(candidates);
     tell(fleet(count, w -> entry(w, drained.contains(w) ? Phase.DRAINING : Phase.RUNNING, 1, 0)));
     long before = router.workersExamined();
@@ -324,7 +324,7 @@
     assertFalse(drained.contains(number(worker)));
     assertEquals(1, router.fallThroughs());
     long examined = router.workersExamined() - before;
-    assertTrue(examined <= 16 * MOST_CANDIDATES, examined + " examined");
+    assertTrue(examined <= 16 * MAX_CANDIDATES, examined + " examined");
   }
 
   /** Where most of the fleet fails the signal is distrusted, and calls go on. */
@@ -372,7 +372,7 @@
     long before = router.workersExamined();
     assertNull(answer(call.id(), 0, call.worker(), Outcome.RESET));
     long examined = router.workersExamined() - before;
-    assertTrue(examined <= 20 * MOST_CANDIDATES, examined + " examined");
+    assertTrue(examined <= 20 * MAX_CANDIDATES, examined + " examined");
     assertTrue(router.fallThroughs() > 0);
   }
 
--- a/decisions/src/test/java/gorseladder/gate/SendGateTest.java
+++ b/decisions/src/test/java/gorseladder/gate/SendGateTest.java
@@ -49,7 +49,7 @@
     for (int i = 0; i < 20_000; i++) {
       now += random.nextInt(400);
       if (random.nextInt(3) > 0) {
-        gate.callTaken(now);
+        gate.callAccepted(now);
         taken.add(now);
       } else if (gate.maySendLoadOrder("w", 0, now).allowed()) {
         ordered.add(now);
--- a/edge/src/main/java/gorseladder/edge/runners/Runners.java
+++ b/edge/src/main/java/gorseladder/edge/runners/Runners.java
@@ -134,7 +134,7 @@
   /** A call was taken. */
   public void taken(long at) {
     synchronized (gate) {
-      gate.callTaken(at);
+      gate.callAccepted(at);
     }
   }
 
--- a/node/src/main/java/gorseladder/node/runners/RunnerLinks.java
+++ b/node/src/main/java/gorseladder/node/runners/RunnerLinks.java
@@ -240,7 +240,7 @@
   /** A call was taken; it earns its share of the load ration. */
   public void taken(long at) {
     synchronized (gate) {
-      gate.callTaken(at);
+      gate.callAccepted(at);
     }
   }
 
