--- a/decisions/src/main/java/gorseladder/placement/Demand.java
+++ b/decisions/src/main/java/gorseladder/placement/Demand.java
@@ -1,22 +1,22 @@
 package gorseladder.placement;
 
 /**
- * What is expected of one function in the stretch planned for.
+ * The expected demand for one function in the planned period.
  *
- * @param calls expected in the stretch
- * @param dispersion variance of the calls over their mean, 1 for a Poisson's; at least 1
- * @param callsBefore expected in a stretch of the same length before it, by which copies stand anyway
- * @param occurrenceFactor part of past stretches with calls expected in which some came, 0 to 1
- * @param memoryMb of a copy
- * @param lanes calls at a time of a copy
- * @param workSeconds of a call
- * @param loadSeconds of a copy
+ * @param calls expected calls in the period
+ * @param dispersion variance of the calls over their mean, 1 for a Poisson distribution; at least 1
+ * @param previousCalls calls in the preceding period of the same length; they keep copies loaded without a plan
+ * @param occurrenceFactor part of the past periods with expected calls in which there was a call, 0 to 1
+ * @param memoryMb memory of a copy
+ * @param lanes concurrent calls of a copy
+ * @param workSeconds duration of a call on a loaded copy
+ * @param loadSeconds duration of loading a copy
  */
 public record Demand(
     String function,
     double calls,
     double dispersion,
-    double callsBefore,
+    double previousCalls,
     double occurrenceFactor,
     double memoryMb,
     int lanes,
@@ -25,13 +25,13 @@
   public Demand {
     if (!(calls >= 0)
         || !(dispersion >= 1)
-        || !(callsBefore >= 0)
+        || !(previousCalls >= 0)
         || !(occurrenceFactor >= 0 && occurrenceFactor <= 1)
         || !(memoryMb >= 0)
         || lanes < 1
         || !(workSeconds >= 0)
         || !(loadSeconds >= 0)) {
-      throw new IllegalArgumentException("impossible demand of " + function);
+      throw new IllegalArgumentException("invalid demand for " + function);
     }
   }
 }
--- a/decisions/src/main/java/gorseladder/placement/ForecastConfidence.java
+++ b/decisions/src/main/java/gorseladder/placement/ForecastConfidence.java
@@ -5,65 +5,83 @@
 import java.util.Set;
 
 /**
- * How far the forecast of each function is believed, from how past ones came out: what came over what was said, of
- * calls and of stretches with any call at all; more than 1 counts as 1. Each is drawn towards 1 by a few expected
- * events and fades, so a forecast that was wrong loses its budget by itself and earns it back: what was said is judged
- * whether or not anything was loaded for it.
+ * The confidence in the forecasts of each function, from the accuracy of past ones: the ratio of actual to expected
+ * calls, and that of periods with a call to periods in which one was expected; a ratio above 1 counts as 1. Each ratio
+ * is shrunk towards 1 by a prior and old periods lose weight, so a wrong forecast loses its budget and a correct one
+ * regains it: forecasts are rated whether or not a copy was loaded for them.
  *
- * <p>Guards against forecasts that are too high, however they came to be so. One that is too low is not raised: then
- * calls load as they would without a plan. It could harm a function whose calls come all at once after long silence;
- * its trust comes back after some right guesses. Not thread safe.
+ * <p>It corrects forecasts that are too high, whatever the cause. Forecasts that are too low are not raised: calls then
+ * load copies as they would without a plan. A function whose calls come all at once after a long pause may be
+ * underrated; its confidence recovers after some correct forecasts. Not thread safe.
  */
 public final class ForecastConfidence {
-  /** Expected events that stand behind a trust of 1. */
-  private static final double PRIOR = 1;
-  /** Part of the weight kept at each stretch with something said. */
-  private static final double KEEP = 0.95;
+  /** Expected events of the prior, which has a confidence of 1. */
+  private static final double PRIOR_EVENTS = 1;
+  /** Part of the weight that past periods keep at each period with a forecast. */
+  private static final double RETENTION = 0.95;
 
-  /** What came counts at most this many times what was said, so that one rush does not hide misses for long. */
-  private static final double MOST_OVER = 3;
+  /**
+   * Actual calls count at most this many times the expected ones, so that one rush does not hide wrong forecasts for
+   * long.
+   */
+  private static final double MAX_EXCESS_RATIO = 3;
 
-  private static final class Record {
-    private double said;
-    private double came;
-    private double saidAny;
-    private double cameAny;
+  private static final class History {
+    private double expectedCalls;
+    private double actualCalls;
+    private double expectedOccurrences;
+    private double actualOccurrences;
   }
 
-  private final Map<String, Record> records = new HashMap<>();
+  private final Map<String, History> histories = new HashMap<>();
 
-  /** Notes what was said for a stretch and what came: {@code calls} expected, and the chance of any call. */
-  public void record(String function, double calls, double any, double came) {
+  /**
+   * Records a forecast and the actual calls of a period; forecasts without calls are ignored.
+   *
+   * @param calls expected calls
+   * @param probability expected probability of any call
+   * @param actualCalls calls counted in the period
+   */
+  public void record(String function, double calls, double probability, double actualCalls) {
     if (calls <= 0) {
       return;
     }
-    Record r = records.computeIfAbsent(function, f -> new Record());
-    // A stretch weighs one event at the most, so that a single surge that stayed away does not
-    // end all belief.
+    History history = histories.computeIfAbsent(function, f -> new History());
+    // A period weighs at most one event, so that a single surge that did not occur does not remove
+    // all confidence.
     double weight = 1 / Math.max(1, calls);
-    r.said = r.said * KEEP + calls * weight;
-    r.came = r.came * KEEP + Math.min(came * weight, MOST_OVER);
-    r.saidAny = r.saidAny * KEEP + any;
-    r.cameAny = r.cameAny * KEEP + (came > 0 ? any : 0);
+    history.expectedCalls = history.expectedCalls * RETENTION + calls * weight;
+    history.actualCalls =
+        history.actualCalls * RETENTION + Math.min(actualCalls * weight, MAX_EXCESS_RATIO);
+    history.expectedOccurrences = history.expectedOccurrences * RETENTION + probability;
+    history.actualOccurrences =
+        history.actualOccurrences * RETENTION + (actualCalls > 0 ? probability : 0);
   }
 
-  /** Part of a function's expected calls that is believed, above 0 and at most 1. */
+  /** Factor to apply to a function's expected calls, above 0 and at most 1. */
   public double callsFactor(String function) {
-    Record r = records.get(function);
-    return r == null ? 1 : Math.min(1, (r.came + PRIOR) / (r.said + PRIOR));
+    History history = histories.get(function);
+    return history == null
+        ? 1
+        : Math.min(
+            1, (history.actualCalls + PRIOR_EVENTS) / (history.expectedCalls + PRIOR_EVENTS));
   }
 
   /**
-   * Part of the stretches in which calls of a function are expected that is believed to bring any, above 0 and at most
-   * 1.
+   * Part of the periods with expected calls of a function in which a call is to be expected, above 0 and at most 1.
    */
   public double occurrenceFactor(String function) {
-    Record r = records.get(function);
-    return r == null ? 1 : Math.min(1, (r.cameAny + PRIOR) / (r.saidAny + PRIOR));
+    History history = histories.get(function);
+    return history == null
+        ? 1
+        : Math.min(
+            1,
+            (history.actualOccurrences + PRIOR_EVENTS)
+                / (history.expectedOccurrences + PRIOR_EVENTS));
   }
 
-  /** Forgets functions that are not named. */
+  /** Removes all functions that are not in the set. */
   public void keepOnly(Set<String> functions) {
-    records.keySet().retainAll(functions);
+    histories.keySet().retainAll(functions);
   }
 }
--- a/decisions/src/main/java/gorseladder/placement/Placement.java
+++ b/decisions/src/main/java/gorseladder/placement/Placement.java
@@ -12,204 +12,217 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Which copies to hold where: copies whose expected benefit passes their cost, the best first for what they take of
- * memory and of the orders allowed, each at the worker where dispatchers look first and there is room; then a pass that
- * makes room for a better copy by leaving out lesser ones. Free of input and clocks; a few milliseconds for thousands
- * of functions.
+ * Decides which copies to hold on which workers. A greedy pass takes the copies whose expected benefit exceeds their
+ * cost, in descending order of benefit per share of memory and orders, and places each on the first worker of the
+ * shared order that has room. A second pass makes room for a better copy by removing less beneficial ones. It does no
+ * I/O, reads no clock and takes a few milliseconds for thousands of functions.
  *
- * <p>A copy of a function stands at most once at a worker here: a second lane set at one worker is the worker's affair.
+ * <p>A plan has at most one copy of a function on a worker: whether a worker runs more of them is its own decision.
  */
 public final class Placement {
-  /** Copies of one function at the most in one plan. */
-  private static final int MOST_COPIES = 16;
+  /** Maximum copies of one function in one plan. */
+  private static final int MAX_COPIES = 16;
   /**
-   * Part of the gain lost for each place further down the shared order: dispatchers look at the first places, and a
-   * copy that stands elsewhere is found by hardly any call. A copy of a number may stand at that place at no loss.
+   * Part of the gain lost for each position further down the shared order: dispatchers try the first positions, and
+   * hardly any call finds a copy elsewhere. The copy with number n loses nothing at the first n positions.
    */
-  private static final double RANK_LOSS = 0.4;
-  /** Places of the shared order that are looked at. */
-  private static final int MOST_PLACES = 8;
+  private static final double LOSS_PER_POSITION = 0.4;
+  /** Positions of the shared order that are tried for the first copy; each further copy has one more. */
+  private static final int FIRST_COPY_POSITIONS = 8;
 
-  /** What all copies of a plan together may take: orders, and gigabytes fetched. */
+  /** Limits for all copies of a plan together: orders, and gigabytes fetched. */
   public record Limits(int orders, double gigabytes) {}
 
   /**
    * A copy to hold.
    *
-   * @param number of this copy of its function, from 1
-   * @param gain expected seconds of waiting saved; {@code cost} what that costs, in the same unit
-   * @param holdSeconds seconds for which it is held without a call
+   * @param number number of this copy among those of its function, from 1
+   * @param gain expected waiting time saved, in seconds
+   * @param cost cost of the copy, in seconds of waiting time
+   * @param holdSeconds time for which the copy is held without a call
    */
   public record PlacedCopy(
       String function, String worker, int number, double gain, double cost, double holdSeconds) {
-    /** What it brings. */
+    /** Gain less cost. */
     public double netBenefit() {
       return gain - cost;
     }
   }
 
-  private static final Comparator<PlacedCopy> LEAST_FIRST = Comparator.comparingDouble(
+  private static final Comparator<PlacedCopy> BY_NET_BENEFIT = Comparator.comparingDouble(
           PlacedCopy::netBenefit)
       .thenComparing(PlacedCopy::function)
       .thenComparingInt(PlacedCopy::number)
       .thenComparing(PlacedCopy::worker);
 
-  private record Candidate(Demand demand, int number, BenefitModel.Copy worth, double density) {}
+  private record Candidate(
+      Demand demand, int number, BenefitModel.Estimate estimate, double density) {}
 
-  private final List<WorkerCapacity> hosts;
+  private final List<WorkerCapacity> workers;
   private final Limits limits;
-  private final BenefitModel worth;
-  private final double[] free;
-  private final int[] loads;
-  private final double memory;
-  private final Map<String, int[]> nearest = new HashMap<>();
+  private final BenefitModel benefitModel;
+  private final double[] freeMb;
+  private final int[] remainingLoads;
+  private final double totalMemoryMb;
+  private final Map<String, int[]> orderedWorkers = new HashMap<>();
   private final Map<String, Demand> demands = new HashMap<>();
-  /** What is placed, the least first; and the same by worker. */
-  private final TreeSet<PlacedCopy> placed = new TreeSet<>(LEAST_FIRST);
+  /** The placed copies in ascending order of benefit. */
+  private final TreeSet<PlacedCopy> placed = new TreeSet<>(BY_NET_BENEFIT);
 
-  private final List<TreeSet<PlacedCopy>> byHost = new ArrayList<>();
-  /** Copies placed of each function. */
-  private final Map<String, Integer> copies = new HashMap<>();
+  /** The placed copies of each worker, in the same order. */
+  private final List<TreeSet<PlacedCopy>> placedByWorker = new ArrayList<>();
+  /** Number of placed copies of each function. */
+  private final Map<String, Integer> copyCounts = new HashMap<>();
 
-  private final Map<String, Integer> index = new HashMap<>();
-  private double gigabytes;
+  private final Map<String, Integer> workerIndex = new HashMap<>();
+  private double fetchedGigabytes;
 
-  private Placement(List<WorkerCapacity> hosts, Limits limits, BenefitModel worth) {
-    this.hosts = List.copyOf(hosts);
+  private Placement(List<WorkerCapacity> workers, Limits limits, BenefitModel benefitModel) {
+    this.workers = List.copyOf(workers);
     this.limits = limits;
-    this.worth = worth;
-    free = hosts.stream().mapToDouble(WorkerCapacity::freeMb).toArray();
-    loads = hosts.stream().mapToInt(WorkerCapacity::maxLoads).toArray();
-    memory = Math.max(1, Arrays.stream(free).sum());
-    for (int i = 0; i < hosts.size(); i++) {
-      index.put(hosts.get(i).name(), i);
-      byHost.add(new TreeSet<>(LEAST_FIRST));
+    this.benefitModel = benefitModel;
+    freeMb = workers.stream().mapToDouble(WorkerCapacity::freeMb).toArray();
+    remainingLoads = workers.stream().mapToInt(WorkerCapacity::maxLoads).toArray();
+    totalMemoryMb = Math.max(1, Arrays.stream(freeMb).sum());
+    for (int i = 0; i < workers.size(); i++) {
+      workerIndex.put(workers.get(i).name(), i);
+      placedByWorker.add(new TreeSet<>(BY_NET_BENEFIT));
     }
   }
 
   /**
-   * Chooses copies for a stretch of time.
+   * Chooses copies for a period of time.
    *
-   * @param stretch its length in seconds
-   * @param keepAlive seconds that an idle copy stays
+   * @param periodSeconds length of the period
+   * @param keepAliveSeconds time after which an idle copy is unloaded
+   * @return the copies in descending order of benefit
    */
   public static List<PlacedCopy> choose(
       List<Demand> demands,
-      List<WorkerCapacity> hosts,
+      List<WorkerCapacity> workers,
       Limits limits,
       Prices prices,
-      double stretch,
-      double keepAlive) {
+      double periodSeconds,
+      double keepAliveSeconds) {
     Placement placement =
-        new Placement(hosts, limits, new BenefitModel(prices, stretch, keepAlive));
-    List<Candidate> left = placement.greedy(demands);
-    placement.improve(left);
+        new Placement(workers, limits, new BenefitModel(prices, periodSeconds, keepAliveSeconds));
+    List<Candidate> unplaced = placement.placeGreedily(demands);
+    placement.improve(unplaced);
     return List.copyOf(placement.placed.descendingSet());
   }
 
   /**
-   * What the copy of this number (from 1) brings at a place of the function's shared order (from 0), in seconds of
-   * waiting; for whoever solves the same problem another way.
+   * The net benefit in seconds of waiting time of the copy with this number (from 1) at a position (from 0) of the
+   * function's shared order. It lets another solver of the same problem be compared with this one.
    */
   public static double netBenefit(
-      Demand d, int number, int place, Prices prices, double stretch, double keepAlive) {
-    BenefitModel.Copy copy = new BenefitModel(prices, stretch, keepAlive).of(d, number);
-    return copy.gain() * kept(number, place) - copy.cost();
+      Demand d,
+      int number,
+      int position,
+      Prices prices,
+      double periodSeconds,
+      double keepAliveSeconds) {
+    BenefitModel.Estimate estimate =
+        new BenefitModel(prices, periodSeconds, keepAliveSeconds).estimate(d, number);
+    return estimate.gain() * positionFactor(number, position) - estimate.cost();
   }
 
-  /** Places of the shared order at which the copy of this number may stand. */
+  /** Number of positions of the shared order at which the copy with this number may be placed. */
   public static int candidatePositions(int number) {
-    return number - 1 + MOST_PLACES;
+    return number - 1 + FIRST_COPY_POSITIONS;
   }
 
-  private static double kept(int number, int place) {
-    return Math.max(0, 1 - RANK_LOSS * Math.max(0, place + 1 - number));
+  private static double positionFactor(int number, int position) {
+    return Math.max(0, 1 - LOSS_PER_POSITION * Math.max(0, position + 1 - number));
   }
 
   private Candidate candidate(Demand d, int number) {
-    BenefitModel.Copy copy = worth.of(d, number);
-    // Orders and memory are what copies compete for; each counts by the part of the whole it
-    // takes.
-    double takes = d.memoryMb() / memory + 1.0 / Math.max(1, limits.orders());
-    return new Candidate(d, number, copy, copy.net() / takes);
+    BenefitModel.Estimate estimate = benefitModel.estimate(d, number);
+    // Copies compete for orders and memory; each resource counts by the part of its total that the
+    // copy takes.
+    double resourceShare = d.memoryMb() / totalMemoryMb + 1.0 / Math.max(1, limits.orders());
+    return new Candidate(d, number, estimate, estimate.netBenefit() / resourceShare);
   }
 
-  private List<Candidate> greedy(List<Demand> all) {
+  private List<Candidate> placeGreedily(List<Demand> all) {
     PriorityQueue<Candidate> queue =
         new PriorityQueue<>(Comparator.comparingDouble((Candidate c) -> -c.density())
             .thenComparing(c -> c.demand().function()));
     for (Demand d : all) {
       demands.put(d.function(), d);
       Candidate first = candidate(d, 1);
-      if (first.worth().net() > 0) {
+      if (first.estimate().netBenefit() > 0) {
         queue.add(first);
       }
     }
-    List<Candidate> left = new ArrayList<>();
+    List<Candidate> unplaced = new ArrayList<>();
     while (!queue.isEmpty()) {
       Candidate c = queue.poll();
-      if (!place(c)) {
-        left.add(c);
+      if (!tryPlace(c)) {
+        unplaced.add(c);
         continue;
       }
       Candidate next = candidate(c.demand(), c.number() + 1);
-      if (c.number() < MOST_COPIES && next.worth().net() > 0) {
+      if (c.number() < MAX_COPIES && next.estimate().netBenefit() > 0) {
         queue.add(next);
       }
     }
-    return left;
+    return unplaced;
   }
 
-  /** Hosts in the function's shared order, nearest first. */
-  private int[] nearest(String function) {
-    return nearest.computeIfAbsent(function, f -> {
+  /** Indexes of the first workers in the function's shared order. */
+  private int[] orderedWorkers(String function) {
+    return orderedWorkers.computeIfAbsent(function, f -> {
       SharedOrder.Keys keys = new SharedOrder.Keys(f);
-      double[] distance = new double[hosts.size()];
-      Integer[] order = new Integer[hosts.size()];
+      double[] distance = new double[workers.size()];
+      Integer[] order = new Integer[workers.size()];
       for (int i = 0; i < order.length; i++) {
         order[i] = i;
-        distance[i] = keys.of(hosts.get(i).name(), hosts.get(i).weight());
+        distance[i] = keys.of(workers.get(i).name(), workers.get(i).weight());
       }
       Arrays.sort(order, Comparator.comparingDouble(i -> distance[i]));
       return Arrays.stream(order)
           .mapToInt(Integer::intValue)
-          .limit(MOST_COPIES + MOST_PLACES)
+          .limit(MAX_COPIES + FIRST_COPY_POSITIONS)
           .toArray();
     });
   }
 
   private boolean withinLimits(Demand d) {
-    return placed.size() < limits.orders() && gigabytes + d.memoryMb() / 1024 <= limits.gigabytes();
+    return placed.size() < limits.orders()
+        && fetchedGigabytes + d.memoryMb() / 1024 <= limits.gigabytes();
   }
 
-  private PlacedCopy at(Candidate c, int place) {
-    double gain = c.worth().gain() * kept(c.number(), place);
+  private PlacedCopy copyAt(Candidate c, int position) {
+    double gain = c.estimate().gain() * positionFactor(c.number(), position);
     return new PlacedCopy(
         c.demand().function(),
-        hosts.get(nearest(c.demand().function())[place]).name(),
+        workers.get(orderedWorkers(c.demand().function())[position]).name(),
         c.number(),
         gain,
-        c.worth().cost(),
-        c.worth().holdSeconds());
+        c.estimate().cost(),
+        c.estimate().holdSeconds());
   }
 
-  private boolean standsAt(String function, int host) {
-    return byHost.get(host).stream().anyMatch(p -> p.function().equals(function));
+  private boolean isPlacedAt(String function, int worker) {
+    return placedByWorker.get(worker).stream().anyMatch(p -> p.function().equals(function));
   }
 
-  private boolean place(Candidate c) {
+  private boolean tryPlace(Candidate c) {
     if (!withinLimits(c.demand())) {
       return false;
     }
-    int[] order = nearest(c.demand().function());
-    for (int place = 0; place < Math.min(order.length, candidatePositions(c.number())); place++) {
-      int host = order[place];
-      if (free[host] >= c.demand().memoryMb()
-          && loads[host] > 0
-          && (c.number() == 1 || !standsAt(c.demand().function(), host))) {
-        PlacedCopy p = at(c, place);
+    int[] order = orderedWorkers(c.demand().function());
+    for (int position = 0;
+        position < Math.min(order.length, candidatePositions(c.number()));
+        position++) {
+      int worker = order[position];
+      if (freeMb[worker] >= c.demand().memoryMb()
+          && remainingLoads[worker] > 0
+          && (c.number() == 1 || !isPlacedAt(c.demand().function(), worker))) {
+        PlacedCopy p = copyAt(c, position);
         if (p.netBenefit() > 0) {
-          take(p);
+          add(p);
           return true;
         }
         return false;
@@ -218,99 +231,109 @@
     return false;
   }
 
-  private void take(PlacedCopy p) {
+  private void add(PlacedCopy p) {
     double mb = demands.get(p.function()).memoryMb();
-    int host = index.get(p.worker());
-    free[host] -= mb;
-    loads[host]--;
-    gigabytes += mb / 1024;
+    int worker = workerIndex.get(p.worker());
+    freeMb[worker] -= mb;
+    remainingLoads[worker]--;
+    fetchedGigabytes += mb / 1024;
     placed.add(p);
-    byHost.get(host).add(p);
-    copies.merge(p.function(), 1, Integer::sum);
+    placedByWorker.get(worker).add(p);
+    copyCounts.merge(p.function(), 1, Integer::sum);
   }
 
-  private void leave(PlacedCopy p) {
+  private void remove(PlacedCopy p) {
     double mb = demands.get(p.function()).memoryMb();
-    int host = index.get(p.worker());
-    free[host] += mb;
-    loads[host]++;
-    gigabytes -= mb / 1024;
+    int worker = workerIndex.get(p.worker());
+    freeMb[worker] += mb;
+    remainingLoads[worker]++;
+    fetchedGigabytes -= mb / 1024;
     placed.remove(p);
-    byHost.get(host).remove(p);
-    copies.merge(p.function(), -1, Integer::sum);
+    placedByWorker.get(worker).remove(p);
+    copyCounts.merge(p.function(), -1, Integer::sum);
   }
 
   /**
-   * Tries each copy that found no room, at each near worker, in the place of lesser ones there, or of the least of all
-   * where only the number of orders binds. A copy left out must be the last of its function.
+   * Tries to place each copy that found no room on each of its candidate workers, in place of less beneficial copies
+   * there, or of the least beneficial ones of all workers where only the number of orders is exhausted. Only the last
+   * copy of a function may be removed.
    */
-  private void improve(List<Candidate> left) {
-    left.sort(Comparator.comparingDouble(c -> -c.worth().net()));
-    for (Candidate c : left.subList(0, Math.min(left.size(), 4 * MOST_PLACES * MOST_COPIES))) {
+  private void improve(List<Candidate> unplaced) {
+    unplaced.sort(Comparator.comparingDouble(c -> -c.estimate().netBenefit()));
+    for (Candidate c :
+        unplaced.subList(0, Math.min(unplaced.size(), 4 * FIRST_COPY_POSITIONS * MAX_COPIES))) {
       Demand d = c.demand();
-      int[] order = nearest(d.function());
-      for (int place = 0; place < Math.min(order.length, candidatePositions(c.number())); place++) {
-        if (!standsAt(d.function(), order[place]) && swap(at(c, place), d, order[place])) {
+      int[] order = orderedWorkers(d.function());
+      for (int position = 0;
+          position < Math.min(order.length, candidatePositions(c.number()));
+          position++) {
+        if (!isPlacedAt(d.function(), order[position])
+            && tryReplace(copyAt(c, position), d, order[position])) {
           break;
         }
       }
     }
   }
 
-  private boolean swap(PlacedCopy fresh, Demand d, int host) {
-    // Where all orders are given out nothing can come for less than the least of them.
-    boolean ordersBind = placed.size() >= limits.orders();
-    if (fresh.netBenefit() <= 0
-        || ordersBind
-            && (placed.isEmpty() || fresh.netBenefit() <= placed.first().netBenefit())
-        || d.memoryMb() > hosts.get(host).freeMb()
-        || copies.getOrDefault(d.function(), 0) != fresh.number() - 1) {
+  private boolean tryReplace(PlacedCopy candidate, Demand d, int worker) {
+    // Once all orders are used, a copy must be better than the least beneficial placed one.
+    boolean ordersExhausted = placed.size() >= limits.orders();
+    if (candidate.netBenefit() <= 0
+        || ordersExhausted
+            && (placed.isEmpty() || candidate.netBenefit() <= placed.first().netBenefit())
+        || d.memoryMb() > workers.get(worker).freeMb()
+        || copyCounts.getOrDefault(d.function(), 0) != candidate.number() - 1) {
       return false;
     }
-    List<PlacedCopy> out = new ArrayList<>();
-    double lost = makeWay(
-        byHost.get(host),
+    List<PlacedCopy> removed = new ArrayList<>();
+    double lostBenefit = removeLeast(
+        placedByWorker.get(worker),
         d,
-        out,
-        () -> free[host] >= d.memoryMb() && loads[host] > 0,
-        fresh.netBenefit(),
+        removed,
+        () -> freeMb[worker] >= d.memoryMb() && remainingLoads[worker] > 0,
+        candidate.netBenefit(),
         0);
-    lost = makeWay(placed, d, out, () -> withinLimits(d), fresh.netBenefit(), lost);
+    lostBenefit =
+        removeLeast(placed, d, removed, () -> withinLimits(d), candidate.netBenefit(), lostBenefit);
     if (withinLimits(d)
-        && free[host] >= d.memoryMb()
-        && loads[host] > 0
-        && lost < fresh.netBenefit()) {
-      take(fresh);
+        && freeMb[worker] >= d.memoryMb()
+        && remainingLoads[worker] > 0
+        && lostBenefit < candidate.netBenefit()) {
+      add(candidate);
       return true;
     }
-    out.forEach(this::take);
+    removed.forEach(this::add);
     return false;
   }
 
   /**
-   * Leaves out the least, each the last copy of its function, until there is room or it would cost as much as it
-   * brings.
+   * Removes the least beneficial copies, each the last one of its function, until there is room or the lost benefit
+   * would reach {@code maxLoss}.
+   *
+   * @param removed receives the removed copies
+   * @return the lost benefit, {@code initialLoss} included
    */
-  private double makeWay(
-      TreeSet<PlacedCopy> from,
+  private double removeLeast(
+      TreeSet<PlacedCopy> candidates,
       Demand d,
-      List<PlacedCopy> out,
-      BooleanSupplier room,
-      double most,
-      double lostSoFar) {
-    double lost = lostSoFar;
-    for (PlacedCopy p = from.isEmpty() ? null : from.first(); p != null && !room.getAsBoolean(); ) {
-      PlacedCopy next = from.higher(p);
-      if (lost + p.netBenefit() >= most) {
+      List<PlacedCopy> removed,
+      BooleanSupplier hasRoom,
+      double maxLoss,
+      double initialLoss) {
+    double lostBenefit = initialLoss;
+    for (PlacedCopy p = candidates.isEmpty() ? null : candidates.first();
+        p != null && !hasRoom.getAsBoolean(); ) {
+      PlacedCopy next = candidates.higher(p);
+      if (lostBenefit + p.netBenefit() >= maxLoss) {
         break;
       }
-      if (!p.function().equals(d.function()) && p.number() == copies.get(p.function())) {
-        leave(p);
-        out.add(p);
-        lost += p.netBenefit();
+      if (!p.function().equals(d.function()) && p.number() == copyCounts.get(p.function())) {
+        remove(p);
+        removed.add(p);
+        lostBenefit += p.netBenefit();
       }
       p = next;
     }
-    return lost;
+    return lostBenefit;
   }
 }
--- a/decisions/src/main/java/gorseladder/placement/PlanMaker.java
+++ b/decisions/src/main/java/gorseladder/placement/PlanMaker.java
@@ -12,37 +12,38 @@
 import java.util.TreeMap;
 
 /**
- * From counts of calls to plans: foresees the next slot, believes it as far as past forecasts earned it, and chooses
- * the copies worth their cost. Free of input and clocks; slots are told in their order. Not thread safe.
+ * Makes plans from counts of calls: forecasts the next slot, scales the forecast by the accuracy of past ones, and
+ * chooses the copies whose benefit exceeds their cost. It does no I/O and reads no clock; slots are observed in
+ * ascending order. Not thread safe.
  */
 public final class PlanMaker {
-  /** Scatter that is taken where little is known. */
-  private static final double MOST_SCATTER = 50;
-  /** Standard deviations between a forecast's mean and its upper value. */
-  private static final double UPPER = 1.65;
-  /** Weight of the newest figures of a function. */
-  private static final double NEWEST = 0.3;
-  /** Part of the archive's capacity that loads ahead may use; the rest is for loads that calls wait for. */
-  private static final double ARCHIVE_PART = 0.3;
-  /** Keep-alives before a slot over which its loads may be spread. */
-  private static final double LEAD = 3;
-  /** Functions whose figures are kept, whether or not they are foreseen. */
-  private static final int MOST_FACTS = 50_000;
-  /** Loads that one worker may be given within that lead. */
-  private static final int LOADS_PER_HOST = 24;
-
-  /** Foresees a function's calls in a slot; {@link Forecasts#forecast} in a planner. */
+  /** Upper limit of the dispersion; a forecast with little history has a wide margin. */
+  private static final double MAX_DISPERSION = 50;
+  /** Standard deviations between a forecast's mean and its upper bound. */
+  private static final double UPPER_DEVIATIONS = 1.65;
+  /** Weight of the newest work and load times of a function. */
+  private static final double NEWEST_WEIGHT = 0.3;
+  /** Fraction of the archive's capacity for loads ahead; the rest is for loads that calls wait for. */
+  private static final double ARCHIVE_FRACTION = 0.3;
+  /** Length of the time before a slot over which its loads may be spread, in keep-alives. */
+  private static final double LEAD_KEEP_ALIVES = 3;
+  /** Number of function profiles above which those without a forecast or recent calls are dropped. */
+  private static final int MAX_PROFILES = 50_000;
+  /** Maximum loads that one worker gets within the lead time. */
+  private static final int MAX_LOADS_PER_WORKER = 24;
+
+  /** Forecasts a function's calls in a slot; a planner uses {@link Forecasts#forecast}. */
   public interface ForecastSource {
     Forecasts.Forecast forecast(String function, long slot);
   }
 
   /**
-   * What a planner is told at its start.
+   * Settings of a planner.
    *
-   * @param slotSeconds seconds of a slot
-   * @param keepAliveSeconds seconds that an idle copy stays
-   * @param archiveLoadsPerSecond loads a second that the archive serves well
-   * @param ordersPerPlan what the users' ration leaves for one plan over all dispatchers
+   * @param slotSeconds length of a slot
+   * @param keepAliveSeconds time after which an idle copy is unloaded
+   * @param archiveLoadsPerSecond loads per second that the archive sustains
+   * @param ordersPerPlan orders of one plan over all dispatchers; what the ration of the calls leaves
    */
   public record Settings(
       double slotSeconds,
@@ -55,149 +56,167 @@
           || !(keepAliveSeconds > 0)
           || !(archiveLoadsPerSecond > 0)
           || ordersPerPlan < 0) {
-        throw new IllegalArgumentException("impossible settings of a planner");
+        throw new IllegalArgumentException(
+            "planner periods and rates must be above 0, orders 0 or more");
       }
     }
   }
 
-  /** What a function's copies need and take. */
+  /** Resources of a function's copies, and how long their calls and loads take. */
   public record CopyProfile(double memoryMb, int lanes, double workSeconds, double loadSeconds) {}
 
   /**
    * A copy to order.
    *
-   * @param from seconds from the beginning of the slot, below 0 as it must stand by then; {@code until} likewise
+   * @param from when to order, in seconds from the start of the slot; below 0, because the copy must be loaded by then
+   * @param until when the hold ends, in seconds from the start of the slot
    */
   public record Order(PlacedCopy placed, CopyProfile profile, double from, double until) {}
 
-  private record Said(double calls, double any) {}
+  private record Prediction(double calls, double probability) {}
 
   private final Settings settings;
   private final Forecasts forecasts;
-  private final ForecastSource foresight;
-  private final ForecastConfidence trust = new ForecastConfidence();
-  private final Map<String, CopyProfile> facts = new HashMap<>();
-  /** What was said, by slot, until the slot is observed. */
-  private final TreeMap<Long, Map<String, Said>> said = new TreeMap<>();
+  private final ForecastSource forecastSource;
+  private final ForecastConfidence confidence = new ForecastConfidence();
+  private final Map<String, CopyProfile> profiles = new HashMap<>();
+  /** The predictions by slot and function, kept until the slot is observed. */
+  private final TreeMap<Long, Map<String, Prediction>> predictions = new TreeMap<>();
 
-  /** A maker that foresees by its own forecasts. */
+  /** Creates a plan maker that uses its own forecasts. */
   public PlanMaker(SlotCalendar slots, Settings settings) {
     this(slots, settings, null);
   }
 
-  /** A maker with another foresight than its own, so that bad ones can be tried. */
-  public PlanMaker(SlotCalendar slots, Settings settings, ForecastSource other) {
+  /** Creates a plan maker with another source of forecasts, so that the effect of bad ones can be tested. */
+  public PlanMaker(SlotCalendar slots, Settings settings, ForecastSource forecastSource) {
     this.settings = settings;
     this.forecasts = new Forecasts(slots, 1 << 14);
-    this.foresight = other == null ? forecasts::forecast : other;
+    this.forecastSource = forecastSource == null ? forecasts::forecast : forecastSource;
   }
 
-  /** The forecasts it makes plans from. */
+  /** The forecasts from the observed calls. */
   public Forecasts forecasts() {
     return forecasts;
   }
 
-  /** Seconds before a slot from which its plan's orders may begin; a plan is made by then. */
+  /** Time before a slot by which its plan is made, in seconds; its orders start later. */
   public double leadSeconds() {
-    return (LEAD + 1) * settings.keepAliveSeconds();
+    return (LEAD_KEEP_ALIVES + 1) * settings.keepAliveSeconds();
   }
 
-  /** How far the forecasts of functions are believed now. */
+  /** The current confidence in the forecasts of each function. */
   public ForecastConfidence confidence() {
-    return trust;
+    return confidence;
   }
 
-  /** What was seen of a function's copies. */
-  public void learn(String function, CopyProfile seen) {
-    facts.merge(
+  /** Updates the profile of a function; work and load times are smoothed, and those of 0 are ignored. */
+  public void learn(String function, CopyProfile observed) {
+    profiles.merge(
         function,
-        seen,
+        observed,
         (a, b) -> new CopyProfile(
             b.memoryMb(),
             b.lanes(),
-            mix(a.workSeconds(), b.workSeconds()),
-            mix(a.loadSeconds(), b.loadSeconds())));
+            smooth(a.workSeconds(), b.workSeconds()),
+            smooth(a.loadSeconds(), b.loadSeconds())));
   }
 
-  private static double mix(double before, double seen) {
-    return seen <= 0 ? before : before <= 0 ? seen : before + NEWEST * (seen - before);
+  private static double smooth(double previous, double observed) {
+    return observed <= 0
+        ? previous
+        : previous <= 0 ? observed : previous + NEWEST_WEIGHT * (observed - previous);
   }
 
   /**
-   * The calls of a whole slot, by function; what was said for it is judged now. Slots at or before the last are passed
-   * over.
+   * Records the calls of a whole slot by function and rates the predictions for it. Slots at or before the last
+   * observed one are ignored.
    */
   public void observe(long slot, Map<String, Integer> calls) {
     if (!forecasts.observe(slot, calls)) {
       return;
     }
-    said.getOrDefault(slot, Map.of())
-        .forEach((f, s) -> trust.record(f, s.calls(), s.any(), calls.getOrDefault(f, 0)));
-    said.headMap(slot, true).clear();
-    HashSet<String> known = new HashSet<>(forecasts.functions());
-    trust.keepOnly(known);
-    known.addAll(calls.keySet());
-    // Kept beyond the forecasts: a function may be known by its copies before its history is
-    // read.
-    if (facts.size() > MOST_FACTS) {
-      facts.keySet().retainAll(known);
+    predictions
+        .getOrDefault(slot, Map.of())
+        .forEach((function, prediction) -> confidence.record(
+            function,
+            prediction.calls(),
+            prediction.probability(),
+            calls.getOrDefault(function, 0)));
+    predictions.headMap(slot, true).clear();
+    HashSet<String> keptFunctions = new HashSet<>(forecasts.functions());
+    confidence.keepOnly(keptFunctions);
+    keptFunctions.addAll(calls.keySet());
+    // Profiles are kept for functions without a forecast too, because a profile may arrive before
+    // the
+    // function's history is read.
+    if (profiles.size() > MAX_PROFILES) {
+      profiles.keySet().retainAll(keptFunctions);
     }
   }
 
   /**
-   * What to hold in a slot, the most valuable ordered last, just before the slot begins. Made while the slot before it
-   * is under way, or at its end.
+   * Plans the copies to hold in a slot. The most beneficial copies come first and are ordered last, just before the
+   * slot begins. The plan is made during the preceding slot or at its end.
    *
-   * @param now calls of the slot before it so far, by function; empty where they are not known
-   * @param part of that slot that they cover, above 0 and at most 1
+   * @param currentCalls calls so far in the preceding slot by function; empty if unknown
+   * @param coveredFraction fraction of the preceding slot that {@code currentCalls} covers, above 0 and at most 1
    */
   public List<Order> plan(
-      long slot, Map<String, Integer> now, double part, List<WorkerCapacity> hosts) {
+      long slot,
+      Map<String, Integer> currentCalls,
+      double coveredFraction,
+      List<WorkerCapacity> workers) {
     List<Demand> demands = new ArrayList<>();
-    Map<String, Said> saying = new HashMap<>();
+    Map<String, Prediction> slotPredictions = new HashMap<>();
     for (String function : forecasts.functions()) {
-      CopyProfile f = facts.get(function);
-      Forecasts.Forecast e = foresight.forecast(function, slot);
-      if (f == null || !(e.mean() > 0)) {
+      CopyProfile profile = profiles.get(function);
+      Forecasts.Forecast forecast = forecastSource.forecast(function, slot);
+      if (profile == null || !(forecast.mean() > 0)) {
         continue;
       }
-      double away = (e.upper() - e.mean()) / UPPER;
-      double scatter = Math.max(1, Math.min(MOST_SCATTER, away * away / Math.max(0.05, e.mean())));
-      saying.put(function, new Said(e.mean(), 1 - Math.exp(-e.mean())));
+      double deviation = (forecast.upper() - forecast.mean()) / UPPER_DEVIATIONS;
+      double dispersion = Math.max(
+          1, Math.min(MAX_DISPERSION, deviation * deviation / Math.max(0.05, forecast.mean())));
+      slotPredictions.put(
+          function, new Prediction(forecast.mean(), 1 - Math.exp(-forecast.mean())));
       demands.add(new Demand(
           function,
-          e.mean() * trust.callsFactor(function),
-          scatter,
-          now.getOrDefault(function, 0) / part,
-          trust.occurrenceFactor(function),
-          f.memoryMb(),
-          f.lanes(),
-          f.workSeconds(),
-          f.loadSeconds()));
+          forecast.mean() * confidence.callsFactor(function),
+          dispersion,
+          currentCalls.getOrDefault(function, 0) / coveredFraction,
+          confidence.occurrenceFactor(function),
+          profile.memoryMb(),
+          profile.lanes(),
+          profile.workSeconds(),
+          profile.loadSeconds()));
     }
-    said.put(slot, saying);
-    double lead = LEAD * settings.keepAliveSeconds();
-    double pace = ARCHIVE_PART * settings.archiveLoadsPerSecond();
-    int orders = (int) Math.min(settings.ordersPerPlan(), Math.floor(lead * pace));
-    List<WorkerCapacity> able = hosts.stream()
-        .map(h -> new WorkerCapacity(
-            h.name(), h.freeMb(), Math.min(h.maxLoads(), LOADS_PER_HOST), h.weight()))
+    predictions.put(slot, slotPredictions);
+    double leadSeconds = LEAD_KEEP_ALIVES * settings.keepAliveSeconds();
+    double loadsPerSecond = ARCHIVE_FRACTION * settings.archiveLoadsPerSecond();
+    int orders = (int) Math.min(settings.ordersPerPlan(), Math.floor(leadSeconds * loadsPerSecond));
+    List<WorkerCapacity> cappedWorkers = workers.stream()
+        .map(w -> new WorkerCapacity(
+            w.name(), w.freeMb(), Math.min(w.maxLoads(), MAX_LOADS_PER_WORKER), w.weight()))
         .toList();
     List<PlacedCopy> placed = orders == 0
         ? List.of()
         : Placement.choose(
             demands,
-            able,
+            cappedWorkers,
             new Limits(orders, Double.MAX_VALUE),
             settings.prices(),
             settings.slotSeconds(),
             settings.keepAliveSeconds());
-    List<Order> all = new ArrayList<>();
+    List<Order> planned = new ArrayList<>();
     for (int i = 0; i < placed.size(); i++) {
-      CopyProfile f = facts.get(placed.get(i).function());
-      all.add(new Order(
-          placed.get(i), f, -f.loadSeconds() - (i + 1) / pace, placed.get(i).holdSeconds()));
+      CopyProfile profile = profiles.get(placed.get(i).function());
+      planned.add(new Order(
+          placed.get(i),
+          profile,
+          -profile.loadSeconds() - (i + 1) / loadsPerSecond,
+          placed.get(i).holdSeconds()));
     }
-    return all;
+    return planned;
   }
 }
--- a/decisions/src/main/java/gorseladder/placement/Prices.java
+++ b/decisions/src/main/java/gorseladder/placement/Prices.java
@@ -1,18 +1,17 @@
 package gorseladder.placement;
 
 /**
- * What loading ahead costs, told in seconds of a caller's waiting, so that benefit and cost can be set against each
- * other.
+ * The cost of loading ahead in seconds of a caller's waiting time, so that benefit and cost can be compared.
  *
- * @param fetch a fetch from the archive and the start of a copy, 0 or more
- * @param gigabyteSecond a gigabyte held for a second, 0 or more
- * @param order an order, the first and each that holds a copy anew; above 0 where orders are rationed, as then calls
- *     want them
+ * @param fetch cost of a fetch from the archive and the start of a copy, 0 or more
+ * @param gigabyteSecond cost of a gigabyte held for a second, 0 or more
+ * @param order cost of a load order, the first one and each renewal; above 0 where orders are rationed, because calls
+ *     need them as well
  */
 public record Prices(double fetch, double gigabyteSecond, double order) {
   public Prices {
     if (!(fetch >= 0) || !(gigabyteSecond >= 0) || !(order >= 0)) {
-      throw new IllegalArgumentException("impossible prices");
+      throw new IllegalArgumentException("prices must be 0 or more");
     }
   }
 }
--- a/decisions/src/main/java/gorseladder/placement/Schedule.java
+++ b/decisions/src/main/java/gorseladder/placement/Schedule.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 
 /**
- * Holds of one plan after the other: what an earlier plan holds beyond the beginning of the next goes on, and a copy
- * that both want is one hold. Times are seconds on the planner's clock. Not thread safe.
+ * Merges the holds of consecutive plans: a hold of an earlier plan that lasts beyond the start of the next one
+ * continues, and a copy that is in both plans is one hold. Times are seconds on the planner's clock. Not thread safe.
  */
 public final class Schedule {
-  /** A hold with its times. */
+  /** An order with its absolute start and end. */
   public record ScheduledHold(Order order, double from, double until) {}
 
   private record Key(String host, String function) {}
@@ -19,22 +19,24 @@
   private Map<Key, ScheduledHold> current = new LinkedHashMap<>();
 
   /**
-   * Adds the orders for a slot that begins then, and returns all holds that are not over; what is over by now is
-   * dropped.
+   * Adds the orders for a slot and returns all holds that have not ended; holds that ended by {@code now} are dropped.
+   *
+   * @param slotBegins start of the slot
    */
   public List<ScheduledHold> add(double slotBegins, List<Order> orders, double now) {
     Map<Key, ScheduledHold> next = new LinkedHashMap<>();
-    for (Order o : orders) {
-      Key key = new Key(o.placed().worker(), o.placed().function());
-      ScheduledHold before = current.remove(key);
-      boolean goesOn =
-          before != null && before.until() > now && before.until() >= slotBegins + o.from();
-      double from = goesOn ? before.from() : slotBegins + o.from();
-      next.put(key, new ScheduledHold(o, from, slotBegins + o.until()));
+    for (Order order : orders) {
+      Key key = new Key(order.placed().worker(), order.placed().function());
+      ScheduledHold previous = current.remove(key);
+      boolean continues = previous != null
+          && previous.until() > now
+          && previous.until() >= slotBegins + order.from();
+      double from = continues ? previous.from() : slotBegins + order.from();
+      next.put(key, new ScheduledHold(order, from, slotBegins + order.until()));
     }
-    current.forEach((key, timed) -> {
-      if (timed.until() > now) {
-        next.put(key, timed);
+    current.forEach((key, hold) -> {
+      if (hold.until() > now) {
+        next.put(key, hold);
       }
     });
     current = next;
