--- a/decisions/src/main/java/gorseladder/ahead/FunctionStats.java
+++ b/decisions/src/main/java/gorseladder/ahead/FunctionStats.java
@@ -5,91 +5,108 @@
 import java.util.Map;
 
 /**
- * What a dispatcher saw of each function: what a copy needs, how long a call takes at a copy that stands, how long a
- * load takes. Means forget within about ten events. Bounded; not thread safe. Times in microseconds.
+ * Statistics of a dispatcher on each function: the resources of a copy, the duration of a call on a loaded copy and
+ * that of a load. Times are microseconds, smoothed over about ten events. The number of functions is bounded. Not
+ * thread safe.
  */
 public final class FunctionStats {
-  private static final double NEWEST = 0.1;
-  private static final double AWAY = 4;
-  /** Takes without a call after which a function is forgotten. */
-  private static final int MOST_SILENT = 1_000;
-  /** Functions remembered; beyond them a new one is not, until {@link #takeSnapshots} made room. */
-  private static final int MOST = 20_000;
+  private static final double NEWEST_WEIGHT = 0.1;
+  /** Factor by which a load time differs from the mean to be an outlier, see {@link #loaded}. */
+  private static final double OUTLIER_FACTOR = 4;
+  /** Snapshots without a call after which a function is removed. */
+  private static final int MAX_SILENT_SNAPSHOTS = 1_000;
+  /** Maximum number of functions; further ones are ignored until {@link #takeSnapshots} has removed others. */
+  private static final int MAX_FUNCTIONS = 20_000;
 
-  /** One function's figures; times are 0 where not seen. {@code calls} are those since the last {@link #takeSnapshots}. */
+  /**
+   * The statistics of one function.
+   *
+   * @param calls calls since the last {@link #takeSnapshots}
+   * @param memoryMb memory of a copy
+   * @param lanes concurrent calls of a copy
+   * @param workMicros mean duration of a call on a loaded copy; 0 if none was observed
+   * @param loadMicros mean load time; 0 if none was observed
+   */
   public record Snapshot(
       int calls, double memoryMb, int lanes, double workMicros, double loadMicros) {}
 
-  private static final class Figures {
+  private static final class Stats {
     private int calls;
-    private int silent;
+    private int silentSnapshots;
     private double memoryMb;
     private int lanes;
-    private double work;
-    private double load;
+    private double workMicros;
+    private double loadMicros;
   }
 
-  private final Map<String, Figures> all = new HashMap<>();
+  private final Map<String, Stats> functions = new HashMap<>();
 
-  /** A call was taken. */
+  /** Records that a call was accepted. */
   public void callAccepted(String function, double memoryMb, int lanes) {
-    Figures f = all.get(function);
-    if (f == null && all.size() < MOST) {
-      f = new Figures();
-      all.put(function, f);
+    Stats stats = functions.get(function);
+    if (stats == null && functions.size() < MAX_FUNCTIONS) {
+      stats = new Stats();
+      functions.put(function, stats);
     }
-    if (f != null) {
-      f.calls++;
-      f.memoryMb = memoryMb;
-      f.lanes = Math.max(1, lanes);
+    if (stats != null) {
+      stats.calls++;
+      stats.memoryMb = memoryMb;
+      stats.lanes = Math.max(1, lanes);
     }
   }
 
-  /** A served attempt: at a copy that stood it shows the work, at one that had to load the load. */
-  public void served(String function, Note note, long latency) {
-    Figures f = all.get(function);
-    if (f != null && note == Note.WARM) {
-      f.work = mix(f.work, latency);
-    } else if (f != null && note == Note.BEGAN && latency > f.work) {
-      f.load = mix(f.load, latency - f.work);
+  /** Records a served attempt: a warm one gives the work time, one that had to load the copy gives the load time. */
+  public void served(String function, Note note, long latencyMicros) {
+    Stats stats = functions.get(function);
+    if (stats != null && note == Note.WARM) {
+      stats.workMicros = smooth(stats.workMicros, latencyMicros);
+    } else if (stats != null && note == Note.BEGAN && latencyMicros > stats.workMicros) {
+      stats.loadMicros = smooth(stats.loadMicros, latencyMicros - stats.workMicros);
     }
   }
 
   /**
-   * A load order ended well. One that found the copy standing is answered at once and shows nothing: what took less
-   * than a quarter of what loads take is passed over, and what took more than four times replaces it.
+   * Records a successful load order. An order for a loaded copy is answered at once and says nothing about load times,
+   * so a latency below a quarter of the mean is ignored, and one of more than four times the mean replaces it.
    */
-  public void loaded(String function, long latency) {
-    Figures f = all.get(function);
-    if (f != null && latency * AWAY > f.load) {
-      f.load = latency > AWAY * f.load ? latency : mix(f.load, latency);
+  public void loaded(String function, long latencyMicros) {
+    Stats stats = functions.get(function);
+    if (stats != null && latencyMicros * OUTLIER_FACTOR > stats.loadMicros) {
+      stats.loadMicros = latencyMicros > OUTLIER_FACTOR * stats.loadMicros
+          ? latencyMicros
+          : smooth(stats.loadMicros, latencyMicros);
     }
   }
 
-  private static double mix(double before, double seen) {
-    return before <= 0 ? seen : before + NEWEST * (seen - before);
+  private static double smooth(double previous, double observed) {
+    return previous <= 0 ? observed : previous + NEWEST_WEIGHT * (observed - previous);
   }
 
-  /** The functions called since the last time; those long not called are forgotten. */
+  /** Returns the functions called since the last snapshot and removes those not called for a long time. */
   public Map<String, Snapshot> takeSnapshots() {
-    Map<String, Snapshot> taken = new HashMap<>();
-    all.values().removeIf(f -> f.calls == 0 && ++f.silent >= MOST_SILENT);
-    all.forEach((name, f) -> {
-      if (f.calls > 0) {
-        taken.put(name, new Snapshot(f.calls, f.memoryMb, f.lanes, f.work, f.load));
-        f.calls = 0;
-        f.silent = 0;
+    Map<String, Snapshot> snapshots = new HashMap<>();
+    functions
+        .values()
+        .removeIf(stats -> stats.calls == 0 && ++stats.silentSnapshots >= MAX_SILENT_SNAPSHOTS);
+    functions.forEach((name, stats) -> {
+      if (stats.calls > 0) {
+        snapshots.put(
+            name,
+            new Snapshot(
+                stats.calls, stats.memoryMb, stats.lanes, stats.workMicros, stats.loadMicros));
+        stats.calls = 0;
+        stats.silentSnapshots = 0;
       }
     });
-    return taken;
+    return snapshots;
   }
 
-  /** Counts again what was taken and could not be told. */
-  public void restoreCalls(Map<String, Snapshot> taken) {
-    taken.forEach((name, of) -> {
-      Figures f = all.get(name);
-      if (f != null) {
-        f.calls += of.calls();
+  /** Adds the calls of snapshots that could not be sent, so that they count in the next ones. */
+  public void restoreCalls(Map<String, Snapshot> snapshots) {
+    snapshots.forEach((name, snapshot) -> {
+      Stats stats = functions.get(name);
+      if (stats != null) {
+        stats.calls += snapshot.calls();
       }
     });
   }
--- a/decisions/src/main/java/gorseladder/ahead/LoadAheadAccounting.java
+++ b/decisions/src/main/java/gorseladder/ahead/LoadAheadAccounting.java
@@ -9,37 +9,41 @@
 import java.util.Map;
 
 /**
- * What each load ahead cost and what it saved, from what really happened. A record opens when the copy stands and
- * closes when it was used and the time of a load has passed since, or when nobody used it until its keep-alive ended.
+ * Records the actual cost and saving of each load ahead. A record is opened when the copy is loaded. It is closed when
+ * the copy has been used and its hold has ended, when its keep-alive has ended, or when a call had to load the function
+ * again.
  *
- * <p>Saved is counted strictly. The first call that found the copy is spared one load, as loads of that function have
- * taken; calls that came within that time are spared what would have been left of it. A later call is spared a load
- * where so much time passed since the last known use that the copy would have aged out; what lies between is counted as
- * found anyway. A record that nobody used saved nothing and is waste. What a load pushed out is charged to it: a call
- * that began a load at a worker where its function had stood within the keep-alive, after a copy was loaded ahead
- * there. Where several such copies may have done it, the last is charged. That errs against loading ahead: copies also
- * age out.
+ * <p>Savings are counted conservatively. The first call that finds the copy saves one load of the function's typical
+ * duration; calls within that time save the rest of it. A later call saves a load if so much time has passed since the
+ * last known use that the copy would have aged out; the calls between would have found a copy anyway and save nothing.
+ * An unused copy saves nothing and is waste. Evictions are charged to the load ahead that caused them: a call that had
+ * to load its function on a worker that had served it within the keep-alive, after a copy was loaded ahead there. If
+ * several copies may be the cause, the latest is charged. The charge is pessimistic, because copies also age out.
  *
  * <p>Not thread safe. Times are microseconds on one clock.
  */
 public final class LoadAheadAccounting {
   /**
-   * Keep-alives without a known use after which a copy would surely have aged out; uses elsewhere are told that late at
-   * most.
+   * Keep-alives without a known use after which a copy would certainly have aged out; uses by other dispatchers are
+   * reported no later than that.
    */
-  private static final double SURELY_AGED = 1.5;
-  /** Copies remembered as standing, at the most. */
-  private static final int MOST_STANDING = 50_000;
+  private static final double AGED_OUT_KEEP_ALIVES = 1.5;
+  /** Maximum number of copies whose last served attempt is kept. */
+  private static final int MAX_TRACKED_COPIES = 50_000;
 
   /**
    * A closed record.
    *
-   * @param loadMicros the load's time, fetch and start; the worker's cores were partly occupied for some of it
-   * @param megabyteSeconds held beyond what calls would have held anyway: before the first call, in long gaps, or until
-   *     given up
-   * @param found calls that were spared some waiting; 0 is waste
-   * @param savedMicros waiting spared to them
-   * @param pushedOut calls that had to load what this copy pushed out, and {@code pushedMicros} the loads' time
+   * @param orderedAt time of the load order
+   * @param loadMicros duration of the load, fetch and start; it partly occupied the worker's cores for some of that
+   *     time
+   * @param megabyteSeconds memory held beyond what calls would have held anyway: before the first call, in long gaps,
+   *     or until the hold was given up
+   * @param renewals orders that renewed the hold
+   * @param found calls that waited less because of the copy; if 0, the load was wasted
+   * @param savedMicros waiting time saved by these calls
+   * @param evictions calls that had to load a function that this copy evicted
+   * @param evictedLoadMicros total time of those loads
    */
   public record Entry(
       String worker,
@@ -53,42 +57,46 @@
       int evictions,
       long evictedLoadMicros) {}
 
-  private record At(String worker, String function) {}
+  private record CopyKey(String worker, String function) {}
 
-  private static final class Open {
+  private static final class OpenRecord {
     private long orderedAt;
-    private long standsAt;
+    private long loadedAt;
     private long loadMicros;
     private double memoryMb;
-    private long until;
+    private long expiresAt;
     private long holdEnds;
     private int renewals;
-    private long sparedFrom;
+    private long savingSince;
     private long lastUse;
-    private long idle;
+    private long extraHeldMicros;
     private int found;
-    private long saved;
-    private int pushedOut;
-    private long pushed;
+    private long savedMicros;
+    private int evictions;
+    private long evictedLoadMicros;
   }
 
-  private final long keepAlive;
-  private final Map<At, Open> open = new LinkedHashMap<>();
-  private final Map<At, Long> standing = new LinkedHashMap<>(16, 0.75f, true) {
+  private final long keepAliveMicros;
+  private final Map<CopyKey, OpenRecord> openRecords = new LinkedHashMap<>();
+  private final Map<CopyKey, Long> lastServedAt = new LinkedHashMap<>(16, 0.75f, true) {
     @Override
-    protected boolean removeEldestEntry(Map.Entry<At, Long> eldest) {
-      return size() > MOST_STANDING;
+    protected boolean removeEldestEntry(Map.Entry<CopyKey, Long> eldest) {
+      return size() > MAX_TRACKED_COPIES;
     }
   };
-  private final Map<String, Long> loadTimes = new HashMap<>();
-  private final List<Entry> closed = new ArrayList<>();
+  private final Map<String, Long> loadMicrosByFunction = new HashMap<>();
+  private final List<Entry> closedEntries = new ArrayList<>();
 
-  /** An account where idle copies stay for so many microseconds. */
-  public LoadAheadAccounting(long keepAlive) {
-    this.keepAlive = keepAlive;
+  /**
+   * Creates an accounting without records.
+   *
+   * @param keepAliveMicros time after which an idle copy is unloaded
+   */
+  public LoadAheadAccounting(long keepAliveMicros) {
+    this.keepAliveMicros = keepAliveMicros;
   }
 
-  /** A load ahead ended well; one at a place where a record is open renews it. */
+  /** Records a successful load ahead; if the copy has an open record, the load renews it. */
   public void loaded(
       String worker,
       String function,
@@ -97,131 +105,138 @@
       double memoryMb,
       long holdEnds,
       long now) {
-    Open known = open.get(new At(worker, function));
-    if (known != null) {
-      known.renewals++;
-      known.until = now + keepAlive;
-      known.holdEnds = holdEnds;
+    OpenRecord existing = openRecords.get(new CopyKey(worker, function));
+    if (existing != null) {
+      existing.renewals++;
+      existing.expiresAt = now + keepAliveMicros;
+      existing.holdEnds = holdEnds;
       return;
     }
-    Long lastUse = standing.get(new At(worker, function));
+    // An order for a copy that calls had loaded already is answered at once; it loads nothing
+    // ahead.
+    Long lastUse = lastServedAt.get(new CopyKey(worker, function));
     if (lastUse != null
-        && now - lastUse < keepAlive
-        && loadMicros * 4 < loadTime(function, loadMicros)) {
+        && now - lastUse < keepAliveMicros
+        && loadMicros * 4 < typicalLoadMicros(function, loadMicros)) {
       return;
     }
-    Open o = new Open();
-    o.orderedAt = orderedAt;
-    o.standsAt = now;
-    o.loadMicros = loadMicros;
-    o.memoryMb = memoryMb;
-    o.until = now + keepAlive;
-    o.holdEnds = holdEnds;
-    open.put(new At(worker, function), o);
-    loadTimes.merge(function, loadMicros, (a, b) -> (a + b) / 2);
+    OpenRecord record = new OpenRecord();
+    record.orderedAt = orderedAt;
+    record.loadedAt = now;
+    record.loadMicros = loadMicros;
+    record.memoryMb = memoryMb;
+    record.expiresAt = now + keepAliveMicros;
+    record.holdEnds = holdEnds;
+    openRecords.put(new CopyKey(worker, function), record);
+    loadMicrosByFunction.merge(function, loadMicros, (a, b) -> (a + b) / 2);
   }
 
-  private long loadTime(String function, long otherwise) {
-    return loadTimes.getOrDefault(function, otherwise);
+  private long typicalLoadMicros(String function, long defaultMicros) {
+    return loadMicrosByFunction.getOrDefault(function, defaultMicros);
   }
 
-  /** A served attempt and what it met there. */
+  /** Records a served attempt and the state of the copy that it found. */
   public void served(String worker, String function, Note note, long now) {
-    At at = new At(worker, function);
-    Open o = open.get(at);
-    if (note == Note.WARM && o != null) {
-      used(o, function, now);
+    CopyKey key = new CopyKey(worker, function);
+    OpenRecord record = openRecords.get(key);
+    if (note == Note.WARM && record != null) {
+      recordUse(record, function, now);
     } else if (note == Note.BEGAN) {
-      Long stood = standing.get(at);
-      if (o != null) {
-        close(at, o, now);
-        open.remove(at);
-      } else if (stood != null && now - stood < keepAlive) {
-        pushedOut(worker, function, stood);
+      Long servedAt = lastServedAt.get(key);
+      if (record != null) {
+        close(key, record, now);
+        openRecords.remove(key);
+      } else if (servedAt != null && now - servedAt < keepAliveMicros) {
+        chargeEviction(worker, function, servedAt);
       }
     }
-    standing.put(at, now);
+    lastServedAt.put(key, now);
   }
 
-  /** Another dispatcher's call found a copy that was ordered here. */
+  /** Records that a call of another dispatcher found a copy ordered by this one. */
   void foundElsewhere(String worker, String function, long now) {
-    Open o = open.get(new At(worker, function));
-    if (o != null) {
-      used(o, function, now);
+    OpenRecord record = openRecords.get(new CopyKey(worker, function));
+    if (record != null) {
+      recordUse(record, function, now);
     }
   }
 
-  private void used(Open o, String function, long now) {
-    long load = loadTime(function, o.loadMicros);
-    long gap = now - o.lastUse;
-    if (o.found == 0 || gap > SURELY_AGED * keepAlive) {
-      o.idle += o.found == 0 ? now - o.orderedAt : gap - keepAlive;
-      o.sparedFrom = now;
+  private void recordUse(OpenRecord record, String function, long now) {
+    long loadTimeMicros = typicalLoadMicros(function, record.loadMicros);
+    long unusedMicros = now - record.lastUse;
+    if (record.found == 0 || unusedMicros > AGED_OUT_KEEP_ALIVES * keepAliveMicros) {
+      record.extraHeldMicros +=
+          record.found == 0 ? now - record.orderedAt : unusedMicros - keepAliveMicros;
+      record.savingSince = now;
     }
-    if (now - o.sparedFrom < load) {
-      o.found++;
-      o.saved += load - (now - o.sparedFrom);
+    if (now - record.savingSince < loadTimeMicros) {
+      record.found++;
+      record.savedMicros += loadTimeMicros - (now - record.savingSince);
     }
-    o.lastUse = now;
-    o.until = Math.max(o.until, now + keepAlive);
+    record.lastUse = now;
+    record.expiresAt = Math.max(record.expiresAt, now + keepAliveMicros);
   }
 
-  private void pushedOut(String worker, String function, long stood) {
-    Open last = null;
-    for (Map.Entry<At, Open> e : open.entrySet()) {
-      last =
-          e.getKey().worker().equals(worker) && e.getValue().standsAt > stood ? e.getValue() : last;
+  private void chargeEviction(String worker, String function, long servedAt) {
+    OpenRecord latest = null;
+    for (Map.Entry<CopyKey, OpenRecord> entry : openRecords.entrySet()) {
+      latest = entry.getKey().worker().equals(worker) && entry.getValue().loadedAt > servedAt
+          ? entry.getValue()
+          : latest;
     }
-    if (last != null) {
-      last.pushedOut++;
-      last.pushed += loadTime(function, last.loadMicros);
+    if (latest != null) {
+      latest.evictions++;
+      latest.evictedLoadMicros += typicalLoadMicros(function, latest.loadMicros);
     }
   }
 
-  /** Closes what is over by now. */
+  /** Closes the records whose hold or keep-alive has ended. */
   public void closeExpired(long now) {
-    for (Iterator<Map.Entry<At, Open>> all = open.entrySet().iterator(); all.hasNext(); ) {
-      Map.Entry<At, Open> e = all.next();
-      Open o = e.getValue();
-      if (now >= o.until || o.found > 0 && now >= o.holdEnds) {
-        close(e.getKey(), o, now);
-        all.remove();
+    for (Iterator<Map.Entry<CopyKey, OpenRecord>> iterator =
+            openRecords.entrySet().iterator();
+        iterator.hasNext(); ) {
+      Map.Entry<CopyKey, OpenRecord> entry = iterator.next();
+      OpenRecord record = entry.getValue();
+      if (now >= record.expiresAt || record.found > 0 && now >= record.holdEnds) {
+        close(entry.getKey(), record, now);
+        iterator.remove();
       }
     }
   }
 
-  private void close(At at, Open o, long now) {
-    long end = Math.min(now, o.until);
-    long held =
-        o.found == 0 ? end - o.orderedAt : o.idle + Math.max(0, end - o.lastUse - keepAlive);
-    closed.add(new Entry(
-        at.worker(),
-        at.function(),
-        o.orderedAt,
-        o.loadMicros,
-        o.memoryMb * Math.max(0, held) / 1e6,
-        o.renewals,
-        o.found,
-        o.saved,
-        o.pushedOut,
-        o.pushed));
+  private void close(CopyKey key, OpenRecord record, long now) {
+    long endedAt = Math.min(now, record.expiresAt);
+    long heldMicros = record.found == 0
+        ? endedAt - record.orderedAt
+        : record.extraHeldMicros + Math.max(0, endedAt - record.lastUse - keepAliveMicros);
+    closedEntries.add(new Entry(
+        key.worker(),
+        key.function(),
+        record.orderedAt,
+        record.loadMicros,
+        record.memoryMb * Math.max(0, heldMicros) / 1e6,
+        record.renewals,
+        record.found,
+        record.savedMicros,
+        record.evictions,
+        record.evictedLoadMicros));
   }
 
-  /** When the copy loaded ahead there was last known to be used; 0 where it was not, or there is none. */
+  /** Time of the last known use of a copy loaded ahead; 0 if it was not used or there is none. */
   long lastUse(String worker, String function) {
-    Open o = open.get(new At(worker, function));
-    return o == null ? 0 : o.lastUse;
+    OpenRecord record = openRecords.get(new CopyKey(worker, function));
+    return record == null ? 0 : record.lastUse;
   }
 
-  /** Hands over the records closed since the last call. */
+  /** Returns and removes the records closed since the last call. */
   public List<Entry> takeClosed() {
-    List<Entry> taken = List.copyOf(closed);
-    closed.clear();
+    List<Entry> taken = List.copyOf(closedEntries);
+    closedEntries.clear();
     return taken;
   }
 
-  /** Records still open. */
+  /** Number of open records. */
   public int openCount() {
-    return open.size();
+    return openRecords.size();
   }
 }
--- a/decisions/src/main/java/gorseladder/ahead/Plan.java
+++ b/decisions/src/main/java/gorseladder/ahead/Plan.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * What a planner proposes to the dispatchers: copies to hold ahead of need. It expires by itself; a newer one replaces
- * it whole. Times are microseconds on the dispatcher's own clock, set when the plan arrived.
+ * The copies that a planner proposes to the dispatchers to hold ahead of need. A plan expires by itself; a newer one
+ * replaces it completely. Times are microseconds on the dispatcher's own clock, computed when the plan arrived.
  *
- * @param epoch of the planner, from whichever lease or count makes one planner newer than another
- * @param version within the epoch; the higher is newer
- * @param expiresAt when it expires
+ * @param epoch epoch of the planner, from a lease or a counter; a later planner has a higher one
+ * @param version version within the epoch; the higher is newer
+ * @param expiresAt time from which the plan is not used any more
  */
 public record Plan(long epoch, long version, long expiresAt, List<Item> items) {
   public Plan {
@@ -16,14 +16,16 @@
   }
 
   /**
-   * One copy.
+   * A function to hold on one worker.
    *
-   * @param copies to hold there in all
-   * @param from when to order it, and {@code until} when a copy that nobody used is not held any longer
-   * @param loadTime expected, in microseconds; 0 where not known
-   * @param memoryMb of a copy, for the account
-   * @param owned true where this dispatcher orders it; it hears of the others' so that it can tell them when it found
-   *     their copy
+   * @param copies number of copies to hold on the worker in total
+   * @param lanes concurrent calls of a copy
+   * @param from when to order the copy
+   * @param until when an unused copy is not held any longer
+   * @param loadTime expected load time in microseconds; 0 if unknown
+   * @param memoryMb memory of a copy, for the accounting
+   * @param owned whether this dispatcher orders the copy; items of other dispatchers are included so that it can tell
+   *     them when one of its calls found their copy
    */
   public record Item(
       String worker,
--- a/decisions/src/main/java/gorseladder/ahead/PlanExecutor.java
+++ b/decisions/src/main/java/gorseladder/ahead/PlanExecutor.java
@@ -13,32 +13,32 @@
 import java.util.Set;
 
 /**
- * A dispatcher's side of loading ahead: takes plans, says when which copy is to be proposed to the router, and keeps
- * the account. It proposes; whether an order leaves is the router's decision, which counts it in its own ration, leaves
- * room for calls in need, and passes over workers that drain, are cold or suspect.
+ * Executes plans for loading ahead in a dispatcher: accepts plans, proposes holds to the router at their time, and
+ * keeps the accounting. The router decides whether a proposal becomes an order: it counts the order in its own ration,
+ * leaves room for calls that need a load, and skips workers that drain, are cold or suspect.
  *
- * <p>A plan that is older than the one in hand, has expired or is absurd changes nothing. Without a plan nothing is
- * proposed. Free of clocks and input; not thread safe. Times are microseconds on one clock.
+ * <p>A plan that is older than the current one, has expired or is invalid is rejected. Without a plan nothing is
+ * proposed. It does no I/O and reads no clock; times are microseconds on one clock. Not thread safe.
  */
 public final class PlanExecutor {
-  /** Items of a plan at the most: a planner gone wrong must not fill the memory of its dispatchers. */
-  private static final int MOST_ITEMS = 10_000;
-  /** Copies of one item at the most. */
-  private static final int MOST_COPIES = 64;
-  /** Part of the keep-alive after which a copy that was not used since is held anew. */
-  private static final double RENEW = 0.6;
-  /** Part of the keep-alive within which the same copy found is told once. */
-  private static final double TELL = 0.5;
-  /** First word of the message that another dispatcher's copy was found. */
-  private static final String FOUND = "found ";
-  /** The longest message: names that do not fit are not told, and the copy counts as unused. */
-  private static final int MOST_MESSAGE = 250;
-  /** What the router passed over is proposed again after this time, so that others have their turn before. */
-  private static final long ASK_AGAIN = 1_000_000;
-  /** Proposals at one look: a plan is no burst. */
-  private static final int MOST_AT_ONCE = 4;
-
-  /** What became of a plan. */
+  /** Maximum items of a plan, so that a faulty planner cannot exhaust the memory of its dispatchers. */
+  private static final int MAX_ITEMS = 10_000;
+  /** Maximum copies of one item. */
+  private static final int MAX_COPIES_PER_ITEM = 64;
+  /** Fraction of the keep-alive after which the hold of an unused copy is renewed. */
+  private static final double RENEWAL_FRACTION = 0.6;
+  /** Fraction of the keep-alive in which other dispatchers are notified at most once that a copy was found. */
+  private static final double NOTIFICATION_FRACTION = 0.5;
+  /** Prefix of the message that another dispatcher's copy was found. */
+  private static final String FOUND_PREFIX = "found ";
+  /** Maximum message length; with longer names no message is sent, and the copy counts as unused. */
+  private static final int MAX_MESSAGE_LENGTH = 250;
+  /** Time after which a hold that the router skipped is proposed again, so that others are proposed before. */
+  private static final long RETRY_MICROS = 1_000_000;
+  /** Maximum proposals returned by one call of {@link #due}, so that a plan causes no burst of orders. */
+  private static final int MAX_PROPOSALS_AT_ONCE = 4;
+
+  /** Result of offering a plan. */
   public enum Verdict {
     TAKEN,
     OLDER,
@@ -46,40 +46,45 @@
     ABSURD
   }
 
-  private static final class Wish {
+  private static final class PlannedHold {
     private final Plan.Item item;
     private long orderedAt = -1;
-    private long renewAt;
-    private long askAt = Long.MIN_VALUE;
-    private boolean stands;
-    private long toldAt = Long.MIN_VALUE / 2;
+    private long renewAfter;
+    private long proposeAfter = Long.MIN_VALUE;
+    private boolean loaded;
+    private long notifiedAt = Long.MIN_VALUE / 2;
 
-    Wish(Plan.Item item) {
+    PlannedHold(Plan.Item item) {
       this.item = item;
     }
   }
 
-  private record Key(String worker, String function) {}
+  private record CopyKey(String worker, String function) {}
 
-  private final long keepAlive;
+  private final long keepAliveMicros;
   private final LoadAheadAccounting account;
-  /** All items of the plan in hand, and those that are ordered here and not over. */
-  private final Map<Key, Wish> wishes = new LinkedHashMap<>();
+  /** The holds of all items of the current plan. */
+  private final Map<CopyKey, PlannedHold> holds = new LinkedHashMap<>();
 
-  private final Set<Wish> mine = new LinkedHashSet<>();
-  /** Orders under way, also those of a plan that was replaced since. */
-  private final Map<Key, Wish> ordered = new HashMap<>();
+  /** The holds that this dispatcher orders. */
+  private final Set<PlannedHold> ownHolds = new LinkedHashSet<>();
+  /** Orders in progress, those of replaced plans included. */
+  private final Map<CopyKey, PlannedHold> pendingOrders = new HashMap<>();
 
   private Plan plan = new Plan(Long.MIN_VALUE, 0, 0, List.of());
-  private long orders;
+  private long orderCount;
 
-  /** A side without a plan, where idle copies stay for so many microseconds. */
-  public PlanExecutor(long keepAlive) {
-    this.keepAlive = keepAlive;
-    this.account = new LoadAheadAccounting(keepAlive);
+  /**
+   * Creates an executor without a plan.
+   *
+   * @param keepAliveMicros time after which an idle copy is unloaded
+   */
+  public PlanExecutor(long keepAliveMicros) {
+    this.keepAliveMicros = keepAliveMicros;
+    this.account = new LoadAheadAccounting(keepAliveMicros);
   }
 
-  /** Takes a plan, or says why not; the one in hand then stays. */
+  /** Replaces the current plan by a newer one; a rejected plan leaves the current one in place. */
   public Verdict offer(Plan next, long now) {
     boolean newer = next.epoch() > plan.epoch()
         || next.epoch() == plan.epoch() && next.version() > plan.version();
@@ -89,154 +94,168 @@
     if (next.expiresAt() <= now) {
       return Verdict.EXPIRED;
     }
-    if (next.items().size() > MOST_ITEMS || next.items().stream().anyMatch(i -> absurd(next, i))) {
+    if (next.items().size() > MAX_ITEMS
+        || next.items().stream().anyMatch(item -> isInvalid(next, item))) {
       return Verdict.ABSURD;
     }
     plan = next;
-    Map<Key, Wish> before = new HashMap<>(wishes);
-    wishes.clear();
-    mine.clear();
+    Map<CopyKey, PlannedHold> previousHolds = new HashMap<>(holds);
+    holds.clear();
+    ownHolds.clear();
     for (Plan.Item item : next.items()) {
-      Key key = new Key(item.worker(), item.function());
-      Wish wish = new Wish(item);
-      Wish same = before.get(key);
-      if (same != null && same.orderedAt >= 0) {
-        wish.orderedAt = same.orderedAt;
-        wish.renewAt = same.renewAt;
-        wish.stands = same.stands;
+      CopyKey key = new CopyKey(item.worker(), item.function());
+      PlannedHold hold = new PlannedHold(item);
+      PlannedHold previous = previousHolds.get(key);
+      if (previous != null && previous.orderedAt >= 0) {
+        hold.orderedAt = previous.orderedAt;
+        hold.renewAfter = previous.renewAfter;
+        hold.loaded = previous.loaded;
       }
-      wish.toldAt = same != null ? same.toldAt : wish.toldAt;
-      wishes.put(key, wish);
+      hold.notifiedAt = previous != null ? previous.notifiedAt : hold.notifiedAt;
+      holds.put(key, hold);
       if (item.owned()) {
-        mine.add(wish);
+        ownHolds.add(hold);
       }
     }
     return Verdict.TAKEN;
   }
 
-  private static boolean absurd(Plan p, Plan.Item i) {
-    return i.worker().isEmpty()
-        || i.copies() < 1
-        || i.copies() > MOST_COPIES
-        || i.lanes() < 1
-        || i.until() <= i.from()
-        || i.from() > p.expiresAt()
-        || i.loadTime() < 0
-        || !(i.memoryMb() >= 0);
+  private static boolean isInvalid(Plan plan, Plan.Item item) {
+    return item.worker().isEmpty()
+        || item.copies() < 1
+        || item.copies() > MAX_COPIES_PER_ITEM
+        || item.lanes() < 1
+        || item.until() <= item.from()
+        || item.from() > plan.expiresAt()
+        || item.loadTime() < 0
+        || !(item.memoryMb() >= 0);
   }
 
-  /** What is to be proposed to the router now. Call it a few times a second; it spreads a plan by itself. */
+  /** Returns the holds to propose to the router now. Called a few times a second, it spreads a plan over time. */
   public List<Hold> due(long now) {
     account.closeExpired(now);
     List<Hold> due = new ArrayList<>();
     if (plan.expiresAt() <= now) {
-      wishes.clear();
-      mine.clear();
+      holds.clear();
+      ownHolds.clear();
     }
-    for (Iterator<Wish> all = mine.iterator(); all.hasNext() && due.size() < MOST_AT_ONCE; ) {
-      Wish w = all.next();
-      Plan.Item i = w.item;
-      if (now >= i.until()) {
-        all.remove();
-        wishes.remove(new Key(i.worker(), i.function()));
-      } else if (now >= i.from() && wanted(w, now)) {
-        w.askAt = now + ASK_AGAIN;
-        due.add(new Hold(i.worker(), i.function(), i.copies(), i.lanes(), i.loadTime()));
+    for (Iterator<PlannedHold> iterator = ownHolds.iterator();
+        iterator.hasNext() && due.size() < MAX_PROPOSALS_AT_ONCE; ) {
+      PlannedHold hold = iterator.next();
+      Plan.Item item = hold.item;
+      if (now >= item.until()) {
+        iterator.remove();
+        holds.remove(new CopyKey(item.worker(), item.function()));
+      } else if (now >= item.from() && shouldPropose(hold, now)) {
+        hold.proposeAfter = now + RETRY_MICROS;
+        due.add(
+            new Hold(item.worker(), item.function(), item.copies(), item.lanes(), item.loadTime()));
       }
     }
     return due;
   }
 
   /**
-   * Not ordered yet, or it stands and nobody is known to have used it for so long that it might age out within its
-   * hold.
+   * Whether the hold was not ordered yet, or its copy is loaded and has had no known use for so long that it might age
+   * out before the hold ends.
    */
-  private boolean wanted(Wish w, long now) {
-    if (now < w.askAt || w.orderedAt < 0) {
-      return now >= w.askAt;
+  private boolean shouldPropose(PlannedHold hold, long now) {
+    if (now < hold.proposeAfter || hold.orderedAt < 0) {
+      return now >= hold.proposeAfter;
     }
-    long used = account.lastUse(w.item.worker(), w.item.function());
-    return w.stands && now >= w.renewAt && now >= used + (long) (RENEW * keepAlive);
+    long lastUse = account.lastUse(hold.item.worker(), hold.item.function());
+    return hold.loaded
+        && now >= hold.renewAfter
+        && now >= lastUse + (long) (RENEWAL_FRACTION * keepAliveMicros);
   }
 
-  /** The router ordered what was proposed. */
+  /** Records that the router ordered a proposed hold. */
   public void ordered(String worker, String function, long now) {
-    Key key = new Key(worker, function);
-    Wish w = wishes.get(key);
-    if (w != null) {
-      orders++;
-      w.orderedAt = now;
-      w.stands = false;
-      ordered.put(key, w);
+    CopyKey key = new CopyKey(worker, function);
+    PlannedHold hold = holds.get(key);
+    if (hold != null) {
+      orderCount++;
+      hold.orderedAt = now;
+      hold.loaded = false;
+      pendingOrders.put(key, hold);
     }
   }
 
-  /** A load order ended, whoever wanted it. */
-  public void loaded(String worker, String function, Outcome outcome, long latency, long now) {
-    Key key = new Key(worker, function);
-    Wish w = ordered.remove(key);
-    if (w == null) {
+  /** Records the outcome of any load order, also of orders made for calls. */
+  public void loaded(
+      String worker, String function, Outcome outcome, long latencyMicros, long now) {
+    CopyKey key = new CopyKey(worker, function);
+    PlannedHold hold = pendingOrders.remove(key);
+    if (hold == null) {
       return;
     }
-    w.stands = outcome == Outcome.OK;
-    w.renewAt = now + (long) (RENEW * keepAlive);
-    if (w.stands) {
+    hold.loaded = outcome == Outcome.OK;
+    hold.renewAfter = now + (long) (RENEWAL_FRACTION * keepAliveMicros);
+    if (hold.loaded) {
       account.loaded(
-          worker, function, w.orderedAt, latency, w.item.memoryMb(), w.item.until(), now);
-    } else if (wishes.get(key) == w) {
-      // Refused or lost: the archive or the worker has other things to do, and asking again
-      // would make that worse.
-      wishes.remove(key);
-      mine.remove(w);
+          worker,
+          function,
+          hold.orderedAt,
+          latencyMicros,
+          hold.item.memoryMb(),
+          hold.item.until(),
+          now);
+    } else if (holds.get(key) == hold) {
+      // The order was refused or lost, so the archive or the worker may be overloaded; another
+      // order would add to that.
+      holds.remove(key);
+      ownHolds.remove(hold);
     }
   }
 
   /**
-   * A served attempt and what it met there.
+   * Records a served attempt.
    *
-   * @return what to tell the other dispatchers: that a copy one of them ordered was found; null where there is nothing.
-   *     The message may be lost; the copy then counts as unused, which errs against loading ahead.
+   * @param note state of the copy that the attempt found
+   * @return message to the other dispatchers that a copy ordered by one of them was found; null if there is none. If
+   *     the message is lost, the copy counts as unused, which underrates loading ahead.
    */
   public String served(String worker, String function, Note note, long now) {
     account.served(worker, function, note, now);
-    Wish w = note == Note.WARM ? wishes.get(new Key(worker, function)) : null;
-    if (w == null
-        || w.item.owned()
-        || now < w.toldAt + (long) (TELL * keepAlive)
-        || now < w.item.from()
-        || now >= w.item.until()) {
+    PlannedHold hold = note == Note.WARM ? holds.get(new CopyKey(worker, function)) : null;
+    if (hold == null
+        || hold.item.owned()
+        || now < hold.notifiedAt + (long) (NOTIFICATION_FRACTION * keepAliveMicros)
+        || now < hold.item.from()
+        || now >= hold.item.until()) {
       return null;
     }
-    w.toldAt = now;
-    String text = FOUND + worker + " " + function;
-    return text.length() <= MOST_MESSAGE && worker.indexOf(' ') < 0 ? text : null;
+    hold.notifiedAt = now;
+    String text = FOUND_PREFIX + worker + " " + function;
+    return text.length() <= MAX_MESSAGE_LENGTH && worker.indexOf(' ') < 0 ? text : null;
   }
 
-  /** Another dispatcher said something; what is not about a copy found is passed over. */
+  /** Handles a message of another dispatcher; messages that do not report a found copy are ignored. */
   public void peerMessage(String text, long now) {
-    int gap = text.indexOf(' ', FOUND.length());
-    if (text.startsWith(FOUND) && gap > 0) {
-      account.foundElsewhere(text.substring(FOUND.length(), gap), text.substring(gap + 1), now);
+    int separator = text.indexOf(' ', FOUND_PREFIX.length());
+    if (text.startsWith(FOUND_PREFIX) && separator > 0) {
+      account.foundElsewhere(
+          text.substring(FOUND_PREFIX.length(), separator), text.substring(separator + 1), now);
     }
   }
 
-  /** The account of what was loaded. */
+  /** The accounting of the loads ahead. */
   public LoadAheadAccounting account() {
     return account;
   }
 
-  /** The plan in hand: its epoch and version, for the log. */
+  /** The current plan. */
   public Plan plan() {
     return plan;
   }
 
-  /** True while there is something left to propose or to hold anew. */
+  /** Whether there are holds left to propose or to renew. */
   public boolean hasPendingHolds() {
-    return !mine.isEmpty();
+    return !ownHolds.isEmpty();
   }
 
-  /** Orders that the router made of proposals. */
+  /** Number of proposals that the router turned into orders. */
   public long orderCount() {
-    return orders;
+    return orderCount;
   }
 }
--- a/decisions/src/test/java/gorseladder/ahead/SeenTest.java
+++ b/decisions/src/test/java/gorseladder/ahead/SeenTest.java
@@ -8,36 +8,36 @@
 import org.junit.jupiter.api.Test;
 
 class SeenTest {
-  private final FunctionStats seen = new FunctionStats();
+  private final FunctionStats stats = new FunctionStats();
 
-  /** Orders for copies that stand are answered at once; they must not make loads look free. */
+  /** Orders for loaded copies are answered at once and must not lower the measured load time. */
   @Test
   void renewalsDoNotHideWhatLoadsTake() {
-    seen.callAccepted("f", 400, 2);
-    seen.loaded("f", 1_000);
-    seen.loaded("f", 700_000);
+    stats.callAccepted("f", 400, 2);
+    stats.loaded("f", 1_000);
+    stats.loaded("f", 700_000);
     for (int i = 0; i < 50; i++) {
-      seen.loaded("f", 1_000);
+      stats.loaded("f", 1_000);
     }
     assertEquals(
-        new FunctionStats.Snapshot(1, 400, 2, 0, 700_000), seen.takeSnapshots().get("f"));
+        new FunctionStats.Snapshot(1, 400, 2, 0, 700_000), stats.takeSnapshots().get("f"));
   }
 
   @Test
   void workAndLoadAreToldApartAndCallsCountOnce() {
     for (int i = 0; i < 3; i++) {
-      seen.callAccepted("f", 400, 2);
-      seen.served("f", Note.WARM, 200_000);
-      seen.served("f", Note.BEGAN, 900_000);
-      seen.served("f", Note.WAITED, 900_000);
+      stats.callAccepted("f", 400, 2);
+      stats.served("f", Note.WARM, 200_000);
+      stats.served("f", Note.BEGAN, 900_000);
+      stats.served("f", Note.WAITED, 900_000);
     }
-    seen.served("unknown", Note.WARM, 1);
-    Map<String, FunctionStats.Snapshot> taken = seen.takeSnapshots();
-    assertEquals(Map.of("f", new FunctionStats.Snapshot(3, 400, 2, 200_000, 700_000)), taken);
-    seen.callAccepted("f", 400, 2);
-    assertEquals(1, seen.takeSnapshots().get("f").calls());
-    assertTrue(seen.takeSnapshots().isEmpty(), "not called since");
-    seen.restoreCalls(taken);
-    assertEquals(taken, seen.takeSnapshots(), "what could not be told is counted again");
+    stats.served("unknown", Note.WARM, 1);
+    Map<String, FunctionStats.Snapshot> snapshots = stats.takeSnapshots();
+    assertEquals(Map.of("f", new FunctionStats.Snapshot(3, 400, 2, 200_000, 700_000)), snapshots);
+    stats.callAccepted("f", 400, 2);
+    assertEquals(1, stats.takeSnapshots().get("f").calls());
+    assertTrue(stats.takeSnapshots().isEmpty(), "not called since");
+    stats.restoreCalls(snapshots);
+    assertEquals(snapshots, stats.takeSnapshots(), "what could not be sent is counted again");
   }
 }
