--- a/decisions/src/main/java/gorseladder/ahead/LoadAheadAccounting.java
+++ b/decisions/src/main/java/gorseladder/ahead/LoadAheadAccounting.java
@@ -1,6 +1,6 @@
 package gorseladder.ahead;
 
-import gorseladder.RouterApi.Note;
+import gorseladder.RouterApi.CopyStatus;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.Iterator;
@@ -136,12 +136,12 @@
   }
 
   /** Records a served attempt and the state of the copy that it found. */
-  public void served(String worker, String function, Note note, long now) {
+  public void served(String worker, String function, CopyStatus note, long now) {
     CopyKey key = new CopyKey(worker, function);
     OpenRecord record = openRecords.get(key);
-    if (note == Note.WARM && record != null) {
+    if (note == CopyStatus.WARM && record != null) {
       recordUse(record, function, now);
-    } else if (note == Note.BEGAN) {
+    } else if (note == CopyStatus.BEGAN) {
       Long servedAt = lastServedAt.get(key);
       if (record != null) {
         close(key, record, now);
--- a/decisions/src/main/java/gorseladder/ahead/PlanExecutor.java
+++ b/decisions/src/main/java/gorseladder/ahead/PlanExecutor.java
@@ -1,8 +1,8 @@
 package gorseladder.ahead;
 
-import gorseladder.RouterApi.Hold;
-import gorseladder.RouterApi.Note;
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Outcome;
+import gorseladder.RouterApi.PlannedLoad;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.Iterator;
@@ -132,9 +132,9 @@
   }
 
   /** Returns the holds to propose to the router now. Called a few times a second, it spreads a plan over time. */
-  public List<Hold> due(long now) {
+  public List<PlannedLoad> due(long now) {
     account.closeExpired(now);
-    List<Hold> due = new ArrayList<>();
+    List<PlannedLoad> due = new ArrayList<>();
     if (plan.expiresAt() <= now) {
       holds.clear();
       ownHolds.clear();
@@ -149,7 +149,7 @@
       } else if (now >= item.from() && shouldPropose(hold, now)) {
         hold.proposeAfter = now + RETRY_MICROS;
         due.add(
-            new Hold(item.worker(), item.function(), item.copies(), item.lanes(), item.loadTime()));
+            new PlannedLoad(item.worker(), item.function(), item.copies(), item.lanes(), item.loadTime()));
       }
     }
     return due;
@@ -215,9 +215,9 @@
    * @return message to the other dispatchers that a copy ordered by one of them was found; null if there is none. If
    *     the message is lost, the copy counts as unused, which underrates loading ahead.
    */
-  public String served(String worker, String function, Note note, long now) {
+  public String served(String worker, String function, CopyStatus note, long now) {
     account.served(worker, function, note, now);
-    PlannedHold hold = note == Note.WARM ? holds.get(new CopyKey(worker, function)) : null;
+    PlannedHold hold = note == CopyStatus.WARM ? holds.get(new CopyKey(worker, function)) : null;
     if (hold == null
         || hold.item.owned()
         || now < hold.notifiedAt + (long) (NOTIFICATION_FRACTION * keepAliveMicros)
--- a/decisions/src/test/java/gorseladder/RouterTest.java
+++ b/decisions/src/test/java/gorseladder/RouterTest.java
@@ -7,24 +7,24 @@
 
 import gorseladder.RouterApi.Action;
 import gorseladder.RouterApi.Answer;
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Effect;
 import gorseladder.RouterApi.Event;
 import gorseladder.RouterApi.Fail;
 import gorseladder.RouterApi.Group;
-import gorseladder.RouterApi.Hold;
 import gorseladder.RouterApi.ListKind;
 import gorseladder.RouterApi.Load;
 import gorseladder.RouterApi.Loaded;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.Phase;
+import gorseladder.RouterApi.PlannedLoad;
 import gorseladder.RouterApi.Refuse;
 import gorseladder.RouterApi.Request;
 import gorseladder.RouterApi.Send;
 import gorseladder.RouterApi.Settings;
 import gorseladder.RouterApi.TimerDue;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.order.SharedOrder;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -46,7 +46,7 @@
 
   private void start(boolean loadsOnMiss, boolean duplicates, WorkerEntry... entries) {
     router = new Router(TestSites.settings(loadsOnMiss, duplicates), 1);
-    tell(new Workers(ListKind.SAVED, List.of(entries)));
+    tell(new WorkerListUpdate(ListKind.SAVED, List.of(entries)));
   }
 
   private void tell(Event event) {
@@ -68,7 +68,7 @@
   }
 
   private void answer(long id, int attempt, String worker, Outcome outcome) {
-    Note note = outcome == Outcome.OK ? Note.WARM : Note.NONE;
+    CopyStatus note = outcome == Outcome.OK ? CopyStatus.WARM : CopyStatus.NONE;
     tell(new Answer(
         id, attempt, worker, outcome, outcome == Outcome.OK, 100 * MS, note, 0, Map.of()));
   }
@@ -128,13 +128,13 @@
     start(true, false, running("a"), running("b"));
     request(1, "safe", "f");
     request(2, "unsafe", "g");
-    tell(new RouterApi.TimeUp(1));
+    tell(new RouterApi.AnswerDue(1));
     assertEquals(1, got(Refuse.class).size());
-    tell(new RouterApi.TimeUp(2));
+    tell(new RouterApi.AnswerDue(2));
     assertEquals(1, got(RouterApi.Fail.class).size());
-    tell(new RouterApi.TimeUp(2));
+    tell(new RouterApi.AnswerDue(2));
     tell(new TimerDue("d1"));
-    tell(new RouterApi.TimeUp(3));
+    tell(new RouterApi.AnswerDue(3));
     assertTrue(got(Refuse.class).isEmpty() && got(RouterApi.Fail.class).isEmpty());
   }
 
@@ -258,17 +258,17 @@
     later(3 * SECOND - 2 * MS);
     tell(new TimerDue("d1"));
     request(2, "unsafe", "f");
-    tell(new Workers(ListKind.DELTA, List.of(running("a"))));
+    tell(new WorkerListUpdate(ListKind.DELTA, List.of(running("a"))));
     assertEquals("a", sentTo());
   }
 
   @Test
   void drainingAndGoneWorkersGetNothing() {
     start(false, false, running("a"), running("b"));
-    tell(new Workers(ListKind.DELTA, List.of(TestSites.entry("a", Phase.DRAINING, 0))));
+    tell(new WorkerListUpdate(ListKind.DELTA, List.of(TestSites.entry("a", Phase.DRAINING, 0))));
     request(1, "safe", functionThatStartsAt("a", "b"));
     assertEquals("b", got(Load.class).get(0).worker());
-    tell(new Workers(ListKind.FULL, List.of()));
+    tell(new WorkerListUpdate(ListKind.FULL, List.of()));
     request(2, "safe", "g");
     later(50 * MS);
     assertTrue(got(Load.class).isEmpty() && got(Send.class).isEmpty());
@@ -292,7 +292,7 @@
     missEverywhere(1, "f");
     tell(new Loaded("a", "f", 1, Outcome.OK, 500 * MS));
     answer(1, 1, sentTo(), Outcome.OK);
-    tell(new Workers(ListKind.DELTA, List.of(TestSites.entry("a", Phase.RUNNING, now))));
+    tell(new WorkerListUpdate(ListKind.DELTA, List.of(TestSites.entry("a", Phase.RUNNING, now))));
     now += 100 * MS;
     request(2, "safe", "f");
     assertTrue(got(Send.class).isEmpty(), "believed empty after the restart, and cold");
@@ -322,12 +322,12 @@
           .get(i)
           .on(
               now,
-              new Workers(
+              new WorkerListUpdate(
                   ListKind.SAVED,
                   List.of(TestSites.entry("cold", Phase.RUNNING, now), running("warm"))),
               actions::add);
     }
-    long window = settings.rules().overloadFor();
+    long window = settings.rules().overloadWindow();
     int[] sent = new int[1];
     for (long t = 0; t < window; t += 10 * MS) {
       long id = t;
@@ -347,7 +347,7 @@
   @Test
   void sickWorkerIsToldOnceAndShunnedAfterTwoMessages() {
     router = new Router(TestSites.settings(true, false, 50), 1);
-    tell(new Workers(ListKind.SAVED, List.of(running("a"), running("b"), running("c"))));
+    tell(new WorkerListUpdate(ListKind.SAVED, List.of(running("a"), running("b"), running("c"))));
     request(1, "safe", "f");
     String bad = sentTo();
     answer(1, 0, bad, Outcome.RESET);
@@ -357,7 +357,7 @@
     List<Action> done = new ArrayList<>();
     peer.on(
         now,
-        new Workers(ListKind.SAVED, List.of(running("a"), running("b"), running("c"))),
+        new WorkerListUpdate(ListKind.SAVED, List.of(running("a"), running("b"), running("c"))),
         done::add);
     peer.on(now, new RouterApi.PeerMessage(3, "no such words"), done::add);
     peer.on(now, new RouterApi.PeerMessage(3, "sick of-it"), done::add);
@@ -377,7 +377,7 @@
   @Test
   void crowdsWidenTheHomeOfAFunction() {
     router = new Router(TestSites.settings(true, false, 50), 1);
-    tell(new Workers(
+    tell(new WorkerListUpdate(
         ListKind.SAVED, List.of(running("a"), running("b"), running("c"), running("d"))));
     java.util.Set<String> used = new java.util.HashSet<>();
     for (long id = 1; id < 40; id++) {
@@ -385,7 +385,7 @@
       String worker = sentTo();
       used.add(worker);
       now += 300 * MS;
-      tell(new Answer(id, 0, worker, Outcome.OK, true, 100 * MS, Note.WARM, 6, Map.of()));
+      tell(new Answer(id, 0, worker, Outcome.OK, true, 100 * MS, CopyStatus.WARM, 6, Map.of()));
     }
     assertTrue(used.size() > 2, "spread over " + used);
   }
@@ -394,11 +394,11 @@
   @Test
   void callsThatStayOutWidenTheHomeWithoutAnyAnswer() {
     router = new Router(TestSites.settings(true, false, 50), 1);
-    tell(new Workers(
+    tell(new WorkerListUpdate(
         ListKind.SAVED, List.of(running("a"), running("b"), running("c"), running("d"))));
     request(1, "safe", "f");
     String warm = sentTo();
-    tell(new Answer(1, 0, warm, Outcome.OK, true, 300 * MS, Note.WARM, 0, Map.of()));
+    tell(new Answer(1, 0, warm, Outcome.OK, true, 300 * MS, CopyStatus.WARM, 0, Map.of()));
     java.util.Set<String> used = new java.util.HashSet<>();
     for (long id = 2; id < 14; id++) {
       request(id, "unsafe", "f");
@@ -418,7 +418,7 @@
     start(true, true, running("a"), running("b"), running("c"), running("d"));
     for (long id = 100; id < 140; id++) {
       request(id, "safe", "f");
-      tell(new Answer(id, 0, sentTo(), Outcome.OK, true, 50 * MS, Note.WARM, 6, Map.of()));
+      tell(new Answer(id, 0, sentTo(), Outcome.OK, true, 50 * MS, CopyStatus.WARM, 6, Map.of()));
       now += 300 * MS;
     }
     int most = 0;
@@ -447,7 +447,7 @@
       if (!got(Send.class).isEmpty()) {
         String worker = sentTo();
         now += 300 * MS;
-        tell(new Answer(id, 0, worker, Outcome.OK, true, 900 * MS, Note.WARM, 0, Map.of()));
+        tell(new Answer(id, 0, worker, Outcome.OK, true, 900 * MS, CopyStatus.WARM, 0, Map.of()));
       }
     }
     int refused = 0;
@@ -495,7 +495,15 @@
         for (int attempt = 0; !got(Send.class).isEmpty(); attempt++) {
           now += 2 * MS;
           tell(new Answer(
-              id, attempt, sentTo(), Outcome.FULL, false, 2 * MS, Note.NONE, crowd, Map.of()));
+              id,
+              attempt,
+              sentTo(),
+              Outcome.FULL,
+              false,
+              2 * MS,
+              CopyStatus.NONE,
+              crowd,
+              Map.of()));
         }
         request(1000 + id, "safe", "hot");
         refused += got(Refuse.class).size();
@@ -562,14 +570,14 @@
   @Test
   void twoErrorsNearEachOtherMakeAWorkerSuspect() {
     start(true, false, running("a"), running("b"), running("c"));
-    tell(new Workers(
+    tell(new WorkerListUpdate(
         ListKind.DELTA,
         List.of(TestSites.entry("b", Phase.GONE, 0), TestSites.entry("c", Phase.GONE, 0))));
     request(1, "unsafe", "f");
     answer(1, 0, "a", Outcome.ERROR);
     request(2, "unsafe", "g");
     answer(2, 0, "a", Outcome.ERROR);
-    tell(new Workers(ListKind.DELTA, List.of(running("b"), running("c"))));
+    tell(new WorkerListUpdate(ListKind.DELTA, List.of(running("b"), running("c"))));
     for (long id = 3; id < 20; id++) {
       request(id, "safe", "f" + id);
       assertTrue(got(Send.class).stream().noneMatch(s -> s.worker().equals("a")));
@@ -629,8 +637,8 @@
   @Test
   void failedSubscriptionIsRenewed() {
     start(true, false, running("a"));
-    tell(new Workers(ListKind.FAILED, List.of()));
-    assertEquals(List.of(new RouterApi.WatchList()), actions);
+    tell(new WorkerListUpdate(ListKind.FAILED, List.of()));
+    assertEquals(List.of(new RouterApi.SubscribeWorkerList()), actions);
   }
 
   /** Whatever comes late or is unknown neither throws nor sends. */
@@ -639,7 +647,7 @@
     start(false, false, running("a"));
     request(1, "safe", "f");
     String worker = sentTo();
-    tell(new Workers(ListKind.FULL, List.of()));
+    tell(new WorkerListUpdate(ListKind.FULL, List.of()));
     for (Event odd : List.of(
         new Loaded("nobody", "f", 1, Outcome.OK, MS),
         new Loaded("a", "nothing", 1, Outcome.OK, MS),
@@ -647,8 +655,8 @@
         new TimerDue("no such timer"),
         new RouterApi.FirstByte(99, 0, "a", MS),
         new RouterApi.PeerMessage(99, ""),
-        new Answer(1, 7, "a", Outcome.OK, true, MS, Note.WARM, 0, Map.of()),
-        new Answer(1, -1, "a", Outcome.OK, true, MS, Note.WARM, 0, Map.of()))) {
+        new Answer(1, 7, "a", Outcome.OK, true, MS, CopyStatus.WARM, 0, Map.of()),
+        new Answer(1, -1, "a", Outcome.OK, true, MS, CopyStatus.WARM, 0, Map.of()))) {
       tell(odd);
       assertTrue(got(Send.class).isEmpty() && got(Load.class).isEmpty(), "on " + odd);
     }
@@ -684,8 +692,8 @@
     assertThrows(IllegalArgumentException.class, () -> new Router(null, 1));
   }
 
-  private static Hold hold(String worker, String function) {
-    return new Hold(worker, function, 1, 1, 500 * MS);
+  private static PlannedLoad hold(String worker, String function) {
+    return new PlannedLoad(worker, function, 1, 1, 500 * MS);
   }
 
   /** A copy held by a plan is believed warm once it stands, so the next call goes there. */
--- a/decisions/src/test/java/gorseladder/ahead/AheadTest.java
+++ b/decisions/src/test/java/gorseladder/ahead/AheadTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gorseladder.RouterApi.Hold;
-import gorseladder.RouterApi.Note;
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Outcome;
+import gorseladder.RouterApi.PlannedLoad;
 import gorseladder.ahead.PlanExecutor.Verdict;
 import java.util.ArrayList;
 import java.util.List;
@@ -28,7 +28,7 @@
         worker, function, 1, 1, now, now + 60 * SECOND_MICROS, LOAD_MICROS, 400, true);
   }
 
-  private List<Hold> due() {
+  private List<PlannedLoad> due() {
     return executor.due(now);
   }
 
@@ -82,7 +82,7 @@
     for (; ordered < 10; rounds++) {
       assertTrue(rounds < 40);
       now += SECOND_MICROS / 4;
-      for (Hold hold : due()) {
+      for (PlannedLoad hold : due()) {
         executor.ordered(hold.worker(), hold.function(), now);
         ordered++;
       }
@@ -99,16 +99,18 @@
     load("w", "g");
     assertEquals(List.of(), due());
     now += 4 * SECOND_MICROS;
-    executor.served("w", "g", Note.WARM, now);
+    executor.served("w", "g", CopyStatus.WARM, now);
     now += 3 * SECOND_MICROS;
     assertEquals(
-        List.of("f"), due().stream().map(Hold::function).toList(), "g was used a short while ago");
+        List.of("f"),
+        due().stream().map(PlannedLoad::function).toList(),
+        "g was used a short while ago");
     load("w", "f");
     now += 7 * SECOND_MICROS;
     assertEquals(2, due().size());
     load("w", "f");
     load("w", "g");
-    executor.served("w", "f", Note.WARM, now);
+    executor.served("w", "f", CopyStatus.WARM, now);
     now += 60 * SECOND_MICROS;
     assertEquals(List.of(), due(), "the holds have ended");
     LoadAheadAccounting.Entry f = executor.account().takeClosed().stream()
@@ -131,15 +133,15 @@
   void aGapThatACopyOutlivedIsCredited() {
     executor.offer(plan(1, 1, item("w", "f")), now);
     load("w", "f");
-    executor.served("w", "f", Note.WARM, now);
+    executor.served("w", "f", CopyStatus.WARM, now);
     now += 9 * SECOND_MICROS;
-    executor.served("w", "f", Note.WARM, now);
+    executor.served("w", "f", CopyStatus.WARM, now);
     for (int i = 0; i < 2; i++) {
       now += 8 * SECOND_MICROS;
       assertEquals(1, due().size());
       load("w", "f");
     }
-    executor.served("w", "f", Note.WARM, now);
+    executor.served("w", "f", CopyStatus.WARM, now);
     now += 60 * SECOND_MICROS;
     due();
     LoadAheadAccounting.Entry e = executor.account().takeClosed().get(0);
@@ -153,11 +155,11 @@
     executor.offer(plan(1, 1, item("w", "f"), item("w", "g")), now);
     executor.ordered("w", "f", now);
     executor.loaded("w", "f", Outcome.FULL, LOAD_MICROS, now);
-    assertEquals(List.of("g"), due().stream().map(Hold::function).toList());
+    assertEquals(List.of("g"), due().stream().map(PlannedLoad::function).toList());
     executor.offer(plan(1, 2, item("w", "f")), now);
     assertEquals(
         List.of("f"),
-        due().stream().map(Hold::function).toList(),
+        due().stream().map(PlannedLoad::function).toList(),
         "a later plan may propose it again");
     now += 1_000 * SECOND_MICROS;
     assertEquals(List.of(), due());
@@ -168,7 +170,7 @@
     executor.offer(plan(1, 1, item("w", "f")), now);
     executor.ordered("w", "f", now);
     executor.offer(plan(1, 2, item("w", "f"), item("w", "g")), now);
-    assertEquals(List.of("g"), due().stream().map(Hold::function).toList());
+    assertEquals(List.of("g"), due().stream().map(PlannedLoad::function).toList());
     now += LOAD_MICROS;
     executor.loaded("w", "f", Outcome.OK, LOAD_MICROS, now);
     assertEquals(1, executor.account().openCount());
@@ -183,11 +185,11 @@
     executor.offer(plan(1, 1, item("w", "f"), item("w", "wasted")), now);
     load("w", "f");
     load("w", "wasted");
-    executor.served("w", "f", Note.WARM, now);
+    executor.served("w", "f", CopyStatus.WARM, now);
     now += LOAD_MICROS / 4;
-    executor.served("w", "f", Note.WARM, now);
+    executor.served("w", "f", CopyStatus.WARM, now);
     now += LOAD_MICROS;
-    executor.served("w", "f", Note.WARM, now);
+    executor.served("w", "f", CopyStatus.WARM, now);
     now += 30 * SECOND_MICROS;
     due();
     List<LoadAheadAccounting.Entry> all = executor.account().takeClosed();
@@ -207,14 +209,14 @@
   /** A call that has to reload a function evicted by a copy is charged to that copy. */
   @Test
   void whatALoadPushesOutIsCharged() {
-    executor.served("w", "victim", Note.WARM, now);
+    executor.served("w", "victim", CopyStatus.WARM, now);
     now += SECOND_MICROS;
     executor.offer(plan(1, 1, item("w", "f")), now);
     load("w", "f");
     now += SECOND_MICROS;
-    executor.served("w", "victim", Note.BEGAN, now);
-    executor.served("w", "stranger", Note.BEGAN, now);
-    executor.served("elsewhere", "victim", Note.BEGAN, now);
+    executor.served("w", "victim", CopyStatus.BEGAN, now);
+    executor.served("w", "stranger", CopyStatus.BEGAN, now);
+    executor.served("elsewhere", "victim", CopyStatus.BEGAN, now);
     now += 60 * SECOND_MICROS;
     due();
     LoadAheadAccounting.Entry e = executor.account().takeClosed().get(0);
@@ -227,7 +229,7 @@
   void aCopyThatIsGoneWhenItsCallComesIsWaste() {
     executor.offer(plan(1, 1, item("w", "f")), now);
     load("w", "f");
-    executor.served("w", "f", Note.BEGAN, now + SECOND_MICROS);
+    executor.served("w", "f", CopyStatus.BEGAN, now + SECOND_MICROS);
     assertEquals(0, executor.account().takeClosed().get(0).found());
   }
 
@@ -244,10 +246,10 @@
         now);
     assertEquals(List.of(), otherExecutor.due(now), "the other dispatcher owns the item");
     load("w", "f");
-    assertEquals(null, otherExecutor.served("w", "g", Note.WARM, now));
-    assertEquals(null, otherExecutor.served("w", "f", Note.BEGAN, now));
-    String message = otherExecutor.served("w", "f", Note.WARM, now);
-    assertEquals(null, otherExecutor.served("w", "f", Note.WARM, now), "not again so soon");
+    assertEquals(null, otherExecutor.served("w", "g", CopyStatus.WARM, now));
+    assertEquals(null, otherExecutor.served("w", "f", CopyStatus.BEGAN, now));
+    String message = otherExecutor.served("w", "f", CopyStatus.WARM, now);
+    assertEquals(null, otherExecutor.served("w", "f", CopyStatus.WARM, now), "not again so soon");
     executor.peerMessage("sick w", now);
     executor.peerMessage("found ", now);
     executor.peerMessage("found w", now);
--- a/decisions/src/test/java/gorseladder/ahead/SeenTest.java
+++ b/decisions/src/test/java/gorseladder/ahead/SeenTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gorseladder.RouterApi.Note;
+import gorseladder.RouterApi.CopyStatus;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
@@ -27,11 +27,11 @@
   void workAndLoadAreToldApartAndCallsCountOnce() {
     for (int i = 0; i < 3; i++) {
       stats.callAccepted("f", 400, 2);
-      stats.served("f", Note.WARM, 200_000);
-      stats.served("f", Note.BEGAN, 900_000);
-      stats.served("f", Note.WAITED, 900_000);
+      stats.served("f", CopyStatus.WARM, 200_000);
+      stats.served("f", CopyStatus.BEGAN, 900_000);
+      stats.served("f", CopyStatus.WAITED, 900_000);
     }
-    stats.served("unknown", Note.WARM, 1);
+    stats.served("unknown", CopyStatus.WARM, 1);
     Map<String, FunctionStats.Snapshot> snapshots = stats.takeSnapshots();
     assertEquals(Map.of("f", new FunctionStats.Snapshot(3, 400, 2, 200_000, 700_000)), snapshots);
     stats.callAccepted("f", 400, 2);
--- a/edge/src/main/java/gorseladder/edge/Edge.java
+++ b/edge/src/main/java/gorseladder/edge/Edge.java
@@ -2,14 +2,14 @@
 
 import gorseladder.RouterApi;
 import gorseladder.RouterApi.Phase;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.answers.RetryAdvice;
 import gorseladder.config.Address;
 import gorseladder.config.SettingsFile;
 import gorseladder.config.proto.EdgeSettings;
 import gorseladder.core.Core;
-import gorseladder.core.PauseClock;
 import gorseladder.core.RuleLog;
+import gorseladder.core.StallDetector;
 import gorseladder.edge.core.AdmissionCheck;
 import gorseladder.edge.core.Intake;
 import gorseladder.edge.core.TakenCall;
@@ -55,7 +55,7 @@
 
   private final EdgeSettings settings;
   private final Watchdog watchdog;
-  private final PauseClock pauses;
+  private final StallDetector pauses;
   private final Ledger ledger;
   private final CallHistory history;
   private final Runners runners;
@@ -116,7 +116,7 @@
       throw e;
     }
     watchdog = new Watchdog("watchdog", stack);
-    pauses = new PauseClock(watchdog);
+    pauses = new StallDetector(watchdog);
     runners = new Runners(
         config.runners(),
         answers,
@@ -168,7 +168,7 @@
         stack,
         new ListHearer());
     planner =
-        settings.hasPlanner() ? new PlannerLink(settings, ledger.boots(), core, history) : null;
+        settings.hasPlanner() ? new PlannerLink(settings, ledger.openCount(), core, history) : null;
     front = new WebhookFront(
         config.webhooks(),
         requests,
@@ -207,9 +207,9 @@
         "edge {} takes webhooks at {}, up to {} bytes of messages; its ledger remembers {} messages, boot {}",
         settings.getOrdinal(),
         Address.print(address()),
-        messageBytes.most(),
+        messageBytes.limit(),
         ledger.size(),
-        ledger.boots());
+        ledger.openCount());
   }
 
   /** Loads a settings file with all checks that an edge needs. */
@@ -248,7 +248,7 @@
 
     @Override
     public void load(String worker, String function, int copies) {
-      runners.load(worker, function, copies, core.newsKnown());
+      runners.load(worker, function, copies, core.workerListUpdateCount());
     }
 
     @Override
@@ -274,9 +274,9 @@
     }
 
     @Override
-    public void list(Workers workers) {
+    public void list(WorkerListUpdate workers) {
       newsTold++;
-      core.listNews(workers);
+      core.workerListChanged(workers);
     }
   }
 
@@ -284,7 +284,7 @@
     watchdog.after(CHECK_EVERY, () -> {
       if (!closed.get()) {
         runners.check();
-        ledger.forgetUntil(ledger.clock().micros());
+        ledger.expireUntil(ledger.clock().micros());
         tellLedgerTrouble();
         checkLater();
       }
@@ -292,7 +292,7 @@
   }
 
   private void tellLedgerTrouble() {
-    String trouble = ledger.trouble();
+    String trouble = ledger.writeProblem();
     if (!Objects.equals(trouble, ledgerTrouble)) {
       LOG.warn(
           "the ledger {}",
--- a/edge/src/main/java/gorseladder/edge/EdgeConfig.java
+++ b/edge/src/main/java/gorseladder/edge/EdgeConfig.java
@@ -116,7 +116,7 @@
               e.getToleranceS(),
               routes,
               routes.values().stream()
-                  .mapToLong(r -> r.requestClass().aim())
+                  .mapToLong(r -> r.requestClass().latencyTarget())
                   .max()
                   .orElse(0)));
     }
@@ -152,7 +152,7 @@
     s.getTenantList().forEach(t -> shares.put(t.getName(), t.getShare()));
     return s.getAdaptiveAdmission()
         ? new Admission(
-            new Admission.Told(l.getMaxCalls(), shares, ms(l.getMaxRetryAfterMs())),
+            new Admission.Settings(l.getMaxCalls(), shares, ms(l.getMaxRetryAfterMs())),
             System.nanoTime() ^ s.getOrdinal())
         : null;
   }
--- a/edge/src/main/java/gorseladder/edge/front/WebhookFront.java
+++ b/edge/src/main/java/gorseladder/edge/front/WebhookFront.java
@@ -4,8 +4,8 @@
 import gorseladder.answers.Reason;
 import gorseladder.core.Core;
 import gorseladder.core.FinalAnswer;
-import gorseladder.core.PauseClock;
-import gorseladder.core.ThreadSharer;
+import gorseladder.core.StallDetector;
+import gorseladder.core.ThreadReclaimer;
 import gorseladder.edge.core.AdmissionCheck;
 import gorseladder.edge.core.Intake;
 import gorseladder.edge.core.TakenCall;
@@ -16,7 +16,7 @@
 import gorseladder.runtime.Clock;
 import gorseladder.runtime.HttpConnection;
 import gorseladder.runtime.HttpServer;
-import gorseladder.runtime.MessageBytes;
+import gorseladder.runtime.MessageMemory;
 import gorseladder.runtime.NoRoomException;
 import gorseladder.runtime.ThreadCache;
 import gorseladder.runtime.Watchdog;
@@ -68,13 +68,13 @@
   private final Core<TakenCall> core;
   private final AdmissionCheck admission;
   private final AnswerWriter answers;
-  private final PauseClock pauses;
+  private final StallDetector pauses;
   private final CallLog log;
   private final AtomicInteger inProgress = new AtomicInteger();
   private final TurnQueue turnQueue;
   private final IdleConnections idle = new IdleConnections();
   private final UnfinishedRequests unfinished;
-  private final ThreadSharer sharer = new ThreadSharer(idle);
+  private final ThreadReclaimer sharer = new ThreadReclaimer(idle);
   private volatile boolean stopping;
 
   /**
@@ -89,7 +89,7 @@
       Intake intake,
       Core<TakenCall> core,
       Watchdog watchdog,
-      PauseClock pauses,
+      StallDetector pauses,
       CallLog log) {
     this.settings = settings;
     this.unfinished = unfinished;
@@ -137,12 +137,12 @@
         return;
       }
       // It may have come in a pause that ended just before it was accepted.
-      WebhookFront.this.serve(channel, server, pauses.cameAt(earliest));
+      WebhookFront.this.serve(channel, server, pauses.earliestArrival(earliest));
     }
 
     @Override
     public void spareThread(long waited) {
-      sharer.share(waited);
+      sharer.reclaim(waited);
     }
   }
 
@@ -158,7 +158,7 @@
 
   private void serve(SocketChannel channel, HttpServer server, long earliest) throws IOException {
     HttpConnection c = new HttpConnection(channel, settings.limits());
-    c.arrivals(new ArrivalTimes(pauses::cameAt, earliest));
+    c.arrivals(new ArrivalTimes(pauses::earliestArrival, earliest));
     if (!settings.allowed().contains(c.peer().getAddress())) {
       reject(c, Reason.FORBIDDEN_NETWORK, Reason.FORBIDDEN_NETWORK.text);
       return;
@@ -200,7 +200,7 @@
     c.aroundWaits(() -> {}, () -> {});
     log.rejected(c.peer(), reason, detail);
     answers.write(c, FinalAnswer.of(reason), detail, false);
-    c.closeGently(Clock.micros() + LINGER);
+    c.closeGracefully(Clock.micros() + LINGER);
   }
 
   /** One request and its answer; false where the connection carries no further one. */
@@ -210,7 +210,7 @@
       return false;
     }
     inProgress.incrementAndGet();
-    MessageBytes memory = unfinished.begin();
+    MessageMemory memory = unfinished.begin();
     try {
       return exchange(c, turn, memory);
     } finally {
@@ -234,23 +234,23 @@
     return came;
   }
 
-  private boolean exchange(HttpConnection c, TurnQueue.Turn turn, MessageBytes memory)
+  private boolean exchange(HttpConnection c, TurnQueue.Turn turn, MessageMemory memory)
       throws IOException, BadMessage {
     // Its client has waited since it came: behind another one, in a pause of this process, for a
     // turn.
-    long arrivedAt = c.cameAt();
+    long arrivedAt = c.earliestArrival();
     long until = Clock.micros() + settings.arrival();
     Head head;
     byte[] body;
     try {
       c.takeMemoryFrom(memory);
-      memory.take(HttpConnection.BUFFER);
+      memory.take(HttpConnection.BUFFER_BYTES);
       head = c.readRequest(until);
       BodyParser parser = BodyParser.forRequest(head, settings.limits());
       expectation(c, head, parser);
       body = c.readBody(parser, until);
       if (!unfinished.finish(memory)) {
-        memory.requireOpen();
+        memory.requireNotEnded();
       }
     } catch (SocketTimeoutException e) {
       turn.give();
@@ -292,7 +292,7 @@
     if (expect != null && !expect.equalsIgnoreCase("100-continue")) {
       throw new BadMessage(BadMessage.Fault.WRONG_EXPECTATION, Reason.WRONG_EXPECTATION.text);
     }
-    if (expect != null && head.minorVersion() >= 1 && !body.done() && !c.hasUnreadBytes()) {
+    if (expect != null && head.minorVersion() >= 1 && !body.done() && !c.hasBufferedBytes()) {
       c.write(CONTINUE);
     }
   }
@@ -416,7 +416,9 @@
       }
       RequestClass requestClass = route.requestClass();
       boolean stays = pass.mayStay(
-          key(message, delivery), requestClass.worth() / settings.topWorth(), requestClass.aim());
+          key(message, delivery),
+          requestClass.worth() / settings.topWorth(),
+          requestClass.latencyTarget());
       // Another delivery of the message may have been taken meanwhile.
       if (!stays && !intake.remembers(message)) {
         return overloaded();
@@ -425,7 +427,7 @@
       // tolerance as slack.
       long keepRequest = intake
           .clock()
-          .fromNow(
+          .fromWallClock(
               (delivery.timestamp() + 2 * endpoint.tolerance()) * 1_000_000, Clock.wallMicros());
       times.patience(Math.min(requestClass.deadline(), times.patience()));
       turn.give();
--- a/edge/src/main/java/gorseladder/edge/runners/Runners.java
+++ b/edge/src/main/java/gorseladder/edge/runners/Runners.java
@@ -1,13 +1,13 @@
 package gorseladder.edge.runners;
 
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Effect;
 import gorseladder.RouterApi.Loaded;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.Phase;
-import gorseladder.attempts.AttemptFate;
-import gorseladder.attempts.AttemptFate.Ending;
-import gorseladder.attempts.AttemptFate.Progress;
+import gorseladder.attempts.AttemptOutcomes;
+import gorseladder.attempts.AttemptOutcomes.Ending;
+import gorseladder.attempts.AttemptOutcomes.Progress;
 import gorseladder.attempts.ConnectionChoice;
 import gorseladder.core.Call;
 import gorseladder.core.Core.AttemptEnd;
@@ -21,7 +21,7 @@
 import gorseladder.runtime.Clock;
 import gorseladder.runtime.HttpConnection;
 import gorseladder.runtime.LocalShortage;
-import gorseladder.runtime.MessageBytes;
+import gorseladder.runtime.MessageMemory;
 import gorseladder.runtime.NoRoomException;
 import gorseladder.runtime.ThreadCache;
 import gorseladder.runtime.Watchdog;
@@ -49,7 +49,7 @@
 
 /**
  * Owns the connections to the runners. Each attempt and each load order runs on a thread of its own that blocks on a
- * socket, and ends in exactly one report to the core. What an end is worth is judged by {@link AttemptFate}; whether
+ * socket, and ends in exactly one report to the core. What an end is worth is judged by {@link AttemptOutcomes}; whether
  * bytes may still leave by {@link SendGate}, asked last before the write.
  *
  * <p>Any thread.
@@ -179,7 +179,7 @@
     private final String worker;
     private final long began = Clock.micros();
     private final long until;
-    private final MessageBytes memory = unfinished.memory();
+    private final MessageMemory memory = unfinished.memory();
     private Progress progress = Progress.WAITING;
     private HttpConnection connection;
     private boolean cancelled;
@@ -207,7 +207,7 @@
         return;
       }
       long now = Clock.micros();
-      long look = isCancelled() ? -1 : ConnectionWait.nextLook(now - began, until - now);
+      long look = isCancelled() ? -1 : ConnectionWait.retryDelay(now - began, until - now);
       if (look < 0) {
         end(Ending.NO_RESOURCE);
       } else {
@@ -271,29 +271,30 @@
       unfinished.begin(memory, this::cancel);
       connection.takeMemoryFrom(memory);
       Head head = connection.readResponse(until);
-      progress = Progress.ANSWERING;
+      progress = Progress.RESPONDING;
       byte[] body = connection.readBody(BodyParser.forResponse(head, limits), until);
       if (!unfinished.finish(memory)) {
-        memory.requireOpen();
+        memory.requireNotEnded();
       }
       answered(head, body);
     }
 
     /** Writes the request where the last look allows it; false where it does not. */
     private boolean writeRequest() throws IOException {
-      memory.take(HttpConnection.BUFFER + (long) REQUEST_COST * call.facts().body().length);
+      memory.take(
+          HttpConnection.BUFFER_BYTES + (long) REQUEST_COST * call.facts().body().length);
       byte[] message = message();
-      memory.keepOnly(message.length);
+      memory.shrinkTo(message.length);
       boolean left = write(message);
-      memory.keepOnly(0);
+      memory.shrinkTo(0);
       return left;
     }
 
     private boolean write(byte[] message) throws IOException {
       try {
-        if (!call.departs(() -> leave(message))) {
+        if (!call.sendAtomically(() -> leave(message))) {
           // Without the call's lock: who hears of it has locks of its own.
-          end(AttemptFate.ofHeldBack(lastLook));
+          end(AttemptOutcomes.endingOfDenied(lastLook));
           return false;
         }
         connection.writeFrom(message, written);
@@ -311,7 +312,7 @@
       if (!lastLook.allowed()) {
         return false;
       }
-      progress = Progress.LEAVING;
+      progress = Progress.SENDING;
       guard = watchdog.after(Math.max(0, until - Clock.micros()), connection::abort);
       written = connection.writeAtOnce(message);
       return true;
@@ -322,13 +323,13 @@
       Verdict verdict;
       synchronized (gate) {
         long now = Clock.micros();
-        Call.LastLook look = new Call.LastLook(
+        Call.SendConditions look = new Call.SendConditions(
             isCancelled() ? now : until,
             !gate.callMayLeave(worker),
-            gate.restartedSince(worker, call.attempt(number).decidedWith()),
+            gate.restartedSince(worker, call.attempt(number).listUpdatesAtDecision()),
             0,
             settings.mayDuplicate());
-        verdict = call.leave(number, look, now);
+        verdict = call.trySend(number, look, now);
         leftAt = now;
       }
       if (!verdict.allowed()) {
@@ -360,7 +361,7 @@
           facts.requestClass().effect(),
           facts.requestClass().repeatWindow(),
           settings.mayDuplicate(),
-          call.others(number));
+          call.otherSentAttempts(number));
       rules.written(facts.message(), written);
     }
 
@@ -415,7 +416,7 @@
     private void answered(Head head, byte[] body) throws NoRoomException {
       giveBack(worker, release(), head, call.facts().requestClass().effect());
       boolean neverRan = "no".equals(head.get(Oip.RAN));
-      Outcome outcome = AttemptFate.of(progress, Ending.RESPONSE, head.status(), neverRan);
+      Outcome outcome = AttemptOutcomes.of(progress, Ending.RESPONSE, head.status(), neverRan);
       byte[] result = null;
       if (outcome == Outcome.OK) {
         try {
@@ -436,7 +437,7 @@
           connection.abort();
         }
       }
-      report(AttemptFate.of(progress, told, 0, false), null, null);
+      report(AttemptOutcomes.of(progress, told, 0, false), null, null);
     }
 
     private void report(Outcome outcome, Head head, byte[] result) {
@@ -450,7 +451,7 @@
         all.remove(number);
         return all.isEmpty() ? null : all;
       });
-      Note note = head == null ? Note.NONE : note(head.get(Oip.COPY));
+      CopyStatus note = head == null ? CopyStatus.NONE : note(head.get(Oip.COPY));
       Map<String, Double> load =
           head == null ? Map.of() : LoadReport.parse(head.get(LoadReport.HEADER));
       hearer.attemptEnded(new AttemptEnd<>(
@@ -458,15 +459,15 @@
     }
   }
 
-  private static Note note(String copy) {
+  private static CopyStatus note(String copy) {
     return copy == null
-        ? Note.NONE
+        ? CopyStatus.NONE
         : switch (copy) {
-          case "found" -> Note.WARM;
-          case "began" -> Note.BEGAN;
-          case "awaited" -> Note.WAITED;
-          case "load-failed" -> Note.LOAD_FAILED;
-          default -> Note.NONE;
+          case "found" -> CopyStatus.WARM;
+          case "began" -> CopyStatus.BEGAN;
+          case "awaited" -> CopyStatus.WAITED;
+          case "load-failed" -> CopyStatus.LOAD_FAILED;
+          default -> CopyStatus.NONE;
         };
   }
 
@@ -479,7 +480,7 @@
     Progress progress = Progress.CONNECTING;
     long until = began + settings.order();
     InetSocketAddress address = addresses.apply(worker);
-    MessageBytes memory = unfinished.memory();
+    MessageMemory memory = unfinished.memory();
     try (HttpConnection connection =
         address == null ? null : HttpConnection.open(address, settings.connect() / 1000, limits)) {
       boolean open;
@@ -491,7 +492,7 @@
         return loaded(
             worker, function, 0, connection == null ? Outcome.CONNECT_FAILED : Outcome.MOOT, began);
       }
-      progress = Progress.LEAVING;
+      progress = Progress.SENDING;
       connection.write(HeadWriter.request("POST", Oip.loadTarget(function), worker)
           .field("Content-Type", "application/json")
           .field("Connection", "close")
@@ -500,19 +501,20 @@
       connection.takeMemoryFrom(memory);
       Head head = connection.readResponse(until);
       byte[] body = connection.readBody(BodyParser.forResponse(head, limits), until);
-      Outcome outcome = AttemptFate.of(
-          Progress.ANSWERING, Ending.RESPONSE, head.status(), "no".equals(head.get(Oip.RAN)));
+      Outcome outcome = AttemptOutcomes.of(
+          Progress.RESPONDING, Ending.RESPONSE, head.status(), "no".equals(head.get(Oip.RAN)));
       return loaded(
           worker, function, Oip.copiesIn(outcome == Outcome.OK ? body : NOTHING), outcome, began);
     } catch (SocketTimeoutException e) {
       return loaded(
-          worker, function, 0, AttemptFate.of(progress, Ending.TIMED_OUT, 0, false), began);
+          worker, function, 0, AttemptOutcomes.of(progress, Ending.TIMED_OUT, 0, false), began);
     } catch (NoRoomException e) {
       LOG.warn("an order to {} was given up: {}", worker, e.getMessage());
       return loaded(
-          worker, function, 0, AttemptFate.of(progress, Ending.CANCELLED, 0, false), began);
+          worker, function, 0, AttemptOutcomes.of(progress, Ending.CANCELLED, 0, false), began);
     } catch (IOException | BadMessage | IllegalArgumentException e) {
-      return loaded(worker, function, 0, AttemptFate.of(progress, Ending.BROKEN, 0, false), began);
+      return loaded(
+          worker, function, 0, AttemptOutcomes.of(progress, Ending.BROKEN, 0, false), began);
     } finally {
       memory.end();
     }
@@ -539,7 +541,7 @@
       if (ConnectionChoice.mayReuse(
               effect, age, settings.connectionIdle(), settings.unsafeConnectionIdle())
           && !newest.connection().peerGone()
-          && !newest.connection().hasUnreadBytes()) {
+          && !newest.connection().hasBufferedBytes()) {
         return newest.connection();
       }
       boolean onlyTooOldForThis = effect == Effect.UNSAFE
@@ -563,7 +565,7 @@
     ArrayDeque<Kept> kept = idle.computeIfAbsent(worker, w -> new ArrayDeque<>());
     synchronized (kept) {
       if (head.keepsConnection()
-          && !connection.hasUnreadBytes()
+          && !connection.hasBufferedBytes()
           && ConnectionChoice.mayKeep(effect, kept.size())) {
         keep(kept, new Kept(connection, Clock.micros()));
         return;
--- a/emulator/src/main/java/gorseladder/emulator/EmulatedEdge.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedEdge.java
@@ -5,15 +5,15 @@
 import gorseladder.RouterApi.Answer;
 import gorseladder.RouterApi.Cancel;
 import gorseladder.RouterApi.ClientGone;
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Event;
 import gorseladder.RouterApi.Fail;
-import gorseladder.RouterApi.Hold;
 import gorseladder.RouterApi.Load;
 import gorseladder.RouterApi.Loaded;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.PeerMessage;
 import gorseladder.RouterApi.Phase;
+import gorseladder.RouterApi.PlannedLoad;
 import gorseladder.RouterApi.Refuse;
 import gorseladder.RouterApi.Request;
 import gorseladder.RouterApi.RequestClass;
@@ -22,7 +22,7 @@
 import gorseladder.RouterApi.Settings;
 import gorseladder.RouterApi.TellPeers;
 import gorseladder.RouterApi.TimerDue;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.ahead.FunctionStats;
 import gorseladder.ahead.Plan;
 import gorseladder.ahead.PlanExecutor;
@@ -114,7 +114,7 @@
   }
 
   void tell(Event event) {
-    if (event instanceof Workers w) {
+    if (event instanceof WorkerListUpdate w) {
       w.entries().forEach(e -> {
         if (e.phase() == Phase.RUNNING) {
           notRunning.remove(e.worker());
@@ -181,7 +181,7 @@
     if (action instanceof Send a) {
       send(a);
     } else if (action instanceof SetTimer a) {
-      agenda.after(a.in(), () -> tell(new TimerDue(a.token())));
+      agenda.after(a.delay(), () -> tell(new TimerDue(a.token())));
     } else if (action instanceof Refuse a) {
       over(a.id(), held.get(a.id()), Outcome.FULL);
     } else if (action instanceof Fail a) {
@@ -230,7 +230,9 @@
     }
     attempt.ended = true;
     h.out--;
-    h.cold |= r.note() == Note.BEGAN || r.note() == Note.WAITED || r.outcome() == Outcome.MISS;
+    h.cold |= r.note() == CopyStatus.BEGAN
+        || r.note() == CopyStatus.WAITED
+        || r.outcome() == Outcome.MISS;
     long latency = agenda.now() - attempt.sentAt;
     if (r.outcome() == Outcome.OK) {
       seen.served(h.function.name(), r.note(), latency);
@@ -268,7 +270,7 @@
             a.id(),
             h,
             a.attempt(),
-            new EmulatedRunner.Result(Outcome.CANCELLED, Note.NONE, -1, 0)));
+            new EmulatedRunner.Result(Outcome.CANCELLED, CopyStatus.NONE, -1, 0)));
   }
 
   private void load(Load a) {
@@ -309,7 +311,7 @@
       taken.removeFirst();
     }
     if (ordered.size()
-        > settings.rules().loadsFree() + settings.rules().loadShare() * taken.size()) {
+        > settings.rules().freeLoads() + settings.rules().loadsPerCall() * taken.size()) {
       judge.broken("rule 5: an order beyond the ration");
     }
   }
@@ -325,7 +327,7 @@
   }
 
   private void look() {
-    for (Hold hold : ahead.due(agenda.now())) {
+    for (PlannedLoad hold : ahead.due(agenda.now())) {
       holding = true;
       tell(hold);
       holding = false;
--- a/node/src/main/java/gorseladder/node/Node.java
+++ b/node/src/main/java/gorseladder/node/Node.java
@@ -1,11 +1,11 @@
 package gorseladder.node;
 
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.core.Core;
-import gorseladder.core.PauseClock;
 import gorseladder.core.RuleLog;
-import gorseladder.core.ThreadSharer;
+import gorseladder.core.StallDetector;
+import gorseladder.core.ThreadReclaimer;
 import gorseladder.node.changelog.ChangeLogFollower;
 import gorseladder.node.front.FastCgiFront;
 import gorseladder.node.peers.TierLink;
@@ -61,7 +61,7 @@
   private final Watchdog watchdog;
   private final CallPath path;
   private final Writers writers;
-  private final PauseClock pauses;
+  private final StallDetector pauses;
   private final ThreadCache connectionThreads;
   private final RuleLog rules = new RuleLog();
   private final RunnerLinks links;
@@ -76,7 +76,7 @@
   /** News of the list told to the core; the thread's that follows the change log. */
   private long newsTold;
   /** The list as it was known at the start. */
-  private volatile Workers startList;
+  private volatile WorkerListUpdate startList;
 
   /**
    * Starts a dispatcher; it is live when this returns.
@@ -86,7 +86,7 @@
   public Node(NodeConfig config) throws IOException {
     this.config = config;
     watchdog = new Watchdog("watchdog", STACK);
-    pauses = new PauseClock(watchdog);
+    pauses = new StallDetector(watchdog);
     connectionThreads = new ThreadCache("connection", READY_THREADS, STACK);
     path = new CallPath(config, watchdog, pauses, rules, connectionThreads, this::tellPeers);
     writers = path.writers();
@@ -101,17 +101,17 @@
           }
 
           @Override
-          public void list(Workers workers) {
+          public void list(WorkerListUpdate workers) {
             newsTold++;
             startList = newsTold == 1 ? workers : startList;
-            core.listNews(workers);
+            core.workerListChanged(workers);
           }
         });
     boolean mayTell = config.router().limits().peers()
         && config.peerListen() != null
         && config.peersAll() != null;
     peers = mayTell
-        ? Retry.whilePassing(
+        ? Retry.whileTransient(
             LocalShortage::is,
             () -> new TierLink(
                 config.peerListen(),
@@ -124,9 +124,9 @@
     changeLog.start(config.knownSeq(), config.known(), STACK);
     int warmedUpBy =
         WarmUp.run(config, startList, watchdog, pauses, connectionThreads, WarmUp.MOST);
-    ThreadSharer sharer = new ThreadSharer(front::idle, links::idle);
+    ThreadReclaimer sharer = new ThreadReclaimer(front::idle, links::idle);
     links.shareThreadsBy(sharer);
-    Retry.whilePassing(LocalShortage::is, () -> {
+    Retry.whileTransient(LocalShortage::is, () -> {
       front.listen(config.listen(), STACK, connectionThreads, sharer);
       return front;
     });
@@ -151,11 +151,11 @@
               "{} stood still for {} ms, calls waited {} us for the core; {}",
               config.name(),
               lag / 1000,
-              core.longestWait(),
+              core.takeMaxWaitMicros(),
               summary());
         }
         logSummary();
-        writers.relieve();
+        writers.growIfBlocked();
         links.check();
         front.check();
         changeLog.noteSilence();
@@ -171,7 +171,7 @@
       LOG.info(
           "{}; longest wait for the core {} us, longest pause {} us; {}",
           config.name(),
-          core.longestWait(),
+          core.takeMaxWaitMicros(),
           longestLag,
           summary());
       longestLag = 0;
@@ -227,7 +227,7 @@
   public String summary() {
     return "front: " + front.summary() + "; links: " + links.summary() + "; change log: "
         + changeLog.summary() + "; configuration: " + tellsMore.get() + "; pauses "
-        + pauses.stalls() + "; vain starts of threads " + connectionThreads.vainStarts()
+        + pauses.stalls() + "; vain starts of threads " + connectionThreads.failedStarts()
         + "; rules broken " + rules.counts();
   }
 
@@ -256,7 +256,7 @@
       // what is held is still to be answered.
       if (!givenUp && Clock.micros() >= givesUp) {
         givenUp = true;
-        core.giveUpAll();
+        core.refuseAll();
       } else if (Clock.micros() >= kill - (front.owes() ? LAST_BEFORE_KILL : LEAVE_BEFORE_KILL)) {
         break;
       }
--- a/node/src/main/java/gorseladder/node/changelog/ChangeLogFollower.java
+++ b/node/src/main/java/gorseladder/node/changelog/ChangeLogFollower.java
@@ -2,7 +2,7 @@
 
 import gorseladder.RouterApi.Phase;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.follow.FeedAttempts;
 import gorseladder.follow.FollowPace;
 import gorseladder.node.changelog.ListedRunners.Change;
@@ -54,7 +54,7 @@
     void runner(WorkerEntry entry, InetSocketAddress address, long at);
 
     /** News of the list. */
-    void list(Workers workers);
+    void list(WorkerListUpdate workers);
   }
 
   /** One connection. Its fields are the follower's lock's, but for the socket, which its thread uses. */
@@ -125,7 +125,7 @@
     }
     last = Math.max(last, knownSeq);
     tell(listed.asSaved(), currentAt);
-    for (int i = 0; i <= FeedAttempts.MOST; i++) {
+    for (int i = 0; i <= FeedAttempts.MAX_CONNECTIONS; i++) {
       Threads.start("changelog", stackBytes, this::follow);
     }
   }
@@ -134,7 +134,7 @@
   public synchronized void moveTo(InetSocketAddress next) {
     LOG.info("change log: moves from {} to {} after event {}", address, next, last);
     address = next;
-    attempts.moved();
+    attempts.addressChanged();
     notifyAll();
   }
 
@@ -145,7 +145,7 @@
 
   /** True while the log tells something, if only that nothing happened. */
   public synchronized boolean isHeard() {
-    return Clock.micros() - heardAt < FollowPace.SILENCE;
+    return Clock.micros() - heardAt < FollowPace.SILENCE_MICROS;
   }
 
   // ---- connections, each on a thread of its own
@@ -175,11 +175,11 @@
   }
 
   private Connection begin(long now) {
-    FeedAttempts.Begun begun = attempts.begin(now);
-    if (begun.evicted() != 0) {
-      letGo(begun.evicted(), "silent");
+    FeedAttempts.Started started = attempts.begin(now);
+    if (started.evicted() != 0) {
+      letGo(started.evicted(), "silent");
     }
-    Connection connection = new Connection(begun.number(), address, now);
+    Connection connection = new Connection(started.number(), address, now);
     connections.put(connection.number, connection);
     return connection;
   }
@@ -306,7 +306,9 @@
   }
 
   private void heard(Connection c, long seq, long at) {
-    attempts.told(c.number, seq, last, at).forEach(other -> letGo(other, "another one tells"));
+    attempts
+        .lineReceived(c.number, seq, last, at)
+        .forEach(other -> letGo(other, "another one tells"));
     if (seq < last) {
       return;
     }
@@ -338,7 +340,7 @@
     for (Listed one : news.told()) {
       Phase phase = one.entry().phase();
       String uid = one.entry().worker();
-      if (phase == Phase.RUNNING && before.get(uid) == null && one.entry().born() > 0) {
+      if (phase == Phase.RUNNING && before.get(uid) == null && one.entry().startedAt() > 0) {
         noteStart(one, change.seq(), absentAt, at);
       }
       if (phase != Phase.RUNNING && phase != before.get(uid) && lines++ < MOST_LINES) {
@@ -354,7 +356,7 @@
     LOG.info(
         "runner {} counts as started {} ms ago, told by event {}; the list was without it {} ms ago",
         runner.entry().worker(),
-        (at - runner.entry().born()) / 1_000,
+        (at - runner.entry().startedAt()) / 1_000,
         seq,
         (at - absentAt) / 1_000);
   }
--- a/node/src/test/java/gorseladder/node/runners/RunnerRequestTest.java
+++ b/node/src/test/java/gorseladder/node/runners/RunnerRequestTest.java
@@ -12,9 +12,9 @@
 import gorseladder.RouterApi.Limits;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.Rules;
-import gorseladder.attempts.AttemptFate.Ending;
-import gorseladder.core.PauseClock;
+import gorseladder.attempts.AttemptOutcomes.Ending;
 import gorseladder.core.RuleLog;
+import gorseladder.core.StallDetector;
 import gorseladder.gate.SendGate;
 import gorseladder.node.NodeCall;
 import gorseladder.node.NodeConfig;
@@ -123,7 +123,7 @@
         new NodeConfig.Links(250_000, 30 * SECOND, 100, true, true),
         new Limits(4, false, true, false, false, true, true, SECOND, SECOND),
         new SendGate(rules),
-        new PauseClock(watchdog),
+        new StallDetector(watchdog),
         new RuleLog(),
         watchdog,
         Runnable::run,
@@ -355,7 +355,7 @@
     int ended = 0;
     for (Socket runner : runners) {
       ended += endsWithin(runner, 500) ? 1 : 0;
-      assertTrue(budget.used() <= budget.most(), budget.used() + " bytes");
+      assertTrue(budget.used() <= budget.limit(), budget.used() + " bytes");
     }
     assertTrue(ended >= 1, "all of them are kept");
     assertTrue(budget.used() > 0, "the others are kept");
