--- a/planner/src/main/java/gorseladder/planner/LoadAheadSummary.java
+++ b/planner/src/main/java/gorseladder/planner/LoadAheadSummary.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Sums of the records of loads ahead, by function and in all. Not thread safe. */
+/** Totals of the records of loads ahead, by function and for all functions. Not thread safe. */
 public final class LoadAheadSummary {
-  /** One line; {@code wasted} loads were found by no call. Times in microseconds. */
+  /** Totals of a number of records. A load is wasted if no call found its copy. Times are in microseconds. */
   public static final class Totals {
     private long loads;
     private long wasted;
@@ -16,19 +16,19 @@
     private long savedMicros;
     private long loadMicros;
     private double megabyteSeconds;
-    private long pushedOut;
-    private long pushedMicros;
+    private long evictions;
+    private long evictedLoadMicros;
 
-    private void add(LoadAhead l) {
+    private void add(LoadAhead load) {
       loads++;
-      wasted += l.getFound() == 0 ? 1 : 0;
-      renewals += l.getRenewals();
-      found += l.getFound();
-      savedMicros += l.getSavedUs();
-      loadMicros += l.getLoadUs();
-      megabyteSeconds += l.getMegabyteSeconds();
-      pushedOut += l.getPushedOut();
-      pushedMicros += l.getPushedUs();
+      wasted += load.getFound() == 0 ? 1 : 0;
+      renewals += load.getRenewals();
+      found += load.getFound();
+      savedMicros += load.getSavedUs();
+      loadMicros += load.getLoadUs();
+      megabyteSeconds += load.getMegabyteSeconds();
+      evictions += load.getPushedOut();
+      evictedLoadMicros += load.getPushedUs();
     }
 
     public long loads() {
@@ -47,36 +47,36 @@
       return savedMicros;
     }
 
-    /** The line as names and values, in a steady order. */
+    /** The totals by name, in a fixed order. */
     public Map<String, Object> values() {
-      Map<String, Object> v = new LinkedHashMap<>();
-      v.put("loads", loads);
-      v.put("wasted", wasted);
-      v.put("renewals", renewals);
-      v.put("found", found);
-      v.put("saved_ms", savedMicros / 1000);
-      v.put("load_ms", loadMicros / 1000);
-      v.put("gb_seconds", Math.round(megabyteSeconds / 102.4) / 10.0);
-      v.put("pushed_out", pushedOut);
-      v.put("pushed_ms", pushedMicros / 1000);
-      return v;
+      Map<String, Object> values = new LinkedHashMap<>();
+      values.put("loads", loads);
+      values.put("wasted", wasted);
+      values.put("renewals", renewals);
+      values.put("found", found);
+      values.put("saved_ms", savedMicros / 1000);
+      values.put("load_ms", loadMicros / 1000);
+      values.put("gb_seconds", Math.round(megabyteSeconds / 102.4) / 10.0);
+      values.put("pushed_out", evictions);
+      values.put("pushed_ms", evictedLoadMicros / 1000);
+      return values;
     }
   }
 
   private final Map<String, Totals> byFunction = new TreeMap<>();
   private final Totals all = new Totals();
 
-  void add(LoadAhead l) {
-    byFunction.computeIfAbsent(l.getFunction(), f -> new Totals()).add(l);
-    all.add(l);
+  void add(LoadAhead load) {
+    byFunction.computeIfAbsent(load.getFunction(), f -> new Totals()).add(load);
+    all.add(load);
   }
 
-  /** A line for each function with any load ahead. */
+  /** Totals for each function with a load ahead. */
   public Map<String, Totals> byFunction() {
     return byFunction;
   }
 
-  /** The sum of all lines. */
+  /** Totals for all functions. */
   public Totals all() {
     return all;
   }
--- a/planner/src/main/java/gorseladder/planner/LocalSlots.java
+++ b/planner/src/main/java/gorseladder/planner/LocalSlots.java
@@ -8,41 +8,45 @@
 import java.time.ZonedDateTime;
 
 /**
- * Slots of the days that people live by, in a time zone. Slots are counted from midnight of 1970-01-01, a Thursday. On
- * the day that skips an hour some slots do not occur; on the day that repeats one, its slots are met twice and count
- * together. Any thread.
+ * Slots of local days in a time zone, counted from midnight of 1970-01-01, a Thursday. On the day that skips an hour
+ * some slots do not occur; on the day that repeats an hour, its slots occur twice and count together. Thread safe.
  */
 final class LocalSlots {
   private final ZoneId zone;
-  private final int minutes;
+  private final int slotMinutes;
 
-  /** Slots of so many minutes, which divide a day. */
-  LocalSlots(ZoneId zone, int minutes) {
+  /**
+   * Creates slots in a time zone.
+   *
+   * @param slotMinutes length of a slot; divides a day
+   */
+  LocalSlots(ZoneId zone, int slotMinutes) {
     this.zone = zone;
-    this.minutes = minutes;
+    this.slotMinutes = slotMinutes;
   }
 
-  int perDay() {
-    return 24 * 60 / minutes;
+  int slotsPerDay() {
+    return 24 * 60 / slotMinutes;
   }
 
-  /** The slot of a wall time in seconds since 1970. */
-  long slot(long seconds) {
-    ZonedDateTime t = Instant.ofEpochSecond(seconds).atZone(zone);
-    return t.toLocalDate().toEpochDay() * perDay() + (t.getHour() * 60 + t.getMinute()) / minutes;
+  /** The slot at a time in seconds since 1970. */
+  long slotAt(long epochSeconds) {
+    ZonedDateTime time = Instant.ofEpochSecond(epochSeconds).atZone(zone);
+    return time.toLocalDate().toEpochDay() * slotsPerDay()
+        + (time.getHour() * 60 + time.getMinute()) / slotMinutes;
   }
 
   /**
-   * When a slot begins, in seconds since 1970; the first time where it occurs twice, and where one is skipped the time
-   * it is skipped to.
+   * The start of a slot in seconds since 1970. A slot that occurs twice starts at its first occurrence; a skipped slot
+   * starts at the local time moved forward by the skipped hour.
    */
-  long begins(long slot) {
-    LocalDateTime local = LocalDateTime.ofEpochSecond(slot * minutes * 60, 0, ZoneOffset.UTC);
+  long startOf(long slot) {
+    LocalDateTime local = LocalDateTime.ofEpochSecond(slot * slotMinutes * 60, 0, ZoneOffset.UTC);
     return local.atZone(zone).toEpochSecond();
   }
 
-  /** The number of a day, as {@link gorseladder.forecast.SlotCalendar} counts them from these slots. */
-  static int day(LocalDate date) {
+  /** The number of a day as {@link gorseladder.forecast.SlotCalendar} counts days. */
+  static int dayNumber(LocalDate date) {
     return (int) date.toEpochDay();
   }
 
--- a/planner/src/main/java/gorseladder/planner/Planner.java
+++ b/planner/src/main/java/gorseladder/planner/Planner.java
@@ -36,64 +36,64 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes what edges tell, keeps it, foresees and plans. What it decides is decided in {@link PlanMaker}; here is only
- * when, from what and for whom. Any thread; one at a time does anything.
+ * Stores what edges report and makes plans for them. {@link PlanMaker} decides the content of a plan; this class
+ * decides when a plan is made, from which data and for which edges. Thread safe: one thread at a time does anything.
  *
- * <p>A slot is observed once it has been over for a while and no edge that asks has rows left to tell, so that a
- * planner that was away reads what it missed first. Rows that come later still are kept and count at the next start.
+ * <p>A slot is observed once it has been over for a while and no active edge has rows left to send, so that a planner
+ * that was down first reads what it missed. Rows that arrive even later are stored and count at the next start.
  */
 public final class Planner implements Closeable {
   private static final Logger LOG = LoggerFactory.getLogger(Planner.class);
-  /** Seconds after a slot's end by which its last minute was written and told. */
-  private static final long LATE = 90;
-  /** Seconds after the start in which edges are waited for. */
-  private static final long GATHER = 10;
+  /** Seconds after a slot's end by which edges have written and sent its last minute. */
+  private static final long OBSERVATION_DELAY_SECONDS = 90;
+  /** Seconds after the start in which the planner waits for edges to contact it. */
+  private static final long STARTUP_WAIT_SECONDS = 10;
 
-  private static final int MOST_NAME = 512;
-  private static final int MOST_EDGES = 10_000;
+  private static final int MAX_NAME_LENGTH = 512;
+  private static final int MAX_EDGES = 10_000;
 
-  /** What is known of an edge. */
-  private static final class EdgeSeen {
-    private double heardAt;
+  /** State of an edge since its last message. */
+  private static final class EdgeState {
+    private double lastHeardAt;
     private boolean caughtUp;
     private Map<String, Double> weights = new LinkedHashMap<>();
   }
 
   private final PlannerSettings settings;
-  private final LocalSlots local;
-  private final LongSupplier wall;
+  private final LocalSlots localSlots;
+  private final LongSupplier wallMicros;
   private final PlannerStore store;
-  private final PlanMaker maker;
+  private final PlanMaker planMaker;
   private final Schedule schedule = new Schedule();
-  private final TreeMap<Integer, EdgeSeen> edges = new TreeMap<>();
-  private final TreeMap<Long, Map<String, Integer>> unobserved = new TreeMap<>();
+  private final TreeMap<Integer, EdgeState> edges = new TreeMap<>();
+  private final TreeMap<Long, Map<String, Integer>> unobservedSlots = new TreeMap<>();
   private final double startedAt;
-  private Map<String, Integer> soFar = new HashMap<>();
-  private long soFarSlot;
-  private double soFarSince;
-  private long plannedFor = Long.MIN_VALUE;
+  private Map<String, Integer> callsInSlot = new HashMap<>();
+  private long countedSlot;
+  private double countedSince;
+  private long plannedSlot = Long.MIN_VALUE;
   private long version;
   private List<ScheduledHold> holds = List.of();
   private double planUntil;
   private double planMillis;
-  private double tidiedAt;
+  private double cleanedAt;
 
   /**
    * Opens the store and reads its history.
    *
-   * @param wall microseconds since 1970
-   * @throws IOException where the store cannot be used
+   * @param wallMicros clock in microseconds since 1970
+   * @throws IOException if the store cannot be used
    */
-  public Planner(PlannerSettings settings, LongSupplier wall) throws IOException {
+  public Planner(PlannerSettings settings, LongSupplier wallMicros) throws IOException {
     this.settings = settings;
-    this.wall = wall;
-    this.local = new LocalSlots(ZoneId.of(settings.getTimeZone()), settings.getSlotMinutes());
+    this.wallMicros = wallMicros;
+    this.localSlots = new LocalSlots(ZoneId.of(settings.getTimeZone()), settings.getSlotMinutes());
     Map<Integer, String> dates = new HashMap<>();
     for (KnownDate d : settings.getDateList()) {
-      dates.put(LocalSlots.day(LocalDate.parse(d.getDay())), d.getName());
+      dates.put(LocalSlots.dayNumber(LocalDate.parse(d.getDay())), d.getName());
     }
-    maker = new PlanMaker(
-        new SlotCalendar(local.perDay(), LocalSlots.firstWeekday(), dates),
+    planMaker = new PlanMaker(
+        new SlotCalendar(localSlots.slotsPerDay(), LocalSlots.firstWeekday(), dates),
         new PlanMaker.Settings(
             settings.getSlotMinutes() * 60.0,
             settings.getKeepAliveMs() / 1000.0,
@@ -104,36 +104,37 @@
                 settings.getGigabyteSecondPrice(),
                 settings.getOrderPrice())));
     store = PlannerStore.open(Path.of(settings.getDataDirectory()));
-    startedAt = now();
-    soFarSince = startedAt;
-    soFarSlot = local.slot((long) startedAt);
-    store.eachRow((edge, row) -> count(row));
-    store.eachFact((function, bytes) -> {
+    startedAt = nowSeconds();
+    countedSince = startedAt;
+    countedSlot = localSlots.slotAt((long) startedAt);
+    store.forEachRow((edge, row) -> countCalls(row));
+    store.forEachProfile((function, bytes) -> {
       try {
         learn(Seen.parseFrom(bytes));
       } catch (InvalidProtocolBufferException e) {
-        LOG.warn("what was known of {} cannot be read and is learned anew", function);
+        LOG.warn("the stored profile of {} cannot be read and will be learned anew", function);
       }
     });
     LOG.info(
         "planner epoch {}; {} rows of history, {} slots to observe",
         store.epoch(),
-        store.rows(),
-        unobserved.size());
+        store.rowCount(),
+        unobservedSlots.size());
   }
 
-  private double now() {
-    return wall.getAsLong() / 1e6;
+  private double nowSeconds() {
+    return wallMicros.getAsLong() / 1e6;
   }
 
   /** A compacted row covers an hour: its calls are spread over the slots of that hour. */
-  private void count(HistoryRow row) {
+  private void countCalls(HistoryRow row) {
     int parts = Math.max(1, row.minutes() / settings.getSlotMinutes());
     for (int i = 0; i < parts; i++) {
-      long slot = local.slot((row.startMinute() + (long) i * settings.getSlotMinutes()) * 60);
+      long slot =
+          localSlots.slotAt((row.startMinute() + (long) i * settings.getSlotMinutes()) * 60);
       long calls = row.calls() * (i + 1) / parts - row.calls() * i / parts;
-      if (slot > maker.forecasts().lastSlot()) {
-        Map<String, Integer> counts = unobserved.computeIfAbsent(slot, s -> new HashMap<>());
+      if (slot > planMaker.forecasts().lastSlot()) {
+        Map<String, Integer> counts = unobservedSlots.computeIfAbsent(slot, s -> new HashMap<>());
         if (calls > 0 && !row.function().isEmpty()) {
           counts.merge(row.function(), (int) Math.min(calls, Integer.MAX_VALUE / 2), Integer::sum);
         }
@@ -141,50 +142,52 @@
     }
   }
 
-  private void learn(Seen s) {
-    maker.learn(
-        s.getFunction(),
-        new CopyProfile(s.getMemoryMb(), s.getLanes(), s.getWorkUs() / 1e6, s.getLoadUs() / 1e6));
+  private void learn(Seen seen) {
+    planMaker.learn(
+        seen.getFunction(),
+        new CopyProfile(
+            seen.getMemoryMb(), seen.getLanes(), seen.getWorkUs() / 1e6, seen.getLoadUs() / 1e6));
   }
 
   /**
-   * Takes what an edge tells and answers with what it should hold.
+   * Stores what an edge reports and answers with the plan, unless the edge has the current one.
    *
-   * @throws IllegalArgumentException where it is no sensible message; nothing of it was taken
+   * @throws IllegalArgumentException if the message is invalid; nothing of it was stored
    */
   public synchronized Answer exchange(Ask ask) {
-    require(ask.hasOrdinal() && ask.getOrdinal() >= 0 && ask.getOrdinal() < MOST_EDGES, "ordinal");
-    require(
+    requireField(
+        ask.hasOrdinal() && ask.getOrdinal() >= 0 && ask.getOrdinal() < MAX_EDGES, "ordinal");
+    requireField(
         !ask.getHistory().isEmpty()
-            && ask.getHistory().length() <= MOST_NAME
+            && ask.getHistory().length() <= MAX_NAME_LENGTH
             && ask.getHistory().indexOf(' ') < 0,
         "history");
-    require(
+    requireField(
         ask.getAsked() >= 0 && ask.getFrom() >= 0 && ask.getNext() >= ask.getFrom(),
         "asked, from or next");
     List<HistoryRow> rows = new ArrayList<>();
     for (ByteString bytes : ask.getRowList()) {
       rows.add(HistoryRow.of(bytes.toByteArray()));
     }
-    for (Seen s : ask.getSeenList()) {
-      require(
-          !s.getFunction().isEmpty()
-              && s.getFunction().length() <= MOST_NAME
-              && s.getLanes() >= 1
-              && s.getMemoryMb() >= 0
-              && s.getWorkUs() >= 0
-              && s.getLoadUs() >= 0
-              && s.getCalls() >= 0,
+    for (Seen seen : ask.getSeenList()) {
+      requireField(
+          !seen.getFunction().isEmpty()
+              && seen.getFunction().length() <= MAX_NAME_LENGTH
+              && seen.getLanes() >= 1
+              && seen.getMemoryMb() >= 0
+              && seen.getWorkUs() >= 0
+              && seen.getLoadUs() >= 0
+              && seen.getCalls() >= 0,
           "seen");
     }
-    EdgeSeen edge = edges.computeIfAbsent(ask.getOrdinal(), o -> new EdgeSeen());
-    edge.heardAt = now();
+    EdgeState edge = edges.computeIfAbsent(ask.getOrdinal(), o -> new EdgeState());
+    edge.lastHeardAt = nowSeconds();
     edge.weights = new LinkedHashMap<>();
     ask.getWorkerList().forEach(w -> edge.weights.put(w.getName(), w.getWeight()));
-    takeRows(ask, rows);
-    takeSeen(ask);
+    storeRows(ask, rows);
+    storeObservations(ask);
     for (LoadAhead load : ask.getLoadList()) {
-      store.load(ask.getOrdinal(), ask.getBoot(), load);
+      store.putLoad(ask.getOrdinal(), ask.getBoot(), load);
     }
     store.commit();
     PlannerStore.Cursor cursor = store.cursor(ask.getOrdinal());
@@ -194,158 +197,162 @@
     Answer.Builder answer = Answer.newBuilder()
         .setHistory(cursor.history())
         .setWant(cursor.next())
-        .setLoadsKept(store.loadsKept(ask.getOrdinal(), ask.getBoot()));
-    boolean has = ask.getEpoch() == store.epoch() && ask.getVersion() == version;
-    if (version > 0 && !has && planUntil > now()) {
-      answer.setPlan(print(ask.getOrdinal()));
+        .setLoadsKept(store.lastKeptLoad(ask.getOrdinal(), ask.getBoot()));
+    boolean hasCurrentPlan = ask.getEpoch() == store.epoch() && ask.getVersion() == version;
+    if (version > 0 && !hasCurrentPlan && planUntil > nowSeconds()) {
+      answer.setPlan(planMessage(ask.getOrdinal()));
     }
     return answer.build();
   }
 
-  private static void require(boolean holds, String field) {
+  private static void requireField(boolean holds, String field) {
     if (!holds) {
       throw new IllegalArgumentException("impossible message: " + field);
     }
   }
 
-  /** Rows count only where they were read from what is wanted; else the answer says what that is. */
-  private void takeRows(Ask ask, List<HistoryRow> rows) {
+  /** Stores rows if the edge read them from the number that is wanted next; otherwise the answer tells that number. */
+  private void storeRows(Ask ask, List<HistoryRow> rows) {
     PlannerStore.Cursor cursor = store.cursor(ask.getOrdinal());
     if (!cursor.history().equals(ask.getHistory())) {
       cursor = new PlannerStore.Cursor(ask.getHistory(), 0);
-      store.take(ask.getOrdinal(), ask.getHistory(), 0, 0, List.of());
+      store.putRows(ask.getOrdinal(), ask.getHistory(), 0, 0, List.of());
     }
     if (ask.getAsked() != cursor.next()) {
       return;
     }
     if (ask.getFrom() > cursor.next()) {
       LOG.warn(
-          "edge {} has no rows {} to {} of its history any more",
+          "edge {} no longer has rows {} to {} of its history",
           ask.getOrdinal(),
           cursor.next(),
           ask.getFrom());
     } else if (ask.getFrom() < cursor.next()) {
-      // What was read there was compacted since: it comes whole once more, in hours.
-      store.forgetFrom(ask.getOrdinal(), ask.getHistory(), ask.getFrom());
+      // The edge has compacted rows that were read before; it sends them again as rows of an hour.
+      store.deleteRowsFrom(ask.getOrdinal(), ask.getHistory(), ask.getFrom());
     }
-    store.take(ask.getOrdinal(), ask.getHistory(), ask.getFrom(), ask.getNext(), rows);
-    rows.forEach(this::count);
+    store.putRows(ask.getOrdinal(), ask.getHistory(), ask.getFrom(), ask.getNext(), rows);
+    rows.forEach(this::countCalls);
   }
 
-  private void takeSeen(Ask ask) {
-    long slot = local.slot((long) now());
-    if (slot != soFarSlot) {
-      soFar = new HashMap<>();
-      soFarSlot = slot;
-      soFarSince = now();
+  private void storeObservations(Ask ask) {
+    long slot = localSlots.slotAt((long) nowSeconds());
+    if (slot != countedSlot) {
+      callsInSlot = new HashMap<>();
+      countedSlot = slot;
+      countedSince = nowSeconds();
     }
-    for (Seen s : ask.getSeenList()) {
-      soFar.merge(s.getFunction(), s.getCalls(), Integer::sum);
-      learn(s);
-      store.fact(s.getFunction(), s.toBuilder().clearCalls().build().toByteArray());
+    for (Seen seen : ask.getSeenList()) {
+      callsInSlot.merge(seen.getFunction(), seen.getCalls(), Integer::sum);
+      learn(seen);
+      store.putProfile(seen.getFunction(), seen.toBuilder().clearCalls().build().toByteArray());
     }
   }
 
-  private Plan print(int edge) {
-    double now = now();
-    List<Integer> asking = asking();
+  private Plan planMessage(int edge) {
+    double now = nowSeconds();
+    List<Integer> activeEdges = activeEdges();
     Plan.Builder plan = Plan.newBuilder()
         .setEpoch(store.epoch())
         .setVersion(version)
         .setLivesMs((long) ((planUntil - now) * 1000));
-    for (ScheduledHold t : holds) {
-      Order o = t.order();
-      long until = (long) ((t.until() - now) * 1000);
-      int owner = asking.isEmpty()
+    for (ScheduledHold hold : holds) {
+      Order order = hold.order();
+      long until = (long) ((hold.until() - now) * 1000);
+      int owner = activeEdges.isEmpty()
           ? edge
-          : asking.get(Math.floorMod(o.placed().function().hashCode(), asking.size()));
+          : activeEdges.get(
+              Math.floorMod(order.placed().function().hashCode(), activeEdges.size()));
       if (until > 0) {
         plan.addItem(Item.newBuilder()
-            .setWorker(o.placed().worker())
-            .setFunction(o.placed().function())
-            .setLanes(o.profile().lanes())
-            .setFromMs((long) ((t.from() - now) * 1000))
+            .setWorker(order.placed().worker())
+            .setFunction(order.placed().function())
+            .setLanes(order.profile().lanes())
+            .setFromMs((long) ((hold.from() - now) * 1000))
             .setUntilMs(until)
-            .setLoadUs((long) (o.profile().loadSeconds() * 1e6))
-            .setMemoryMb(o.profile().memoryMb())
+            .setLoadUs((long) (order.profile().loadSeconds() * 1e6))
+            .setMemoryMb(order.profile().memoryMb())
             .setMine(owner == edge));
       }
     }
     return plan.build();
   }
 
-  /** Edges that asked of late. */
-  private List<Integer> asking() {
-    double since = now() - settings.getEdgeSilentMs() / 1000.0;
+  /** Edges that sent a message within the configured time. */
+  private List<Integer> activeEdges() {
+    double oldest = nowSeconds() - settings.getEdgeSilentMs() / 1000.0;
     return edges.entrySet().stream()
-        .filter(e -> e.getValue().heardAt >= since)
+        .filter(e -> e.getValue().lastHeardAt >= oldest)
         .map(Map.Entry::getKey)
         .toList();
   }
 
-  /** Observes what is over and plans what comes; called a few times a second. */
+  /** Observes slots that are over and plans the next one; called a few times a second. */
   public synchronized void tick() {
-    double now = now();
+    double now = nowSeconds();
     observe(now);
-    long next = local.slot((long) now) + 1;
-    double begins = local.begins(next);
-    if (next > plannedFor && now >= begins - maker.leadSeconds() && ready(now)) {
-      plan(next, begins, now);
+    long next = localSlots.slotAt((long) now) + 1;
+    double slotStart = localSlots.startOf(next);
+    if (next > plannedSlot && now >= slotStart - planMaker.leadSeconds() && allRowsReceived(now)) {
+      plan(next, slotStart, now);
     }
-    if (now - tidiedAt > 600) {
-      tidiedAt = now;
-      store.dropBefore((long) (now / 60) - settings.getKeepDays() * 1440L);
+    if (now - cleanedAt > 600) {
+      cleanedAt = now;
+      store.deleteBefore((long) (now / 60) - settings.getKeepDays() * 1440L);
       store.commit();
       store.compact();
     }
   }
 
-  /** Every edge that asks has told its rows, and those that may ask had the time to. */
-  private boolean ready(double now) {
-    List<Integer> asking = asking();
-    return now >= startedAt + GATHER
-        && !asking.isEmpty()
-        && asking.stream().allMatch(e -> edges.get(e).caughtUp);
+  /** Whether all active edges have sent their rows, and other edges had time to contact the planner after its start. */
+  private boolean allRowsReceived(double now) {
+    List<Integer> activeEdges = activeEdges();
+    return now >= startedAt + STARTUP_WAIT_SECONDS
+        && !activeEdges.isEmpty()
+        && activeEdges.stream().allMatch(e -> edges.get(e).caughtUp);
   }
 
   private void observe(double now) {
-    if (!ready(now)) {
+    if (!allRowsReceived(now)) {
       return;
     }
-    // An edge that ran wrote a row each minute, so a slot without any is a hole, which teaches
-    // nothing.
-    while (!unobserved.isEmpty() && local.begins(unobserved.firstKey() + 1) + LATE <= now) {
-      Map.Entry<Long, Map<String, Integer>> first = unobserved.pollFirstEntry();
-      maker.observe(first.getKey(), first.getValue());
+    // A running edge writes a row each minute, so a slot without rows is missing from the history
+    // and
+    // is skipped.
+    while (!unobservedSlots.isEmpty()
+        && localSlots.startOf(unobservedSlots.firstKey() + 1) + OBSERVATION_DELAY_SECONDS <= now) {
+      Map.Entry<Long, Map<String, Integer>> first = unobservedSlots.pollFirstEntry();
+      planMaker.observe(first.getKey(), first.getValue());
     }
   }
 
-  private void plan(long slot, double begins, double now) {
-    long began = System.nanoTime();
+  private void plan(long slot, double slotStart, double now) {
+    long startNanos = System.nanoTime();
     Map<String, Double> weights = new LinkedHashMap<>();
-    asking().forEach(e -> weights.putAll(edges.get(e).weights));
-    // A worker that one edge knows to drain is not loaded ahead, whatever the others know; an
-    // edge without a list knows nothing.
-    asking().stream()
+    activeEdges().forEach(e -> weights.putAll(edges.get(e).weights));
+    // A worker that one edge knows to be draining gets no loads ahead, even if other edges list it.
+    // An edge without a worker list is ignored.
+    activeEdges().stream()
         .map(edges::get)
         .filter(e -> !e.weights.isEmpty())
         .forEach(e -> weights.keySet().retainAll(e.weights.keySet()));
-    List<WorkerCapacity> hosts = weights.entrySet().stream()
+    List<WorkerCapacity> workers = weights.entrySet().stream()
         .map(w -> new WorkerCapacity(
             w.getKey(),
             settings.getRunnerMemoryMb(),
             Integer.MAX_VALUE,
             w.getValue() > 0 ? w.getValue() : 1))
         .toList();
-    double length = settings.getSlotMinutes() * 60.0;
-    boolean known = soFarSlot == slot - 1;
-    double part = Math.max(0.01, Math.min(1, (now - soFarSince) / length));
-    List<Order> orders = maker.plan(slot, known ? soFar : Map.of(), part, hosts);
-    holds = schedule.add(begins, orders, now);
-    plannedFor = slot;
-    planUntil = begins + length;
+    double slotSeconds = settings.getSlotMinutes() * 60.0;
+    boolean hasCurrentCalls = countedSlot == slot - 1;
+    double coveredFraction = Math.max(0.01, Math.min(1, (now - countedSince) / slotSeconds));
+    List<Order> orders =
+        planMaker.plan(slot, hasCurrentCalls ? callsInSlot : Map.of(), coveredFraction, workers);
+    holds = schedule.add(slotStart, orders, now);
+    plannedSlot = slot;
+    planUntil = slotStart + slotSeconds;
     version++;
-    planMillis = (System.nanoTime() - began) / 1e6;
+    planMillis = (System.nanoTime() - startNanos) / 1e6;
     LOG.info(
         "plan {}/{} for slot {}: {} new holds of {}, {} functions foreseen, {} workers, made in {} ms",
         store.epoch(),
@@ -353,58 +360,58 @@
         slot,
         orders.size(),
         holds.size(),
-        maker.forecasts().functions().size(),
-        hosts.size(),
+        planMaker.forecasts().functions().size(),
+        workers.size(),
         Math.round(planMillis));
   }
 
-  /** The state in short, for whoever asks. */
+  /** A summary of the state, for operators. */
   public synchronized Map<String, Object> state() {
     Map<String, Object> state = new LinkedHashMap<>();
     state.put("epoch", store.epoch());
     state.put("version", version);
-    state.put("slot", version == 0 ? null : plannedFor);
+    state.put("slot", version == 0 ? null : plannedSlot);
     state.put("holds", holds.size());
-    state.put("functions", maker.forecasts().functions().size());
+    state.put("functions", planMaker.forecasts().functions().size());
     state.put(
         "observed",
-        maker.forecasts().lastSlot() == Long.MIN_VALUE
+        planMaker.forecasts().lastSlot() == Long.MIN_VALUE
             ? null
-            : maker.forecasts().lastSlot());
-    state.put("rows", store.rows());
-    state.put("edges", asking());
+            : planMaker.forecasts().lastSlot());
+    state.put("rows", store.rowCount());
+    state.put("edges", activeEdges());
     state.put("plan_ms", planMillis);
     return state;
   }
 
-  /** What is expected of a function in the next slot, and how far that is believed. */
+  /** The forecast of a function for the next slot and the confidence in it. */
   public synchronized Map<String, Object> forecast(String function) {
-    long slot = local.slot((long) now()) + 1;
-    Forecasts.Forecast e = maker.forecasts().forecast(function, slot);
-    Map<String, Object> out = new LinkedHashMap<>();
-    out.put("function", function);
-    out.put("slot", slot);
-    out.put("mean", e.mean());
-    out.put("upper", e.upper());
-    out.put("by", e.forecasterName());
-    out.put("calls_believed", maker.confidence().callsFactor(function));
-    out.put("any_believed", maker.confidence().occurrenceFactor(function));
-    return out;
+    long slot = localSlots.slotAt((long) nowSeconds()) + 1;
+    Forecasts.Forecast forecast = planMaker.forecasts().forecast(function, slot);
+    Map<String, Object> values = new LinkedHashMap<>();
+    values.put("function", function);
+    values.put("slot", slot);
+    values.put("mean", forecast.mean());
+    values.put("upper", forecast.upper());
+    values.put("by", forecast.forecasterName());
+    values.put("calls_believed", planMaker.confidence().callsFactor(function));
+    values.put("any_believed", planMaker.confidence().occurrenceFactor(function));
+    return values;
   }
 
-  /** The account of all loads ahead that are kept. */
+  /** The totals of all stored loads ahead. */
   public synchronized LoadAheadSummary account() throws IOException {
-    LoadAheadSummary sheet = new LoadAheadSummary();
-    store.eachLoad(sheet::add);
-    return sheet;
+    LoadAheadSummary summary = new LoadAheadSummary();
+    store.forEachLoad(summary::add);
+    return summary;
   }
 
-  /** The account in a directory that no planner holds open. */
+  /** The totals of the loads ahead stored in a directory that no planner has open. */
   public static LoadAheadSummary account(Path directory) throws IOException {
     try (PlannerStore store = PlannerStore.open(directory)) {
-      LoadAheadSummary sheet = new LoadAheadSummary();
-      store.eachLoad(sheet::add);
-      return sheet;
+      LoadAheadSummary summary = new LoadAheadSummary();
+      store.forEachLoad(summary::add);
+      return summary;
     }
   }
 
--- a/planner/src/main/java/gorseladder/planner/PlannerFile.java
+++ b/planner/src/main/java/gorseladder/planner/PlannerFile.java
@@ -18,25 +18,26 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Loads the settings of a planner and finds every fault in them. */
+/** Loads the settings of a planner and reports every fault in them. */
 public final class PlannerFile {
   private static final Descriptor TYPE = PlannerSettings.getDescriptor();
 
   private final String file;
   private final List<Fault> faults = new ArrayList<>();
   private PlannerSettings settings = PlannerSettings.getDefaultInstance();
-  private TextFormatParseInfoTree places;
+  private TextFormatParseInfoTree parseTree;
 
   private PlannerFile(String file) {
     this.file = file;
   }
 
-  /** Reads and checks a file; what it holds is usable only without faults. */
+  /** Reads and checks a file; its settings may be used only if there are no faults. */
   public static PlannerFile load(Path path) {
     PlannerFile loaded = new PlannerFile(path.toString());
     try {
       PlannerSettings.Builder builder = PlannerSettings.newBuilder();
-      loaded.places = TextFile.parse(loaded.file, Files.readString(path), builder, loaded.faults);
+      loaded.parseTree =
+          TextFile.parse(loaded.file, Files.readString(path), builder, loaded.faults);
       if (loaded.faults.isEmpty()) {
         loaded.settings = builder.build();
         loaded.check();
@@ -53,14 +54,14 @@
     return settings;
   }
 
-  /** Every fault, by line. */
+  /** All faults in the order of their lines. */
   public List<Fault> faults() {
     return List.copyOf(faults);
   }
 
-  private void require(boolean holds, String field, int index, String reason) {
-    if (!holds) {
-      var locations = places.getLocations(TYPE.findFieldByName(field));
+  private void require(boolean condition, String field, int index, String reason) {
+    if (!condition) {
+      var locations = parseTree.getLocations(TYPE.findFieldByName(field));
       faults.add(new Fault(
           file, index < locations.size() ? locations.get(index).getLine() + 1 : 0, field, reason));
     }
--- a/planner/src/main/java/gorseladder/planner/PlannerMain.java
+++ b/planner/src/main/java/gorseladder/planner/PlannerMain.java
@@ -10,7 +10,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Runs one planner until a signal ends it; edges go on without it. */
+/** Runs a planner until a signal stops it; edges continue without it. */
 public final class PlannerMain {
   private static final int OK = 0;
   private static final int BAD_SETTINGS = 2;
@@ -18,12 +18,17 @@
 
   private PlannerMain() {}
 
-  /** Runs the planner of the settings file named first. */
+  /** Runs a planner with the settings file given as the first argument. */
   public static void main(String[] args) throws InterruptedException {
     System.exit(run(Path.of(args[0]), System.out, System.err));
   }
 
-  /** Runs until a signal comes; one line of JSON on {@code out} says when it is ready and where. */
+  /**
+   * Runs a planner until a signal stops it. Once it is ready, one line of JSON with its address is written to
+   * {@code out}.
+   *
+   * @return the exit code
+   */
   public static int run(Path file, PrintStream out, PrintStream err) throws InterruptedException {
     PlannerFile loaded = PlannerFile.load(file);
     if (!loaded.faults().isEmpty()) {
--- a/planner/src/main/java/gorseladder/planner/PlannerServer.java
+++ b/planner/src/main/java/gorseladder/planner/PlannerServer.java
@@ -27,43 +27,47 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The running planner: its sockets and its ticking. */
+/** A running planner with its HTTP server and its planning thread. */
 public final class PlannerServer implements Closeable {
   private static final Logger LOG = LoggerFactory.getLogger(PlannerServer.class);
   private static final long TICK_MILLIS = 200;
-  private static final long IDLE = 120_000_000;
-  private static final long ARRIVES = 30_000_000;
+  private static final long IDLE_TIMEOUT_MICROS = 120_000_000;
+  private static final long REQUEST_TIMEOUT_MICROS = 30_000_000;
   private static final HttpLimits LIMITS = new HttpLimits(8_192, 64, 32_768, 64L << 20);
 
   private final Planner planner;
-  private final Networks allowed;
+  private final Networks allowedNetworks;
   private final HttpServer server;
-  private final Thread ticking;
+  private final Thread planningThread;
   private volatile boolean closed;
 
-  /** Starts a planner by checked settings; {@code wall} gives microseconds since 1970. */
+  /**
+   * Starts a planner.
+   *
+   * @param settings settings without faults
+   * @param wall clock in microseconds since 1970
+   */
   public PlannerServer(PlannerSettings settings, LongSupplier wall) throws IOException {
-    allowed = new Networks(settings.getAllowNetworkList());
+    allowedNetworks = new Networks(settings.getAllowNetworkList());
     planner = new Planner(settings, wall);
-    HttpServer listening = null;
+    HttpServer startedServer = null;
     try {
-      listening = HttpServer.listen(
+      startedServer = HttpServer.listen(
           Address.parse(settings.getListen()), "planner", settings.getStackBytes(), this::serve);
     } finally {
-      server = listening;
-      if (listening == null) {
+      server = startedServer;
+      if (startedServer == null) {
         planner.close();
       }
     }
-    ticking = Threads.start("planning", settings.getStackBytes(), this::tick);
+    planningThread = Threads.start("planning", settings.getStackBytes(), this::tick);
   }
 
-  /** Where edges ask. */
+  /** The address on which edges reach the planner. */
   public InetSocketAddress address() {
     return server.address();
   }
 
-  /** The planner itself. */
   public Planner planner() {
     return planner;
   }
@@ -74,7 +78,7 @@
         try {
           planner.tick();
         } catch (RuntimeException | Error e) {
-          LOG.error("planning failed; the edges' plans run out", e);
+          LOG.error("planning failed; the edges' plans will expire", e);
         }
         Thread.sleep(TICK_MILLIS);
       }
@@ -84,36 +88,37 @@
   }
 
   private void serve(SocketChannel channel) throws IOException {
-    if (!allowed.contains(((InetSocketAddress) channel.getRemoteAddress()).getAddress())) {
+    if (!allowedNetworks.contains(((InetSocketAddress) channel.getRemoteAddress()).getAddress())) {
       return;
     }
-    try (HttpConnection c = new HttpConnection(channel, LIMITS)) {
-      while (!closed && c.awaitMessage(Clock.micros() + IDLE)) {
-        Head head = c.readRequest(Clock.micros() + ARRIVES);
-        byte[] body = c.readBody(BodyParser.forRequest(head, LIMITS), Clock.micros() + ARRIVES);
-        c.write(answer(head, body));
+    try (HttpConnection connection = new HttpConnection(channel, LIMITS)) {
+      while (!closed && connection.awaitMessage(Clock.micros() + IDLE_TIMEOUT_MICROS)) {
+        Head head = connection.readRequest(Clock.micros() + REQUEST_TIMEOUT_MICROS);
+        byte[] body = connection.readBody(
+            BodyParser.forRequest(head, LIMITS), Clock.micros() + REQUEST_TIMEOUT_MICROS);
+        connection.write(answer(head, body));
         if (!head.keepsConnection()) {
           return;
         }
       }
     } catch (SocketTimeoutException e) {
-      LOG.debug("a connection was silent or slow");
+      LOG.debug("a connection was idle for too long or too slow");
     } catch (BadMessage e) {
-      LOG.warn("what came is not HTTP/1.1: {}", e.getMessage());
+      LOG.warn("not a valid HTTP/1.1 message: {}", e.getMessage());
     }
   }
 
   private byte[] answer(Head head, byte[] body) throws IOException {
-    String what = head.method() + " " + head.path();
+    String methodAndPath = head.method() + " " + head.path();
     try {
-      if (what.equals("POST /v1/exchange")) {
+      if (methodAndPath.equals("POST /v1/exchange")) {
         return HeadWriter.response(200)
             .field("Content-Type", "application/x-protobuf")
             .with(planner.exchange(Ask.parseFrom(body)).toByteArray());
       }
-      Object value = switch (what) {
+      Object value = switch (methodAndPath) {
         case "GET /v1/state" -> planner.state();
-        case "GET /v1/account" -> sheet(planner.account());
+        case "GET /v1/account" -> summaryValues(planner.account());
         case "GET /v1/forecast" -> planner.forecast(head.query());
         default -> null;
       };
@@ -123,7 +128,7 @@
               .field("Content-Type", "application/json")
               .with((Json.write(value) + "\n").getBytes(StandardCharsets.UTF_8));
     } catch (InvalidProtocolBufferException | IllegalArgumentException e) {
-      LOG.warn("a message is passed over: {}", e.getMessage());
+      LOG.warn("message rejected: {}", e.getMessage());
       return text(400, e.getMessage());
     }
   }
@@ -134,22 +139,22 @@
         .with((text + "\n").getBytes(StandardCharsets.UTF_8));
   }
 
-  private static Map<String, Object> sheet(LoadAheadSummary account) {
-    Map<String, Object> out = new LinkedHashMap<>();
-    account.byFunction().forEach((f, line) -> out.put(f, line.values()));
-    Map<String, Object> whole = new LinkedHashMap<>();
-    whole.put("all", account.all().values());
-    whole.put("functions", out);
-    return whole;
+  private static Map<String, Object> summaryValues(LoadAheadSummary account) {
+    Map<String, Object> functions = new LinkedHashMap<>();
+    account.byFunction().forEach((f, totals) -> functions.put(f, totals.values()));
+    Map<String, Object> summary = new LinkedHashMap<>();
+    summary.put("all", account.all().values());
+    summary.put("functions", functions);
+    return summary;
   }
 
   @Override
   public void close() {
     closed = true;
     server.close();
-    ticking.interrupt();
+    planningThread.interrupt();
     try {
-      ticking.join(5_000);
+      planningThread.join(5_000);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/planner/src/main/java/gorseladder/planner/PlannerStore.java
+++ b/planner/src/main/java/gorseladder/planner/PlannerStore.java
@@ -16,46 +16,51 @@
 import org.h2.mvstore.MVStoreException;
 
 /**
- * The planner's own copy of the edges' history, and the account of loads ahead. Rows are kept by the number their edge
- * gave them, so what is told twice counts once. Rows and the number to go on from are written in one commit. Callers
- * serialise.
+ * Stores the planner's copy of the edges' history and the records of loads ahead. Rows are keyed by the number that
+ * their edge gave them, so a row received twice counts once. Rows and the number of the next row are written in one
+ * commit. Not thread safe.
  */
 final class PlannerStore implements Closeable {
   private static final String FORMAT = "1";
-  private static final int MOST_DROPPED = 50_000;
+  /** Maximum entries of a map that one call of {@link #deleteBefore} deletes. */
+  private static final int MAX_DELETED_AT_ONCE = 50_000;
 
-  /** Where the reading of one edge's history stands. */
+  /** The position up to which an edge's history was read. */
   record Cursor(String history, long next) {}
 
   private final MVStore store;
   private final MVMap<String, byte[]> rows;
   private final MVMap<Integer, String> cursors;
   private final MVMap<String, byte[]> loads;
-  private final MVMap<String, Long> loadsKept;
-  private final MVMap<String, byte[]> facts;
+  private final MVMap<String, Long> lastKeptLoads;
+  private final MVMap<String, byte[]> profiles;
   private final long epoch;
 
   private PlannerStore(MVStore store) {
     this.store = store;
-    MVMap<String, String> about = store.openMap("about");
-    String format = about.getOrDefault("format", FORMAT);
+    MVMap<String, String> metadata = store.openMap("about");
+    String format = metadata.getOrDefault("format", FORMAT);
     if (!format.equals(FORMAT)) {
       throw new IllegalArgumentException(
           "its format is " + format + " and this program reads " + FORMAT);
     }
-    about.put("format", FORMAT);
-    epoch = Long.parseLong(about.getOrDefault("epoch", "0")) + 1;
-    about.put("epoch", Long.toString(epoch));
+    metadata.put("format", FORMAT);
+    epoch = Long.parseLong(metadata.getOrDefault("epoch", "0")) + 1;
+    metadata.put("epoch", Long.toString(epoch));
     rows = store.openMap("rows");
     cursors = store.openMap("cursors");
     loads = store.openMap("loads");
-    loadsKept = store.openMap("loadsKept");
-    facts = store.openMap("facts");
+    lastKeptLoads = store.openMap("loadsKept");
+    profiles = store.openMap("facts");
     commit();
     store.sync();
   }
 
-  /** Opens a directory's store; the text of the error names it. */
+  /**
+   * Opens the store in a directory.
+   *
+   * @throws IOException if the store cannot be used; the message names it
+   */
   static PlannerStore open(Path directory) throws IOException {
     Files.createDirectories(directory);
     Path file = directory.resolve("planner.mv");
@@ -80,12 +85,12 @@
     }
   }
 
-  /** How often this store was opened: a planner that starts later counts as newer. */
+  /** Number of times this store was opened; a planner that starts later has a higher epoch. */
   long epoch() {
     return epoch;
   }
 
-  /** Where the reading of an edge stands; the beginning of an unknown one. */
+  /** The read position of an edge's history; the start if the edge is unknown. */
   Cursor cursor(int edge) {
     String text = cursors.get(edge);
     int space = text == null ? -1 : text.indexOf(' ');
@@ -98,69 +103,77 @@
     return String.format("%012d/%05d/%s/%020d", minute, edge, history, number);
   }
 
-  /** Takes rows of an edge's history, numbered from {@code from}. Committed with {@link #commit}. */
-  void take(int edge, String history, long from, long next, List<HistoryRow> all) {
-    for (int i = 0; i < all.size(); i++) {
+  /** Stores rows of an edge's history, numbered from {@code from}, and the next number; written by {@link #commit}. */
+  void putRows(int edge, String history, long from, long next, List<HistoryRow> newRows) {
+    for (int i = 0; i < newRows.size(); i++) {
       rows.put(
-          key(all.get(i).startMinute(), edge, history, from + i), all.get(i).toBytes());
+          key(newRows.get(i).startMinute(), edge, history, from + i),
+          newRows.get(i).toBytes());
     }
     cursors.put(edge, history + " " + next);
   }
 
-  /** Forgets rows of an edge's history from a number on: they come again, compacted. */
-  void forgetFrom(int edge, String history, long from) {
-    String of = String.format("/%05d/%s/", edge, history);
-    List<String> gone = new ArrayList<>();
-    for (var at = rows.keyIterator(null); at.hasNext(); ) {
-      String key = at.next();
+  /** Deletes the rows of an edge's history from a number on, because the edge sends them again in compacted form. */
+  void deleteRowsFrom(int edge, String history, long from) {
+    String infix = String.format("/%05d/%s/", edge, history);
+    List<String> deletedKeys = new ArrayList<>();
+    for (var iterator = rows.keyIterator(null); iterator.hasNext(); ) {
+      String key = iterator.next();
       int slash = key.lastIndexOf('/');
-      if (key.startsWith(of, key.indexOf('/'))
+      if (key.startsWith(infix, key.indexOf('/'))
           && Long.parseLong(key.substring(slash + 1)) >= from) {
-        gone.add(key);
+        deletedKeys.add(key);
       }
     }
-    gone.forEach(rows::remove);
+    deletedKeys.forEach(rows::remove);
   }
 
-  /** Every row, by its minute. */
-  void eachRow(BiConsumer<Integer, HistoryRow> hearer) {
-    for (var at = rows.cursor(null); at.hasNext(); ) {
-      String key = at.next();
+  /** Calls the consumer with the edge and the row for every row, in the order of their minutes. */
+  void forEachRow(BiConsumer<Integer, HistoryRow> consumer) {
+    for (var iterator = rows.cursor(null); iterator.hasNext(); ) {
+      String key = iterator.next();
       int slash = key.indexOf('/');
-      hearer.accept(
-          Integer.parseInt(key.substring(slash + 1, slash + 6)), HistoryRow.of(at.getValue()));
+      consumer.accept(
+          Integer.parseInt(key.substring(slash + 1, slash + 6)),
+          HistoryRow.of(iterator.getValue()));
     }
   }
 
-  long rows() {
+  long rowCount() {
     return rows.sizeAsLong();
   }
 
-  /** Drops rows and records older than this minute, some at a time. */
-  void dropBefore(long minute) {
-    dropBefore(rows, minute);
-    dropBefore(loads, minute);
+  /** Deletes rows and records older than a minute; a limited number at a time. */
+  void deleteBefore(long minute) {
+    deleteBefore(rows, minute);
+    deleteBefore(loads, minute);
   }
 
-  private static void dropBefore(MVMap<String, byte[]> byMinute, long minute) {
-    List<String> gone = new ArrayList<>();
-    for (var at = byMinute.keyIterator(null); at.hasNext() && gone.size() < MOST_DROPPED; ) {
-      String key = at.next();
+  private static void deleteBefore(MVMap<String, byte[]> byMinute, long minute) {
+    List<String> deletedKeys = new ArrayList<>();
+    for (var iterator = byMinute.keyIterator(null);
+        iterator.hasNext() && deletedKeys.size() < MAX_DELETED_AT_ONCE; ) {
+      String key = iterator.next();
       if (Long.parseLong(key.substring(0, key.indexOf('/'))) >= minute) {
         break;
       }
-      gone.add(key);
+      deletedKeys.add(key);
     }
-    gone.forEach(byMinute::remove);
-  }
-
-  /** Keeps a record of a load ahead; one that was told before is passed over. Returns true where it is new. */
-  boolean load(int edge, long boot, LoadAhead load) {
-    String life = edge + " " + boot;
-    if (load.getNumber() <= loadsKept.getOrDefault(life, 0L)) {
+    deletedKeys.forEach(byMinute::remove);
+  }
+
+  /**
+   * Stores a record of a load ahead unless it was stored before.
+   *
+   * @param boot number of the edge's start, within which records are numbered
+   * @return whether the record is new
+   */
+  boolean putLoad(int edge, long boot, LoadAhead load) {
+    String edgeBoot = edge + " " + boot;
+    if (load.getNumber() <= lastKeptLoads.getOrDefault(edgeBoot, 0L)) {
       return false;
     }
-    loadsKept.put(life, load.getNumber());
+    lastKeptLoads.put(edgeBoot, load.getNumber());
     loads.put(
         String.format(
             "%012d/%05d/%010d/%020d",
@@ -169,35 +182,35 @@
     return true;
   }
 
-  /** The number up to which records of an edge's life are kept. */
-  long loadsKept(int edge, long boot) {
-    return loadsKept.getOrDefault(edge + " " + boot, 0L);
+  /** The number of the last stored record of one run of an edge. */
+  long lastKeptLoad(int edge, long boot) {
+    return lastKeptLoads.getOrDefault(edge + " " + boot, 0L);
   }
 
-  /** Every record of a load ahead, by its time. */
-  void eachLoad(Consumer<LoadAhead> hearer) throws IOException {
-    for (var at = loads.cursor(null); at.hasNext(); ) {
-      at.next();
+  /** Calls the consumer with every record of a load ahead, in the order of time. */
+  void forEachLoad(Consumer<LoadAhead> consumer) throws IOException {
+    for (var iterator = loads.cursor(null); iterator.hasNext(); ) {
+      iterator.next();
       try {
-        hearer.accept(LoadAhead.parseFrom(at.getValue()));
+        consumer.accept(LoadAhead.parseFrom(iterator.getValue()));
       } catch (InvalidProtocolBufferException e) {
         throw new IOException("a record of a load ahead is damaged", e);
       }
     }
   }
 
-  /** What is known of a function's copies, kept so that a planner that restarts can plan at once. */
-  void fact(String function, byte[] seen) {
-    facts.put(function, seen);
+  /** Stores the profile of a function's copies, so that a restarted planner can plan at once. */
+  void putProfile(String function, byte[] profile) {
+    profiles.put(function, profile);
   }
 
-  void eachFact(BiConsumer<String, byte[]> hearer) {
-    for (var at = facts.cursor(null); at.hasNext(); ) {
-      hearer.accept(at.next(), at.getValue());
+  void forEachProfile(BiConsumer<String, byte[]> consumer) {
+    for (var iterator = profiles.cursor(null); iterator.hasNext(); ) {
+      consumer.accept(iterator.next(), iterator.getValue());
     }
   }
 
-  /** Writes what was put; it survives a kill from then on. */
+  /** Writes all changes; they survive a kill of the process from then on. */
   void commit() {
     store.commit();
   }
--- a/planner/src/test/java/gorseladder/planner/PlannerTest.java
+++ b/planner/src/test/java/gorseladder/planner/PlannerTest.java
@@ -26,14 +26,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class PlannerTest {
-  private static final long DAY = 1440;
+  private static final long DAY_MINUTES = 1440;
   /** 2026-11-02 00:00 UTC in minutes, a Monday. */
-  private static final long START = 1_793_577_600L / 60;
+  private static final long START_MINUTE = 1_793_577_600L / 60;
 
   @TempDir
   Path dir;
 
-  private double now;
+  private double nowSeconds;
 
   private PlannerSettings settings() {
     return PlannerSettings.newBuilder()
@@ -43,7 +43,7 @@
   }
 
   private Planner planner() throws IOException {
-    return new Planner(settings(), () -> (long) (now * 1e6));
+    return new Planner(settings(), () -> (long) (nowSeconds * 1e6));
   }
 
   private static HistoryRow row(long minute, String function, long calls) {
@@ -60,21 +60,22 @@
         .setFrom(from)
         .setNext(from + rows.length)
         .setCaughtUp(true);
-    for (HistoryRow r : rows) {
-      ask.addRow(ByteString.copyFrom(r.toBytes()));
+    for (HistoryRow row : rows) {
+      ask.addRow(ByteString.copyFrom(row.toBytes()));
     }
     return ask.addWorker(Worker.newBuilder().setName("w1").setWeight(1))
         .addWorker(Worker.newBuilder().setName("w2").setWeight(1));
   }
 
   /**
-   * Ten days on which f is called from 9:00 to 9:15 each day; a row a day says that the edge ran in the slot before.
+   * Ten days on which f is called from 9:00 to 9:15; the rows without calls show that the edge ran in the other slots.
    */
   private static HistoryRow[] tenDays() {
     List<HistoryRow> rows = new ArrayList<>();
-    for (long d = 0; d < 10; d++) {
-      for (long q = 0; q < 96; q++) {
-        rows.add(row(START + d * DAY + q * 15, "f", q == 36 ? 120 : 0));
+    for (long day = 0; day < 10; day++) {
+      for (long quarterHour = 0; quarterHour < 96; quarterHour++) {
+        rows.add(row(
+            START_MINUTE + day * DAY_MINUTES + quarterHour * 15, "f", quarterHour == 36 ? 120 : 0));
       }
     }
     return rows.toArray(new HistoryRow[0]);
@@ -93,23 +94,23 @@
 
   @Test
   void aPlanIsMadeJustBeforeTheSlotAndGivenToEachEdgeOnceWithOneOwner() throws IOException {
-    now = (START + 10 * DAY + 9 * 60) * 60 - 60;
+    nowSeconds = (START_MINUTE + 10 * DAY_MINUTES + 9 * 60) * 60 - 60;
     try (Planner planner = planner()) {
       planner.exchange(ask(0, "h0", 0, tenDays()).addSeen(seen()).build());
       planner.exchange(ask(1, "h1", 0).build());
-      // An edge that just started has no list yet.
+      // An edge that has just started has no worker list yet.
       planner.exchange(ask(2, "h2", 0).clearWorker().build());
-      now += 20;
+      nowSeconds += 20;
       planner.tick();
       assertFalse(planner.exchange(ask(0, "h0", 960).build()).hasPlan(), "too early");
-      now += 10;
+      nowSeconds += 10;
       planner.tick();
       Answer first = planner.exchange(ask(0, "h0", 960).build());
       Answer second = planner.exchange(ask(1, "h1", 0).build());
       assertEquals(
           List.of("f"),
           first.getPlan().getItemList().stream()
-              .map(i -> i.getFunction())
+              .map(item -> item.getFunction())
               .distinct()
               .toList());
       Answer third = planner.exchange(ask(2, "h2", 0).build());
@@ -120,44 +121,48 @@
               .count());
       assertTrue(first.getPlan().getItem(0).getFromMs() > 0
           && first.getPlan().getItem(0).getFromMs() < 30_000);
-      Ask has = ask(0, "h0", 960)
+      Ask sameVersion = ask(0, "h0", 960)
           .setEpoch(first.getPlan().getEpoch())
           .setVersion(first.getPlan().getVersion())
           .build();
-      assertFalse(planner.exchange(has).hasPlan(), "it has it already");
+      assertFalse(planner.exchange(sameVersion).hasPlan(), "the edge has the plan already");
     }
   }
 
-  /** Rows told twice, out of turn or to a planner that was killed in between count once. */
+  /** Rows count once even if they are sent twice, out of order or to a planner that was killed in between. */
   @Test
   void rowsCountOnce() throws IOException {
-    now = (START + 30) * 60;
-    HistoryRow[] rows = {row(START, "f", 1), row(START + 1, "f", 2), row(START + 2, "f", 3)};
+    nowSeconds = (START_MINUTE + 30) * 60;
+    HistoryRow[] rows = {
+      row(START_MINUTE, "f", 1), row(START_MINUTE + 1, "f", 2), row(START_MINUTE + 2, "f", 3)
+    };
     try (Planner planner = planner()) {
       assertEquals(3, planner.exchange(ask(0, "h", 0, rows).build()).getWant());
-      assertEquals(3, planner.exchange(ask(0, "h", 0, rows).build()).getWant(), "told twice");
+      assertEquals(3, planner.exchange(ask(0, "h", 0, rows).build()).getWant(), "sent twice");
       assertEquals(
-          3, planner.exchange(ask(0, "h", 7, rows).build()).getWant(), "not what is wanted");
+          3,
+          planner.exchange(ask(0, "h", 7, rows).build()).getWant(),
+          "not the rows that are wanted");
       assertEquals(3L, planner.state().get("rows"));
       Files.copy(dir.resolve("planner.mv"), dir.resolve("copy.mv"));
     }
     Files.move(
         dir.resolve("copy.mv"), dir.resolve("planner.mv"), StandardCopyOption.REPLACE_EXISTING);
     try (Planner planner = planner()) {
-      assertEquals(3L, planner.state().get("rows"), "what was answered for survives a kill");
+      assertEquals(3L, planner.state().get("rows"), "rows that were acknowledged survive a kill");
       assertEquals(2L, planner.state().get("epoch"));
       assertEquals(3, planner.exchange(ask(0, "h", 3).build()).getWant());
       assertEquals(
           0,
           planner.exchange(ask(0, "other", 5, rows).build()).getWant(),
-          "a history begun anew is read from its start");
+          "a new history is read from its start");
       assertEquals(3, planner.exchange(ask(0, "other", 0, rows).build()).getWant());
       assertEquals(6L, planner.state().get("rows"));
       Ask compacted =
-          ask(0, "other", 1, row(START, "f", 6)).setAsked(3).setNext(4).build();
+          ask(0, "other", 1, row(START_MINUTE, "f", 6)).setAsked(3).setNext(4).build();
       assertEquals(4, planner.exchange(compacted).getWant());
       assertEquals(
-          5L, planner.state().get("rows"), "rows that come compacted replace those from there on");
+          5L, planner.state().get("rows"), "compacted rows replace those from their number on");
     }
   }
 
@@ -166,7 +171,7 @@
     LoadAhead.Builder load = LoadAhead.newBuilder()
         .setWorker("w")
         .setFunction("f")
-        .setOrderedAt(START * 60_000_000L)
+        .setOrderedAt(START_MINUTE * 60_000_000L)
         .setLoadUs(700_000)
         .setMegabyteSeconds(1024);
     try (Planner planner = planner()) {
@@ -180,51 +185,53 @@
           planner
               .exchange(ask(0, "h", 0).setBoot(2).addLoad(load.setNumber(1)).build())
               .getLoadsKept());
-      LoadAheadSummary sheet = planner.account();
-      assertEquals(3, sheet.all().loads());
-      assertEquals(2, sheet.all().wasted());
-      assertEquals(2, sheet.byFunction().get("f").found());
-      assertEquals(900_000, sheet.all().savedMicros());
-      assertEquals(3.0, sheet.all().values().get("gb_seconds"));
+      LoadAheadSummary summary = planner.account();
+      assertEquals(3, summary.all().loads());
+      assertEquals(2, summary.all().wasted());
+      assertEquals(2, summary.byFunction().get("f").found());
+      assertEquals(900_000, summary.all().savedMicros());
+      assertEquals(3.0, summary.all().values().get("gb_seconds"));
     }
     assertEquals(3, Planner.account(dir).all().loads());
   }
 
-  /** One message that makes no sense takes nothing and harms nothing. */
+  /** An invalid message is rejected as a whole and changes nothing. */
   @Test
   void badMessagesAreNamedAndNothingOfThemIsTaken() throws IOException {
     try (Planner planner = planner()) {
-      Ask broken = ask(0, "h", 0, row(START, "f", 1))
+      Ask invalidRow = ask(0, "h", 0, row(START_MINUTE, "f", 1))
           .addRow(ByteString.copyFromUtf8("x"))
           .build();
-      assertThrows(IllegalArgumentException.class, () -> planner.exchange(broken));
-      for (Ask.Builder bad : List.of(
+      assertThrows(IllegalArgumentException.class, () -> planner.exchange(invalidRow));
+      for (Ask.Builder invalidAsk : List.of(
           ask(-1, "h", 0),
           ask(0, "a b", 0),
           ask(0, "h", 5).setNext(1),
           ask(0, "h", 0).addSeen(seen().toBuilder().setLanes(0)))) {
-        assertThrows(IllegalArgumentException.class, () -> planner.exchange(bad.build()));
+        assertThrows(IllegalArgumentException.class, () -> planner.exchange(invalidAsk.build()));
       }
       assertThrows(
           IllegalArgumentException.class,
           () -> planner.exchange(Ask.getDefaultInstance()),
-          "bytes that are no message");
+          "a message without fields");
       assertEquals(0L, planner.state().get("rows"));
       assertEquals(List.of(), planner.state().get("edges"));
     }
   }
 
-  /** A planner without its edges' rows waits for them; the slots of an hour in which no edge ran teach nothing. */
+  /**
+   * A planner waits with a plan until its edges have sent all rows it missed; slots in which no edge ran are skipped.
+   */
   @Test
   void aPlannerThatWasAwayReadsWhatItMissedBeforeItPlans() throws IOException {
-    now = (START + 10 * DAY + 9 * 60) * 60 - 40;
+    nowSeconds = (START_MINUTE + 10 * DAY_MINUTES + 9 * 60) * 60 - 40;
     HistoryRow[] rows = tenDays();
     try (Planner planner = planner()) {
       planner.exchange(ask(0, "h0", 0, Arrays.copyOf(rows, 500))
           .setCaughtUp(false)
           .addSeen(seen())
           .build());
-      now += 15;
+      nowSeconds += 15;
       planner.tick();
       assertEquals(0L, planner.state().get("version"), "not caught up");
       planner.exchange(
@@ -243,14 +250,14 @@
         LocalDateTime.of(2026, 3, 28, 9, 0),
         LocalDateTime.of(2026, 3, 29, 9, 0),
         LocalDateTime.of(2026, 10, 25, 9, 0))) {
-      long slot = slots.slot(day.atZone(zone).toEpochSecond());
-      assertEquals(36, Math.floorMod(slot, 96L), "nine o'clock is nine o'clock");
-      assertEquals(day.atZone(zone).toEpochSecond(), slots.begins(slot));
+      long slot = slots.slotAt(day.atZone(zone).toEpochSecond());
+      assertEquals(36, Math.floorMod(slot, 96L), "the slot of nine o'clock stays the same");
+      assertEquals(day.atZone(zone).toEpochSecond(), slots.startOf(slot));
     }
     long before = LocalDateTime.of(2026, 3, 29, 1, 45).atZone(zone).toEpochSecond();
-    assertEquals(slots.slot(before) + 5, slots.slot(before + 900), "four slots are skipped");
+    assertEquals(slots.slotAt(before) + 5, slots.slotAt(before + 900), "four slots are skipped");
     long second = LocalDateTime.of(2026, 10, 25, 2, 0).atZone(zone).toEpochSecond();
-    assertEquals(slots.slot(second), slots.slot(second + 3600), "an hour comes twice");
+    assertEquals(slots.slotAt(second), slots.slotAt(second + 3600), "an hour occurs twice");
   }
 
   @Test
