--- a/core/src/main/java/gorseladder/core/Call.java
+++ b/core/src/main/java/gorseladder/core/Call.java
@@ -10,15 +10,24 @@
 import java.util.List;
 
 /**
- * A call that was taken, from then to its one final answer. The core, the attempts and the front meet here and nowhere
- * else, under this object's lock, so that the end of a call and the leaving of its bytes cannot cross: once it has its
- * answer no further attempt may leave, and what had left by then counts as may have run.
+ * An accepted call, up to its single final answer. The core, the attempts and the front share state only here, under
+ * this object's lock, so that finishing a call and sending its bytes are mutually exclusive: once the call has its
+ * answer no further attempt is sent, and an attempt that was sent before counts as one that may have run.
  *
- * <p>What else a front keeps of its calls (a ledger's records, a connection to answer on) is a kind of its own. Times
- * are {@link gorseladder.runtime.Clock#micros()}. Any thread.
+ * <p>Subclasses hold what a front needs beside that (ledger records, the connection to answer on). Times are
+ * {@link gorseladder.runtime.Clock#micros()}. Thread safe.
  */
 public abstract class Call {
-  /** What a call is, told by the front. */
+  /**
+   * Properties of a call, set by the front.
+   *
+   * @param message the ID of the request
+   * @param memoryMb expected memory of a copy of the function
+   * @param lanes calls that one copy executes concurrently
+   * @param loadTime expected load time in microseconds, 0 if unknown
+   * @param repeat true if the client sent the request before
+   * @param takenAt when the request arrived
+   */
   public record Facts(
       String message,
       RequestClass requestClass,
@@ -32,17 +41,17 @@
       long takenAt,
       long deadlineAt) {}
 
-  /** One attempt and how far it got. */
+  /** An attempt to execute the call on a worker, and its progress. */
   public static final class Attempt {
     private final String worker;
     private final long decidedAt;
     private final long listUpdatesAtDecision;
-    /** When its bytes began to leave; 0 before. */
+    /** When the write of its bytes began; 0 before. */
     private long sentAt;
 
     private long endedAt;
     private Outcome outcome;
-    /** Was out when another attempt left: what one of them proves later says nothing of the other. */
+    /** Was in progress when another attempt was sent: the outcome of one then proves nothing about the other. */
     private boolean overlapped;
 
     private Attempt(String worker, long decidedAt, long listUpdatesAtDecision) {
@@ -51,17 +60,16 @@
       this.listUpdatesAtDecision = listUpdatesAtDecision;
     }
 
-    /** The worker it goes to. */
     public String worker() {
       return worker;
     }
 
-    /** When the router decided it. */
+    /** When the router decided to make the attempt. */
     public long decidedAt() {
       return decidedAt;
     }
 
-    /** How many news of the worker list the router knew when it decided it. */
+    /** Number of worker list updates that the router had received when it decided to make the attempt. */
     public long listUpdatesAtDecision() {
       return listUpdatesAtDecision;
     }
@@ -76,19 +84,19 @@
   }
 
   /**
-   * What the last look knows beside the call itself.
+   * Conditions for sending an attempt that are not part of the call itself.
    *
-   * @param until when the time of the attempt is over
-   * @param draining the worker is draining or gone
-   * @param restartedSince the worker started after the attempt was decided
-   * @param clientSeen from when on what clients did before a pause of this process is known; 0 for always
-   * @param mayDuplicate two attempts may be out at a time
+   * @param expiresAt when the attempt times out
+   * @param draining true if the worker is draining or gone
+   * @param restartedSince true if the worker started after the attempt was decided
+   * @param clientSeenFrom from when on the process knows what its clients did during its last stall; 0 without a stall
+   * @param mayDuplicate true if two attempts may be in progress at a time
    */
   public record SendConditions(
-      long until,
+      long expiresAt,
       boolean draining,
       boolean restartedSince,
-      long clientSeen,
+      long clientSeenFrom,
       boolean mayDuplicate) {}
 
   private final long id;
@@ -98,55 +106,54 @@
   private long endedAt;
   private volatile long consideredAt;
 
-  /** A call just taken; the id is the number the router knows it by. */
+  /** Creates a call that was just accepted; the router knows it by this ID. */
   protected Call(long id, Facts facts) {
     this.id = id;
     this.facts = facts;
   }
 
-  /** The number the router knows it by. */
+  /** The ID by which the router knows the call. */
   public final long id() {
     return id;
   }
 
-  /** What the front told. */
   public final Facts facts() {
     return facts;
   }
 
   /**
-   * Adds an attempt; returns its number from 0.
+   * Adds an attempt.
    *
-   * @param news how many news of the worker list are known
+   * @param listUpdates number of worker list updates received so far
+   * @return the number of the attempt, from 0
    */
-  public final synchronized int addAttempt(String worker, long now, long news) {
-    attempts.add(new Attempt(worker, now, news));
+  public final synchronized int addAttempt(String worker, long now, long listUpdates) {
+    attempts.add(new Attempt(worker, now, listUpdates));
     return attempts.size() - 1;
   }
 
-  /** The attempt of that number. */
   public final synchronized Attempt attempt(int number) {
     return attempts.get(number);
   }
 
-  /** True once the call has its final answer. */
+  /** Whether the call has its final answer. */
   public final synchronized boolean isFinished() {
     return answer != null;
   }
 
   /**
-   * The last step before the write: where it is allowed the attempt counts as may have run from then on, and its bytes
-   * must follow at once.
+   * Decides, just before the write, whether an attempt may be sent. If allowed, the attempt counts from now on as one
+   * that may have run, and its bytes must be written at once.
    */
-  public final synchronized Verdict trySend(int number, SendConditions look, long now) {
+  public final synchronized Verdict trySend(int number, SendConditions conditions, long now) {
     Verdict verdict = Permits.maySend(
         new Permits.Sending(
             answer != null,
-            look.until(),
-            look.draining(),
-            look.restartedSince(),
-            look.clientSeen(),
-            mayRepeatEarlier(number, look.mayDuplicate(), now)),
+            conditions.expiresAt(),
+            conditions.draining(),
+            conditions.restartedSince(),
+            conditions.clientSeenFrom(),
+            mayFollowEarlierAttempts(number, conditions.mayDuplicate(), now)),
         now);
     if (verdict.allowed()) {
       attempts.forEach(earlier -> earlier.overlapped |= earlier.isOut());
@@ -156,23 +163,23 @@
     return verdict;
   }
 
-  /** The last look at an attempt and the write of its first bytes, which must not block. */
+  /** The final check of an attempt together with the write of its first bytes; must not block. */
   public interface CheckedWrite {
-    /** Looks, and writes where the look allows it; true where it did. */
+    /** Writes if {@link #trySend} allows it; returns true if bytes were written. */
     boolean writeIfAllowed() throws IOException;
   }
 
   /**
-   * Runs a departure as one step: the call ends before both the look and the write, or after both.
+   * Checks and writes under the call's lock: the call ends either before both steps or after both.
    *
-   * <p>Guards against bytes that reach a worker after the final answer, where the thread that writes them loses the
-   * processor between the two. It could harm by holding up the end of the call for as long.
+   * <p>Without the lock the writing thread could lose the processor between the check and the write, and bytes would
+   * reach a worker after the final answer. The cost is that the end of the call waits for the write.
    */
   public final synchronized boolean sendAtomically(CheckedWrite write) throws IOException {
     return write.writeIfAllowed();
   }
 
-  private Verdict mayRepeatEarlier(int number, boolean mayDuplicate, long now) {
+  private Verdict mayFollowEarlierAttempts(int number, boolean mayDuplicate, long now) {
     for (Attempt earlier : attempts) {
       if (earlier == attempts.get(number)) {
         continue;
@@ -192,7 +199,7 @@
     return Verdict.ALLOWED;
   }
 
-  /** The other attempts that left, for the second look at the rules. */
+  /** The other attempts that were sent no later than this one, for the rule check after the write. */
   public final synchronized List<Other> otherSentAttempts(int number) {
     List<Other> others = new ArrayList<>(1);
     for (Attempt other : attempts) {
@@ -205,13 +212,13 @@
     return others;
   }
 
-  /** Notes how an attempt ended; it is given up on the wire, or was answered, by now. */
+  /** Records how an attempt ended; it was answered, or abandoned on the wire, before. */
   public final synchronized void ended(int number, Outcome outcome, long now) {
     attempts.get(number).outcome = outcome;
     attempts.get(number).endedAt = now;
   }
 
-  /** Outcomes so far, null for an attempt that is out and has left. */
+  /** Outcomes of all attempts; null for one that was sent and is in progress, {@code MOOT} for one not sent yet. */
   public final synchronized List<Outcome> outcomes() {
     List<Outcome> all = new ArrayList<>();
     for (Attempt a : attempts) {
@@ -220,12 +227,12 @@
     return all;
   }
 
-  /** True where some attempt left and nothing says that it did not run; the caller holds the lock. */
+  /** Whether some attempt was sent and is not known not to have run; the caller holds the lock. */
   protected final boolean anyMayHaveRun() {
     return attempts.stream().anyMatch(Attempt::mayHaveRun);
   }
 
-  /** Gives the call its final answer; false where it has one. The first wins, whoever calls. */
+  /** Sets the final answer; the first one wins. Returns false if the call already has one. Thread safe. */
   public final boolean finish(FinalAnswer end, long now) {
     synchronized (this) {
       if (answer != null) {
@@ -240,41 +247,42 @@
     return true;
   }
 
-  /** An attempt is about to leave; the lock is held. */
+  /** Called just before an attempt is sent, with the lock held. */
   protected void beforeSend() {}
 
   /**
-   * The call has its final answer; the lock is held, so that what is written here stands before anything that follows.
+   * Called when the final answer is set, with the lock held, so that what is recorded here precedes everything that
+   * follows the end of the call.
    */
   protected void recordFinalAnswer(FinalAnswer end) {}
 
-  /** The call has its final answer; once, without the lock, on the thread that gave it. Must not block. */
+  /** Called once the final answer is set, without the lock, on the thread that set it. Must not block. */
   protected abstract void onFinalAnswer(FinalAnswer end);
 
-  /** A served answer came after the call had ended otherwise. */
+  /** Called for the result of each attempt that succeeded, also after the call ended in another way. */
   protected void onServedResult(byte[] body) {}
 
-  /** The final answer, or null. */
+  /** The final answer; null while there is none. */
   public final synchronized FinalAnswer answer() {
     return answer;
   }
 
-  /** The core looks at it for the first time. */
+  /** Records when the core first processed the call. */
   final void considered(long now) {
     consideredAt = now;
   }
 
-  /** When the core first looked at it; 0 before. */
+  /** When the core first processed the call; 0 before. */
   public final long consideredAt() {
     return consideredAt;
   }
 
-  /** When it ended; 0 before. */
+  /** When the call got its final answer; 0 before. */
   public final synchronized long endedAt() {
     return endedAt;
   }
 
-  /** Workers tried and how each attempt ended, for the log. */
+  /** The worker and the outcome of each attempt, for the log. */
   public final synchronized List<String> describeAttempts() {
     List<String> described = new ArrayList<>();
     for (Attempt a : attempts) {
--- a/core/src/main/java/gorseladder/core/Core.java
+++ b/core/src/main/java/gorseladder/core/Core.java
@@ -49,55 +49,55 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One thread that owns the router. Others post what happened; it tells the router, and carries out what the router
- * decides. It translates and decides nothing about workers.
+ * The single thread that owns the router. Other threads post messages; the core passes them to the router as events and
+ * executes the actions that the router returns. It makes no decisions about workers itself.
  */
 public final class Core<C extends Call> implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Core.class);
-  private static final long IDLE_NANOS = 1_000_000_000L;
-  /** Between two looks at a plan. */
+  private static final long MAX_IDLE_NANOS = 1_000_000_000L;
+  /** Interval of checks for due loads of the plan. */
   private static final long PLAN_CHECK_MICROS = 250_000;
-  /** So long at the most, in microseconds, {@link Outbound} gathers while there is always more to be done. */
+  /** Time after which {@link Outbound} flushes its batch while the core is never idle. */
   private static final long MAX_BATCH_MICROS = 5_000;
 
-  /** Carries out what leaves this process; must not block. Its reports come back by the core's methods. */
+  /** Executes the actions that leave this process; must not block. Results come back through methods of the core. */
   public interface Outbound<C extends Call> {
-    /** Starts an attempt; ends in exactly one {@link Core#attemptEnded}. */
+    /** Starts an attempt; leads to exactly one {@link Core#attemptEnded}. */
     void send(C call, int attempt, String worker, long timeout);
 
-    /** Stops an attempt; its end still comes. */
+    /** Cancels an attempt; its {@link Core#attemptEnded} still follows. */
     void cancel(C call, int attempt);
 
-    /** Orders copies; ends in exactly one {@link Core#loadEnded}. */
+    /** Sends a load order; leads to exactly one {@link Core#loadEnded}. */
     void load(String worker, String function, int copies);
 
-    /** Sends text to every other edge. */
+    /** Sends a message to every other edge. */
     void tellPeers(String text);
 
-    /** Asks for the worker list. */
+    /** Subscribes to the worker list. */
     void watchList();
 
-    /** Nothing more is to be done at present: what was gathered may go. */
+    /** The core is about to wait: a gathered batch may be sent. */
     default void beforeIdle() {}
 
-    /** More is to be done, but what was gathered must go now. */
+    /** The core stays busy, but a gathered batch must be sent now. */
     default void flush() {}
   }
 
-  /** How an attempt ended, as the runner side saw it. */
+  /** The end of an attempt, as reported by the connection to the runner. */
   public record AttemptEnd<C extends Call>(
       C call,
       int attempt,
       Outcome outcome,
       byte[] body,
-      CopyStatus note,
-      int crowd,
+      CopyStatus copyStatus,
+      int concurrency,
       Map<String, Double> report) {}
 
   private sealed interface Message<C extends Call> {}
 
   private record Offered<C extends Call>(C call, long offeredAt) implements Message<C> {
-    /** Whether a call with so much time left may wait behind this one. */
+    /** Whether a call with this much time left may queue behind this one. */
     private boolean mayBeFollowed(long timeLeft, long now) {
       return Permits.mayQueue(now - offeredAt, timeLeft).allowed();
     }
@@ -114,13 +114,14 @@
   private record Planned<C extends Call>(Plan plan) implements Message<C> {}
 
   private record Collect<C extends Call>(
-      Consumer<PlannerReport> to, Map<String, FunctionStats.Snapshot> giveBack) implements Message<C> {}
+      Consumer<PlannerReport> to, Map<String, FunctionStats.Snapshot> unreported)
+      implements Message<C> {}
 
-  /** A call that is not forgotten yet. */
+  /** A call that has no final answer yet, or has attempts in progress. */
   private static final class ActiveCall<C extends Call> {
     private final C call;
     private int attemptsOut;
-    /** Null before the router has asked for it. */
+    /** Timer of the call's deadline; null before the router has set it. */
     private TimerWheel.Node<String> deadline;
 
     private ActiveCall(C call) {
@@ -129,10 +130,16 @@
   }
 
   /**
-   * What a planner is told: what was seen of functions, closed records of loads ahead, the workers, the plan in hand.
+   * A report for the planner.
+   *
+   * @param functionStats calls of each function since the last report
+   * @param loads closed records of planned loads
+   * @param workers running workers
+   * @param epoch epoch of the current plan
+   * @param version version of the current plan
    */
   public record PlannerReport(
-      Map<String, FunctionStats.Snapshot> seen,
+      Map<String, FunctionStats.Snapshot> functionStats,
       List<LoadAheadAccounting.Entry> loads,
       List<WorkerEntry> workers,
       long epoch,
@@ -141,17 +148,17 @@
   private final Settings settings;
   private final Router router;
   private final Outbound<C> outbound;
-  /** Null where the router alone says when to come back. */
+  /** Null if the router alone decides when refused clients should retry. */
   private final RetryAdvice advice;
 
   private final Mailbox<Message<C>> mailbox;
   private final TimerWheel<String> timers;
   private final Map<Long, ActiveCall<C>> calls = new HashMap<>();
   private final Thread thread;
-  /** Null where no planner is set: then nothing here differs from an edge without loads ahead. */
-  private final PlanExecutor ahead;
+  /** Null if no planner is configured; the core then ignores plans and keeps no function statistics. */
+  private final PlanExecutor planExecutor;
 
-  private final FunctionStats seen = new FunctionStats();
+  private final FunctionStats functionStats = new FunctionStats();
   private Map<String, WorkerEntry> workers = new LinkedHashMap<>();
   private boolean applyingHold;
   private boolean refusingAll;
@@ -159,7 +166,7 @@
   private final AtomicLong maxWaitMicros = new AtomicLong();
   private volatile boolean stopped;
   private long now;
-  /** The steps of the thread, made once and not for each message. */
+  /** Steps of the main loop, allocated once instead of for each message. */
   private final Runnable runTimers = this::runTimers;
 
   private final Runnable handle = this::handle;
@@ -167,21 +174,21 @@
   private final Runnable flush;
   private final Consumer<String> timerDue = token -> tell(new TimerDue(token));
   private final Consumer<Action> carryOut = this::carryOut;
-  /** The message that {@link #handle()} takes. */
-  private Message<C> handled;
+  /** The message that {@link #handle()} processes next. */
+  private Message<C> current;
 
-  /** The call that the router is told at present; null where it is told something else. */
-  private ActiveCall<C> arriving;
+  /** The call that the router is being told about; null during other events. */
+  private ActiveCall<C> accepting;
 
   private long flushedAt;
   private long workerListUpdateCount;
 
   /**
-   * Starts the core.
+   * Starts the core's thread.
    *
-   * @param mostOffers calls that may wait to be looked at; further ones are not taken
-   * @param plans true where a planner may ask for copies ahead of need
-   * @param advice says when refused clients should come back; null where the router's own word stands
+   * @param maxQueuedCalls calls that may wait for the core; further ones are not accepted
+   * @param plans true if a planner may order loads ahead of demand
+   * @param advice decides when refused clients should retry; null to use the router's own advice
    */
   public Core(
       Settings settings,
@@ -196,14 +203,14 @@
     this.outbound = outbound;
     this.beforeIdle = outbound::beforeIdle;
     this.flush = outbound::flush;
-    this.ahead = plans ? new PlanExecutor(settings.keepAlive()) : null;
+    this.planExecutor = plans ? new PlanExecutor(settings.keepAlive()) : null;
     this.advice = advice;
     this.mailbox = new Mailbox<>(maxQueuedCalls);
     this.timers = new TimerWheel<>(Math.max(100, settings.tick() / 2), Clock.micros());
     this.thread = Threads.start("core", stackBytes, this::run);
   }
 
-  /** Offers a call; false where too many wait already or for too long, and then it is not taken. */
+  /** Queues a call; returns false, without queueing it, if too many calls wait or have waited for too long. */
   public boolean offer(C call) {
     long now = Clock.micros();
     long timeLeft = call.facts().deadlineAt() - now;
@@ -216,9 +223,9 @@
   }
 
   /**
-   * Gives a call the answer of an attempt that served it, on the calling thread: whoever waits for it does not wait for
-   * the core as well, which hears of it by {@link #attemptEnded} after that. Not where advice to clients counts
-   * answers.
+   * Finishes a call with the result of a successful attempt on the calling thread, so that its client does not wait for
+   * the core's queue as well. The core is told afterwards by {@link #attemptEnded}. Must not be used with retry advice,
+   * which has to count every answer.
    */
   public void answerServed(AttemptEnd<C> end) {
     long at = Clock.micros();
@@ -227,54 +234,55 @@
     }
   }
 
-  /**
-   * An answer that comes after its time is not served: the client may have gone, and what it is told must be one thing.
-   */
+  /** A result after the deadline is not served: the client may have left, and must get one consistent answer. */
   private boolean isInTime(C call, long at) {
     return at <= call.facts().deadlineAt() + settings.tick();
   }
 
-  /** An attempt ended; exactly once for each. */
+  /** Reports the end of an attempt; called exactly once for each attempt. */
   public void attemptEnded(AttemptEnd<C> end) {
     mailbox.put(new Ended<>(end));
   }
 
-  /** A load order ended. */
+  /** Reports the end of a load order. */
   public void loadEnded(Loaded loaded) {
     mailbox.put(new RouterEvent<>(loaded));
   }
 
-  /** The client of a call left, or the call was answered without the router. */
+  /** Reports that the client of a call left, or that the call was answered without the router. */
   public void clientGone(C call) {
     mailbox.put(new ClientLeft<>(call));
   }
 
-  /** Has every call that is held, and every one that comes after, answered at once: the process is about to end. */
+  /** Answers all waiting calls, and all later ones, at once, since the process is about to exit. */
   public void refuseAll() {
     mailbox.put(new RefuseAll<>());
   }
 
-  /** The worker list has news. */
+  /** Reports an update of the worker list. */
   public void workerListChanged(WorkerListUpdate update) {
     mailbox.put(new RouterEvent<>(update));
   }
 
-  /** Another edge sent a message. */
+  /** Reports a message from another edge. */
   public void peerMessage(int sender, String text) {
     mailbox.put(new RouterEvent<>(new PeerMessage(sender, text)));
   }
 
-  /** A plan came; its times are this process's clock. Only where plans are expected. */
+  /** Passes on a plan whose times are on this process's clock; only if the core was created with plans. */
   public void takePlan(Plan plan) {
     mailbox.put(new Planned<>(plan));
   }
 
   /**
-   * Has what a planner is told collected and handed over, on the core's thread; {@code giveBack} could not be told
-   * before.
+   * Collects a report for the planner on the core's thread.
+   *
+   * @param unreported statistics of an earlier report that did not reach the planner; they are added again
+   * @param to receives the report on the core's thread
    */
-  public void collectReport(Map<String, FunctionStats.Snapshot> giveBack, Consumer<PlannerReport> to) {
-    mailbox.put(new Collect<>(to, giveBack));
+  public void collectReport(
+      Map<String, FunctionStats.Snapshot> unreported, Consumer<PlannerReport> to) {
+    mailbox.put(new Collect<>(to, unreported));
   }
 
   private void run() {
@@ -284,16 +292,16 @@
         Threads.guarded("core", runTimers);
         flushIfDue();
         long next = Math.min(timers.nextDue(), planCheckAt);
-        long wait = Math.min((next - now) * 1000, IDLE_NANOS);
+        long wait = Math.min((next - now) * 1000, MAX_IDLE_NANOS);
         Message<C> message = mailbox.take(0);
         if (message == null) {
           Threads.guarded("core", beforeIdle);
-          message = mailbox.take(next == Long.MAX_VALUE ? IDLE_NANOS : Math.max(0, wait));
+          message = mailbox.take(next == Long.MAX_VALUE ? MAX_IDLE_NANOS : Math.max(0, wait));
           flushedAt = Clock.micros();
         }
         if (message != null) {
           now = Clock.micros();
-          handled = message;
+          current = message;
           Threads.guarded("core", handle);
         }
       }
@@ -303,8 +311,9 @@
   }
 
   /**
-   * Guards against answers and attempts that are gathered for as long as this thread is never idle: with too little
-   * processor that was more than a second. It could harm by a wake-up for each few messages under such a load.
+   * Flushes gathered answers and attempts at a bounded interval. Otherwise they would wait until this thread is idle,
+   * which took more than a second on an overloaded processor. The cost is a wake-up for every few messages under such a
+   * load.
    */
   private void flushIfDue() {
     if (now - flushedAt > MAX_BATCH_MICROS) {
@@ -319,10 +328,10 @@
   }
 
   private void handle() {
-    Message<C> message = handled;
-    handled = null;
+    Message<C> message = current;
+    current = null;
     if (message instanceof Offered<C> m) {
-      arrived(m.call());
+      accept(m.call());
     } else if (message instanceof Ended<C> m) {
       ended(m.end());
     } else if (message instanceof ClientLeft<C> m) {
@@ -341,8 +350,8 @@
           .toList()
           .forEach(id -> tell(new AnswerDue(id)));
     } else if (message instanceof Planned<C> m) {
-      PlanExecutor.Verdict verdict = ahead.offer(m.plan(), now);
-      planCheckAt = ahead.hasPendingHolds() ? now : Long.MAX_VALUE;
+      PlanExecutor.Verdict verdict = planExecutor.offer(m.plan(), now);
+      planCheckAt = planExecutor.hasPendingHolds() ? now : Long.MAX_VALUE;
       if (verdict != PlanExecutor.Verdict.TAKEN && verdict != PlanExecutor.Verdict.OLDER) {
         LOG.warn("plan {}/{} is passed over: {}", m.plan().epoch(), m.plan().version(), verdict);
       }
@@ -352,29 +361,29 @@
   }
 
   private void collect(Collect<C> m) {
-    seen.restoreCalls(m.giveBack());
-    ahead.account().closeExpired(now);
+    functionStats.restoreCalls(m.unreported());
+    planExecutor.account().closeExpired(now);
     m.to()
         .accept(new PlannerReport(
-            seen.takeSnapshots(),
-            ahead.account().takeClosed(),
+            functionStats.takeSnapshots(),
+            planExecutor.account().takeClosed(),
             List.copyOf(workers.values()),
-            ahead.plan().epoch(),
-            ahead.plan().version()));
+            planExecutor.plan().epoch(),
+            planExecutor.plan().version()));
   }
 
-  /** What plans and their account need to hear beside the router. */
+  /** Passes the events that concern plans and their accounting to the plan executor. */
   private void forwardToPlans(Event event) {
-    if (ahead == null) {
+    if (planExecutor == null) {
       return;
     }
     if (event instanceof Loaded e) {
       if (e.outcome() == Outcome.OK) {
-        seen.loaded(e.function(), e.latency());
+        functionStats.loaded(e.function(), e.latency());
       }
-      ahead.loaded(e.worker(), e.function(), e.outcome(), e.latency(), now);
+      planExecutor.loaded(e.worker(), e.function(), e.outcome(), e.latency(), now);
     } else if (event instanceof PeerMessage e) {
-      ahead.peerMessage(e.text(), now);
+      planExecutor.peerMessage(e.text(), now);
     } else if (event instanceof WorkerListUpdate e && e.kind() != ListKind.FAILED) {
       workers = new LinkedHashMap<>();
       e.entries().stream()
@@ -383,20 +392,20 @@
     }
   }
 
-  /** Proposes to the router what a plan wants held now. */
+  /** Proposes to the router the planned loads that are due. */
   private void checkPlan() {
     if (now < planCheckAt) {
       return;
     }
-    for (PlannedLoad hold : ahead.due(now)) {
+    for (PlannedLoad hold : planExecutor.due(now)) {
       applyingHold = true;
       tell(hold);
       applyingHold = false;
     }
-    planCheckAt = ahead.hasPendingHolds() ? now + PLAN_CHECK_MICROS : Long.MAX_VALUE;
+    planCheckAt = planExecutor.hasPendingHolds() ? now + PLAN_CHECK_MICROS : Long.MAX_VALUE;
   }
 
-  /** An error of the router must not end the thread: the other calls go on, and the log says where it was. */
+  /** An error of the router must not end the thread: it is logged and the other calls continue. */
   private void tell(Event event) {
     try {
       router.on(now, event, carryOut);
@@ -405,24 +414,21 @@
     }
   }
 
-  /**
-   * How many news of the worker list the router was told; on the core's thread, while it carries out what was decided.
-   */
+  /** Number of worker list updates passed to the router; only on the core's thread, while it executes an action. */
   public long workerListUpdateCount() {
     return workerListUpdateCount;
   }
 
-  /** The longest wait of a call for the core since this was last asked, in microseconds; any thread. */
+  /** The longest time that a call waited for the core since the previous invocation, in microseconds. Thread safe. */
   public long takeMaxWaitMicros() {
     return maxWaitMicros.getAndSet(0);
   }
 
-  private void arrived(C call) {
+  private void accept(C call) {
     call.considered(now);
     maxWaitMicros.accumulateAndGet(now - call.facts().takenAt(), Math::max);
     if (call.isFinished()) {
-      // Its client left before it was looked at: nothing is owed, and no attempt would be let
-      // out.
+      // The client left before the core processed the call; no attempt would be allowed.
       return;
     }
     if (refusingAll) {
@@ -430,10 +436,10 @@
       return;
     }
     Call.Facts f = call.facts();
-    arriving = new ActiveCall<>(call);
-    calls.put(call.id(), arriving);
-    if (ahead != null) {
-      seen.callAccepted(f.function(), f.memoryMb(), f.lanes());
+    accepting = new ActiveCall<>(call);
+    calls.put(call.id(), accepting);
+    if (planExecutor != null) {
+      functionStats.callAccepted(f.function(), f.memoryMb(), f.lanes());
     }
     tell(new Request(
         call.id(),
@@ -446,7 +452,7 @@
         f.lanes(),
         f.loadTime(),
         f.repeat()));
-    arriving = null;
+    accepting = null;
   }
 
   private void ended(AttemptEnd<C> end) {
@@ -464,7 +470,7 @@
     }
     if (served) {
       call.onServedResult(end.body());
-      noteServed(call, attempt, end.note());
+      recordServed(call, attempt, end.copyStatus());
     }
     ActiveCall<C> active = calls.get(call.id());
     if (active != null) {
@@ -477,16 +483,16 @@
         outcome,
         call.isFinished(),
         now - attempt.decidedAt(),
-        end.note(),
-        end.crowd(),
+        end.copyStatus(),
+        end.concurrency(),
         end.report()));
     release(call);
   }
 
-  private void noteServed(C call, Call.Attempt attempt, CopyStatus note) {
-    if (ahead != null) {
-      seen.served(call.facts().function(), note, now - attempt.decidedAt());
-      String found = ahead.served(attempt.worker(), call.facts().function(), note, now);
+  private void recordServed(C call, Call.Attempt attempt, CopyStatus copyStatus) {
+    if (planExecutor != null) {
+      functionStats.served(call.facts().function(), copyStatus, now - attempt.decidedAt());
+      String found = planExecutor.served(attempt.worker(), call.facts().function(), copyStatus, now);
       if (found != null) {
         outbound.tellPeers(found);
       }
@@ -504,8 +510,8 @@
   }
 
   /**
-   * Forgets a call that is over and has no attempt out. The router has ended it by then, or does so at the news that
-   * its client left, so that its deadline would change nothing.
+   * Removes a call that is finished and has no attempt in progress. By then the router has ended the call, or does so
+   * when it is told that the client left, so the deadline timer is no longer needed.
    */
   private void release(C call) {
     if (!call.isFinished()) {
@@ -530,8 +536,8 @@
       outbound.send(call, number, a.worker(), a.timeout());
     } else if (action instanceof SetTimer a) {
       TimerWheel.Node<String> timer = timers.schedule(now + a.delay(), a.token());
-      if (arriving != null && a.isDeadline()) {
-        arriving.deadline = timer;
+      if (accepting != null && a.isDeadline()) {
+        accepting.deadline = timer;
       }
     } else if (action instanceof Refuse a) {
       C call = calls.get(a.id()).call;
@@ -545,7 +551,7 @@
       outbound.cancel(calls.get(a.id()).call, a.attempt());
     } else if (action instanceof Load a) {
       if (applyingHold) {
-        ahead.ordered(a.worker(), a.function(), now);
+        planExecutor.ordered(a.worker(), a.function(), now);
       }
       outbound.load(a.worker(), a.function(), a.copies());
     } else if (action instanceof TellPeers a) {
@@ -557,7 +563,7 @@
     }
   }
 
-  /** A line for a call that goes to a worker which is starting, with what its budget leaves after it. */
+  /** Logs, at debug level, the cold budget that a starting worker has left after this call. */
   private void logStartingWorker(C call, String worker) {
     double left = LOG.isDebugEnabled() ? router.startBudget(worker) : Double.NaN;
     if (!Double.isNaN(left)) {
@@ -569,7 +575,7 @@
     }
   }
 
-  /** Ends the thread; what it held is answered by the fronts' own time limits. */
+  /** Stops the thread; calls that are still waiting are answered by the time limits of the fronts. */
   @Override
   public void close() {
     stopped = true;
--- a/core/src/main/java/gorseladder/core/RuleLog.java
+++ b/core/src/main/java/gorseladder/core/RuleLog.java
@@ -8,24 +8,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What {@link RuleWatch} finds, as one line each with the request's id and as counts: an alarm, never a crash. Tests
- * fail where any count is left. Any thread.
+ * Logs and counts the rule violations that {@link RuleWatch} detects, one line with the request's ID for each. A
+ * violation never stops the process; tests fail if any count is not zero. Thread safe.
  */
 public final class RuleLog {
   private final Logger log;
   private final RuleWatch watch = new RuleWatch();
 
-  /** Writes its lines to the program's log. */
+  /** Creates a log of violations that writes to the program's log. */
   public RuleLog() {
     this(LoggerFactory.getLogger(RuleLog.class));
   }
 
-  /** Writes its lines to that log. */
+  /** Creates a log of violations that writes to the given log. */
   public RuleLog(Logger log) {
     this.log = log;
   }
 
-  /** The bytes of an attempt have left. */
+  /** Checks an attempt whose bytes were written. */
   public void written(String request, Written attempt) {
     synchronized (watch) {
       for (Rule rule : watch.written(attempt)) {
@@ -35,9 +35,9 @@
   }
 
   /**
-   * The final answer of a call was handed to the system.
+   * Checks a final answer that was handed to the operating system.
    *
-   * @param steps when it passed each step on its way; told where it came too late
+   * @param steps timeline of the call, logged if the answer was late
    */
   public void answered(String request, long at, long deadlineAt, Object steps) {
     synchronized (watch) {
@@ -52,7 +52,7 @@
     }
   }
 
-  /** A connection was closed from here with requests that have no answer. */
+  /** Records that this process closed a connection on which requests had no answer yet. */
   public void closedWithRequests(int open, String why) {
     synchronized (watch) {
       watch.closedWithRequests(open);
@@ -64,7 +64,7 @@
         why);
   }
 
-  /** How often each rule was broken; empty where none was. */
+  /** Number of violations of each rule; empty if there were none. */
   public Map<Rule, Long> counts() {
     synchronized (watch) {
       return watch.counts();
--- a/core/src/main/java/gorseladder/core/StallDetector.java
+++ b/core/src/main/java/gorseladder/core/StallDetector.java
@@ -6,7 +6,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Notices when this process stood still, by a timer; {@link StallWatch} says what follows. Any thread. */
+/** Detects, by a timer, when this process stalled; {@link StallWatch} decides what follows. Thread safe. */
 public final class StallDetector {
   private static final Logger LOG = LoggerFactory.getLogger(StallDetector.class);
 
@@ -15,54 +15,54 @@
   private long stalls;
   private volatile boolean stopped;
 
-  /** Begins to look. */
+  /** Starts the timer. */
   public StallDetector(Watchdog watchdog) {
     this.watchdog = watchdog;
-    tickLater();
+    scheduleTick();
   }
 
-  private void tickLater() {
+  private void scheduleTick() {
     watchdog.after(StallWatch.TICK, () -> {
       if (!stopped) {
         tick();
-        tickLater();
+        scheduleTick();
       }
     });
   }
 
   private void tick() {
-    long stood;
+    long stalledFor;
     synchronized (watch) {
-      stood = watch.tick(Clock.micros());
-      stalls += stood > 0 ? 1 : 0;
+      stalledFor = watch.tick(Clock.micros());
+      stalls += stalledFor > 0 ? 1 : 0;
     }
-    if (stood > 0) {
-      LOG.debug("the process stood still for {} ms", stood / 1_000);
+    if (stalledFor > 0) {
+      LOG.debug("the process stalled for {} ms", stalledFor / 1_000);
     }
   }
 
-  /** The earliest time at which something may have come that is read now. */
+  /** The earliest time at which data that is read now may have arrived. */
   public long earliestArrival(long now) {
     synchronized (watch) {
       return watch.cameAt(now);
     }
   }
 
-  /** From when on what clients did during the last pause is known; 0 where there was none. */
+  /** From when on the process knows what its clients did during the last stall; 0 if there was none. */
   public long clientsKnownSince(long now) {
     synchronized (watch) {
       return watch.settledAt(now);
     }
   }
 
-  /** Pauses so far. */
+  /** Number of stalls so far. */
   public long stalls() {
     synchronized (watch) {
       return stalls;
     }
   }
 
-  /** Looks no more. */
+  /** Stops the timer. */
   public void stop() {
     stopped = true;
   }
--- a/core/src/main/java/gorseladder/core/ThreadReclaimer.java
+++ b/core/src/main/java/gorseladder/core/ThreadReclaimer.java
@@ -9,44 +9,45 @@
 import java.util.stream.Collectors;
 
 /**
- * Ends a connection on which nothing is out, so that its thread can serve a client that has asked; which one
- * {@link ThreadSharing} says. Any thread; nothing here blocks.
+ * Closes an idle connection so that its thread can serve a client that has sent a request; {@link ThreadSharing}
+ * chooses the connection. Thread safe and non-blocking.
  */
 public final class ThreadReclaimer {
-  /** A connection may have been used since it was seen idle; so many others are then tried. */
-  private static final int TRIES = 4;
+  /** Candidates tried, since a connection may have become busy after it was listed as idle. */
+  private static final int MAX_TRIES = 4;
 
   /**
-   * A connection that has a thread and on which nothing is out.
+   * A connection that has a thread and no call in progress.
    *
-   * @param closeIfFree closes it where still nothing is out on it; false where something is
+   * @param closeIfIdle closes the connection if it is still idle; returns false if it is not
    */
   public record IdleConnection(Holder holder, BooleanSupplier closeIfIdle) {}
 
-  /** Who has such connections. */
+  /** An owner of connections. */
   public interface Source {
-    /** Those that it has now ({@link Clock#micros()}). */
+    /** The connections that are idle now ({@link Clock#micros()}). */
     List<IdleConnection> idle(long now);
   }
 
   private final List<Source> sources;
 
-  /** Shares the threads of these. */
+  /** Creates a reclaimer for the connections of these owners. */
   public ThreadReclaimer(Source... sources) {
     this.sources = List.of(sources);
   }
 
   /**
-   * Has one connection end; false where none should.
+   * Closes one idle connection.
    *
-   * @param waited for how long the client has waited, in microseconds
+   * @param waited how long the client has waited, in microseconds
+   * @return false if no connection should be closed
    */
   public boolean reclaim(long waited) {
     long now = Clock.micros();
     List<IdleConnection> idle = sources.stream()
         .flatMap(source -> source.idle(now).stream())
         .collect(Collectors.toCollection(ArrayList::new));
-    for (int tries = 0; tries < TRIES; tries++) {
+    for (int tries = 0; tries < MAX_TRIES; tries++) {
       int picked = ThreadSharing.pick(idle.stream().map(IdleConnection::holder).toList(), waited);
       if (picked < 0) {
         return false;
--- a/core/src/test/java/gorseladder/core/CoreTest.java
+++ b/core/src/test/java/gorseladder/core/CoreTest.java
@@ -26,16 +26,16 @@
 import org.junit.jupiter.api.Test;
 
 class CoreTest {
-  private static final long SECOND = 1_000_000;
-  private static final long DEADLINES_APART = 20_000;
-  private static final int STACK = 512 << 10;
-  private static final RequestClass SAFE =
-      new RequestClass("safe", Effect.SAFE, Group.ALL, 0, SECOND, 2 * SECOND, 1, 0.2, false);
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final long DEADLINE_INTERVAL_MICROS = 20_000;
+  private static final int STACK_BYTES = 512 << 10;
+  private static final RequestClass SAFE = new RequestClass(
+      "safe", Effect.SAFE, Group.ALL, 0, SECOND_MICROS, 2 * SECOND_MICROS, 1, 0.2, false);
 
-  private final Writers writers = new Writers(1, STACK);
+  private final Writers writers = new Writers(1, STACK_BYTES);
   private volatile boolean stopped;
 
-  private class Released implements Core.Outbound<Call> {
+  private class ReleasingOutbound implements Core.Outbound<Call> {
     @Override
     public void send(Call call, int attempt, String worker, long timeout) {}
 
@@ -62,12 +62,13 @@
     }
   }
 
-  /** Guards against answers that are written only once the core has nothing to do: never under a lasting overload. */
+  /** Guards against answers that are written only when the core is idle, which never happens under lasting overload. */
   @Test
   void whatTheCoreHasWrittenLeavesThoughTheCoreIsNeverIdle() throws Exception {
     CountDownLatch written = new CountDownLatch(1);
     try (writers;
-        Core<Call> core = new Core<>(settings(), 1, new Released(), 100, true, null, STACK)) {
+        Core<Call> core =
+            new Core<>(settings(), 1, new ReleasingOutbound(), 100, true, null, STACK_BYTES)) {
       core.collectReport(
           Map.of(),
           first -> core.collectReport(Map.of(), second -> {
@@ -80,7 +81,7 @@
     }
   }
 
-  /** Each message puts the next one before it is done with. */
+  /** Each message queues the next one while it is processed. */
   private void keepBusy(Core<Call> core) {
     if (!stopped) {
       core.collectReport(Map.of(), next -> keepBusy(core));
@@ -88,44 +89,46 @@
   }
 
   /**
-   * Guards against calls that are queued at a core that has no processor for those before them: their answers came too
-   * late, where a refusal at once is harmless.
+   * Guards against calls that are queued while the core gets no processor for those ahead of them: their answers came
+   * too late, whereas an immediate refusal is harmless.
    */
   @Test
   void aCallIsNotQueuedBehindOthersThatHaveWaitedForLongOfItsTime() throws Exception {
-    CountDownLatch held = new CountDownLatch(1);
+    CountDownLatch coreBlocked = new CountDownLatch(1);
     try (writers;
-        Core<Call> core = new Core<>(settings(), 1, new Released(), 100, true, null, STACK)) {
-      core.collectReport(Map.of(), first -> await(held));
+        Core<Call> core =
+            new Core<>(settings(), 1, new ReleasingOutbound(), 100, true, null, STACK_BYTES)) {
+      core.collectReport(Map.of(), first -> await(coreBlocked));
       assertFalse(core.offer(call(0, 0)), "its time is over");
-      assertTrue(core.offer(call(1, 20 * SECOND)), "nothing waits before it");
-      assertTrue(core.offer(call(2, 20 * SECOND)), "nothing has waited for long");
+      assertTrue(core.offer(call(1, 20 * SECOND_MICROS)), "nothing waits before it");
+      assertTrue(core.offer(call(2, 20 * SECOND_MICROS)), "nothing has waited for long");
       Thread.sleep(300);
-      assertFalse(core.offer(call(3, SECOND)), "0.3 s of one second have gone");
-      assertTrue(core.offer(call(4, 20 * SECOND)), "0.3 s of twenty seconds have gone");
+      assertFalse(core.offer(call(3, SECOND_MICROS)), "0.3 s of one second have gone");
+      assertTrue(core.offer(call(4, 20 * SECOND_MICROS)), "0.3 s of twenty seconds have gone");
     } finally {
-      held.countDown();
+      coreBlocked.countDown();
     }
   }
 
   /**
-   * Guards against answers that have come and wait for the core, which has no processor: a served answer in time is its
-   * call's final one on the thread that read it, and a late one is not.
+   * Guards against results that wait for a core without a processor: a result in time finishes its call on the thread
+   * that read it, a late one does not.
    */
   @Test
   void aServedAnswerDoesNotWaitForTheCore() throws Exception {
-    CountDownLatch held = new CountDownLatch(1);
+    CountDownLatch coreBlocked = new CountDownLatch(1);
     try (writers;
-        Core<Call> core = new Core<>(settings(), 1, new Released(), 100, true, null, STACK)) {
-      core.collectReport(Map.of(), first -> await(held));
-      Call inTime = call(1, SECOND);
-      Call late = call(2, -SECOND);
+        Core<Call> core =
+            new Core<>(settings(), 1, new ReleasingOutbound(), 100, true, null, STACK_BYTES)) {
+      core.collectReport(Map.of(), first -> await(coreBlocked));
+      Call inTime = call(1, SECOND_MICROS);
+      Call late = call(2, -SECOND_MICROS);
       core.answerServed(served(inTime));
       core.answerServed(served(late));
       assertEquals(Reason.SERVED, inTime.answer().reason());
       assertNull(late.answer());
     } finally {
-      held.countDown();
+      coreBlocked.countDown();
     }
   }
 
@@ -134,25 +137,25 @@
     return new AttemptEnd<>(call, 0, Outcome.OK, new byte[] {1}, CopyStatus.NONE, 0, Map.of());
   }
 
-  /** Guards against a core that wakes at the deadline of each call though the call ended long before. */
+  /** Guards against a core that wakes at the deadline of each call that ended long before. */
   @Test
   void theDeadlineOfACallThatHasEndedDoesNotWakeTheCore() throws Exception {
     int calls = 20;
     List<Call> taken = IntStream.range(0, calls)
-        .mapToObj(i -> call(i, SECOND + i * DEADLINES_APART))
+        .mapToObj(i -> call(i, SECOND_MICROS + i * DEADLINE_INTERVAL_MICROS))
         .toList();
     CountDownLatch left = new CountDownLatch(1);
     AtomicInteger pauses = new AtomicInteger();
-    Released counting = new Released() {
+    ReleasingOutbound counting = new ReleasingOutbound() {
       @Override
       public void beforeIdle() {
         pauses.incrementAndGet();
       }
     };
     try (writers;
-        Core<Call> core = new Core<>(settings(), 1, counting, 100, true, null, STACK)) {
+        Core<Call> core = new Core<>(settings(), 1, counting, 100, true, null, STACK_BYTES)) {
       taken.forEach(core::offer);
-      long until = Clock.micros() + SECOND;
+      long until = Clock.micros() + SECOND_MICROS;
       while (taken.get(calls - 1).consideredAt() == 0 && Clock.micros() < until) {
         Thread.sleep(1);
       }
@@ -160,7 +163,7 @@
       core.collectReport(Map.of(), gone -> left.countDown());
       assertTrue(left.await(5, TimeUnit.SECONDS), "the clients did not leave in 5 s");
       int before = pauses.get();
-      Thread.sleep((SECOND + calls * DEADLINES_APART) / 1_000);
+      Thread.sleep((SECOND_MICROS + calls * DEADLINE_INTERVAL_MICROS) / 1_000);
       int after = pauses.get() - before;
       assertTrue(after < calls / 2, () -> after + " pauses for " + calls + " calls that ended");
     }
@@ -195,13 +198,13 @@
         1,
         "z",
         2_000,
-        8 * SECOND,
+        8 * SECOND_MICROS,
         true,
         false,
         0,
         0.05,
-        new Limits(4, false, true, false, false, true, true, SECOND, SECOND),
-        new Rules(500_000, 0.2, SECOND, 2, SECOND, 0, 0, 0),
+        new Limits(4, false, true, false, false, true, true, SECOND_MICROS, SECOND_MICROS),
+        new Rules(500_000, 0.2, SECOND_MICROS, 2, SECOND_MICROS, 0, 0, 0),
         List.of(SAFE),
         List.of());
   }
--- a/edge/src/main/java/gorseladder/edge/history/CallHistory.java
+++ b/edge/src/main/java/gorseladder/edge/history/CallHistory.java
@@ -90,7 +90,7 @@
   public synchronized void attempt(AttemptEnd<TakenCall> end) {
     if (end.outcome() == Outcome.OK) {
       Counts c = of(end.call());
-      switch (end.note()) {
+      switch (end.copyStatus()) {
         case WARM -> c.found++;
         case BEGAN -> c.began++;
         case WAITED -> c.awaited++;
--- a/edge/src/main/java/gorseladder/edge/plans/PlannerLink.java
+++ b/edge/src/main/java/gorseladder/edge/plans/PlannerLink.java
@@ -11,8 +11,8 @@
 import gorseladder.config.exchange.LoadAhead;
 import gorseladder.config.exchange.Worker;
 import gorseladder.config.proto.EdgeSettings;
-import gorseladder.core.Core.PlannerReport;
 import gorseladder.core.Core;
+import gorseladder.core.Core.PlannerReport;
 import gorseladder.edge.core.TakenCall;
 import gorseladder.edge.history.CallHistory;
 import gorseladder.runtime.Clock;
@@ -145,9 +145,9 @@
     for (HistoryRow row : batch.rows()) {
       ask.addRow(ByteString.copyFrom(row.toBytes()));
     }
-    untold = collected.seen();
+    untold = collected.functionStats();
     collected
-        .seen()
+        .functionStats()
         .forEach((f, s) -> ask.addSeen(gorseladder.config.exchange.Seen.newBuilder()
             .setFunction(f)
             .setCalls(s.calls())
