--- a/core/src/main/java/gorseladder/core/Core.java
+++ b/core/src/main/java/gorseladder/core/Core.java
@@ -492,7 +492,8 @@
   private void recordServed(C call, Call.Attempt attempt, CopyStatus copyStatus) {
     if (planExecutor != null) {
       functionStats.served(call.facts().function(), copyStatus, now - attempt.decidedAt());
-      String found = planExecutor.served(attempt.worker(), call.facts().function(), copyStatus, now);
+      String found =
+          planExecutor.served(attempt.worker(), call.facts().function(), copyStatus, now);
       if (found != null) {
         outbound.tellPeers(found);
       }
--- a/edge/src/main/java/gorseladder/edge/EdgeMain.java
+++ b/edge/src/main/java/gorseladder/edge/EdgeMain.java
@@ -59,13 +59,14 @@
         "gorseladder.log.form", loaded.settings().getLog().getForm().name());
     System.setProperty("gorseladder.log.level", loaded.settings().getLog().getLevel());
     try (Edge edge = new Edge(loaded.settings())) {
-      ProcessSignals signals = ProcessSignals.stops(() -> Runtime.getRuntime().halt(KILLED));
+      ProcessSignals signals =
+          ProcessSignals.listenForStop(() -> Runtime.getRuntime().halt(KILLED));
       Map<String, Object> ready = new LinkedHashMap<>();
       ready.put("ready", true);
       ready.put("edge", Address.print(edge.address()));
       out.println(Json.write(ready));
       out.flush();
-      signals.awaitStop();
+      signals.awaitStopOrReload();
       edge.stop();
       return OK;
     } catch (IOException e) {
--- a/edge/src/main/java/gorseladder/edge/front/WebhookFront.java
+++ b/edge/src/main/java/gorseladder/edge/front/WebhookFront.java
@@ -141,7 +141,7 @@
     }
 
     @Override
-    public void spareThread(long waited) {
+    public void reclaimThread(long waited) {
       sharer.reclaim(waited);
     }
   }
--- a/node/src/main/java/gorseladder/node/NodeMain.java
+++ b/node/src/main/java/gorseladder/node/NodeMain.java
@@ -31,7 +31,7 @@
     if (System.getProperty("gorseladder.log.level") == null) {
       System.setProperty("gorseladder.log.level", "INFO");
     }
-    ProcessSignals signals = ProcessSignals.stopsAndReloads();
+    ProcessSignals signals = ProcessSignals.listenForStopAndReload();
     Map<String, String> environment = System.getenv();
     try (Node node = new Node(NodeConfig.read(environment));
         // Where it was replaced during the start, the file may have been read before that.
@@ -43,7 +43,7 @@
             node::changeLogHeard,
             STACK)) {
       node.tellWith(reconfiguration::summary);
-      while (!signals.awaitStop()) {
+      while (!signals.awaitStopOrReload()) {
         reconfiguration.ask();
       }
       node.stop();
--- a/node/src/main/java/gorseladder/node/front/FastCgiFront.java
+++ b/node/src/main/java/gorseladder/node/front/FastCgiFront.java
@@ -158,7 +158,7 @@
     }
 
     @Override
-    public void spareThread(long waited) {
+    public void reclaimThread(long waited) {
       count(sharer.reclaim(waited) ? "closed for its thread" : "no thread");
     }
   }
@@ -258,7 +258,7 @@
     if (held.putIfAbsent(facts.message(), call) != null) {
       throw new RequestReader.Unusable(Reason.CONFLICT, "the id is open already");
     }
-    budget.take(body.length);
+    budget.forceTake(body.length);
     taken.accept(call);
     hearer.taken(call);
     LOG.debug(
@@ -335,7 +335,7 @@
 
   /** Takes bytes of an answer, which is owed whether there is room or not; {@link #check} makes room later. */
   void take(int bytes) {
-    budget.take(bytes);
+    budget.forceTake(bytes);
   }
 
   void giveBack(long bytes) {
--- a/planner/src/main/java/gorseladder/planner/PlannerMain.java
+++ b/planner/src/main/java/gorseladder/planner/PlannerMain.java
@@ -34,13 +34,13 @@
         "gorseladder.log.form", loaded.settings().getLog().getForm().name());
     System.setProperty("gorseladder.log.level", loaded.settings().getLog().getLevel());
     try (PlannerServer server = new PlannerServer(loaded.settings(), Clock::wallMicros)) {
-      ProcessSignals signals = ProcessSignals.stops(() -> {});
+      ProcessSignals signals = ProcessSignals.listenForStop(() -> {});
       Map<String, Object> ready = new LinkedHashMap<>();
       ready.put("ready", true);
       ready.put("planner", Address.print(server.address()));
       out.println(Json.write(ready));
       out.flush();
-      signals.awaitStop();
+      signals.awaitStopOrReload();
       return OK;
     } catch (IOException e) {
       err.println("gorseladder: " + e.getMessage());
--- a/runtime/src/main/java/gorseladder/runtime/ByteBudget.java
+++ b/runtime/src/main/java/gorseladder/runtime/ByteBudget.java
@@ -22,7 +22,7 @@
   }
 
   /** Takes bytes that have to be kept, even past the bound; true where it still holds. */
-  public boolean take(long bytes) {
+  public boolean forceTake(long bytes) {
     return used.addAndGet(bytes) <= limit;
   }
 
--- a/runtime/src/main/java/gorseladder/runtime/Counts.java
+++ b/runtime/src/main/java/gorseladder/runtime/Counts.java
@@ -8,14 +8,14 @@
  * thread.
  */
 public final class Counts {
-  private static final int MOST_WORDS = 64;
+  private static final int MAX_WORDS = 64;
 
   private final Map<String, Long> counts = new TreeMap<>();
 
   /** Counts one. */
   public synchronized void count(String word) {
     counts.merge(
-        counts.size() < MOST_WORDS || counts.containsKey(word) ? word : "other", 1L, Long::sum);
+        counts.size() < MAX_WORDS || counts.containsKey(word) ? word : "other", 1L, Long::sum);
   }
 
   /** The counts by words, in their order, for the log. */
--- a/runtime/src/main/java/gorseladder/runtime/HttpConnection.java
+++ b/runtime/src/main/java/gorseladder/runtime/HttpConnection.java
@@ -26,10 +26,10 @@
   public static final int BUFFER_BYTES = 8192;
 
   /** Bytes that are written at a time; the thread keeps a copy as long as its longest write, outside the heap. */
-  private static final int WRITE = 16_384;
+  private static final int MAX_WRITE_BYTES = 16_384;
 
   /** Bytes of memory for each byte of a header section: its line, and its fields as text. */
-  private static final int HEAD_COST = 3;
+  private static final int HEAD_MEMORY_FACTOR = 3;
 
   private final SocketChannel channel;
   private final Socket socket;
@@ -138,13 +138,13 @@
   }
 
   private void feed(HeadParser parser) throws NoRoomException, BadMessage {
-    long most = (long) HEAD_COST * (to - from);
-    memory.take(most);
+    long reserved = (long) HEAD_MEMORY_FACTOR * (to - from);
+    memory.take(reserved);
     synchronized (memory) {
       memory.requireNotEnded();
       int used = parser.feed(buffer, from, to - from);
       from += used;
-      memory.giveBack(most - (long) HEAD_COST * used);
+      memory.giveBack(reserved - (long) HEAD_MEMORY_FACTOR * used);
     }
   }
 
@@ -282,8 +282,8 @@
 
   /** Writes the bytes from that one on. */
   public void writeFrom(byte[] bytes, int first) throws IOException {
-    for (int next = first; next < bytes.length; next += WRITE) {
-      socket.getOutputStream().write(bytes, next, Math.min(WRITE, bytes.length - next));
+    for (int next = first; next < bytes.length; next += MAX_WRITE_BYTES) {
+      socket.getOutputStream().write(bytes, next, Math.min(MAX_WRITE_BYTES, bytes.length - next));
     }
   }
 
@@ -291,7 +291,7 @@
   public int writeAtOnce(byte[] bytes) throws IOException {
     channel.configureBlocking(false);
     try {
-      return channel.write(ByteBuffer.wrap(bytes, 0, Math.min(WRITE, bytes.length)));
+      return channel.write(ByteBuffer.wrap(bytes, 0, Math.min(MAX_WRITE_BYTES, bytes.length)));
     } finally {
       channel.configureBlocking(true);
     }
--- a/runtime/src/main/java/gorseladder/runtime/HttpServer.java
+++ b/runtime/src/main/java/gorseladder/runtime/HttpServer.java
@@ -26,22 +26,22 @@
 public final class HttpServer implements Closeable {
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
-  private static final long MOST_JOIN_MILLIS = 2_000;
+  private static final long MAX_JOIN_MILLIS = 2_000;
   /** Before the system is asked again for what it did not have. */
-  private static final long PAUSE_MILLIS = 20;
+  private static final long RETRY_PAUSE_MILLIS = 20;
 
   /** After the end of accepting, so often what waits for a thread is looked at; with the pause about a second. */
-  private static final int LAST_TRIES = 50;
+  private static final int MAX_FINAL_TRIES = 50;
 
   /**
    * Of calls to accept that fail one after the other so many are made without a pause. Guards against a queue of
    * connections that grows faster than one is accepted after each pause, where many calls fail: clients that waited
    * behind a crowd were answered after their time. It costs a few vain calls.
    */
-  private static final int TRIES_AT_ONCE = 10;
+  private static final int MAX_TRIES_WITHOUT_PAUSE = 10;
 
   /** Threads that stand ready where no others are given. */
-  private static final int READY_THREADS = 4;
+  private static final int MIN_IDLE_THREADS = 4;
 
   /** What is done with connections. */
   public interface Handler {
@@ -54,7 +54,7 @@
      * @param earliest the earliest time at which what can be read now may have come ({@link Clock#micros()}): the
      *     connection may have waited to be accepted, or for its thread
      */
-    default void serve(SocketChannel connection, long earliest) throws IOException {
+    default void serve(SocketChannel connection, long earliestArrival) throws IOException {
       serve(connection);
     }
 
@@ -77,7 +77,7 @@
      *
      * @param waited for how long it has waited, in microseconds
      */
-    default void spareThread(long waited) {}
+    default void reclaimThread(long waited) {}
   }
 
   private final ServerSocketChannel server;
@@ -87,7 +87,7 @@
   private final boolean ownsThreads;
   private final Set<SocketChannel> open = ConcurrentHashMap.newKeySet();
   /** Connections accepted for which there was no thread yet; the accepting thread's own. */
-  private final ArrayDeque<Unstarted> unstarted = new ArrayDeque<>();
+  private final ArrayDeque<WaitingConnection> waitingConnections = new ArrayDeque<>();
 
   private final Thread acceptor;
   private final CountDownLatch addressFree = new CountDownLatch(1);
@@ -95,34 +95,34 @@
   /** Connections wait for a thread. */
   private volatile boolean waiting;
   /** Since when accepting fails; 0 while it does not. The accepting thread's own. */
-  private long failingSince;
+  private long acceptFailsSince;
   /** Connections accepted so far; the accepting thread's own. */
   private long accepted;
 
   /** A connection that has no thread yet. */
-  private static final class Unstarted {
+  private static final class WaitingConnection {
     private final SocketChannel connection;
-    private long lookedAt;
-    private boolean asked;
+    private long earliestArrival;
+    private boolean hasData;
 
     /** One on which nothing can have come before that time. */
-    private Unstarted(SocketChannel connection, long waitedSince) {
+    private WaitingConnection(SocketChannel connection, long waitedSince) {
       this.connection = connection;
-      this.lookedAt = waitedSince;
+      this.earliestArrival = waitedSince;
     }
 
     /** True once something can be read on it. */
-    private boolean hasAsked() {
-      if (!asked) {
-        asked = UnreadBytes.on(connection);
-        lookedAt = asked ? lookedAt : Clock.micros();
+    private boolean hasData() {
+      if (!hasData) {
+        hasData = UnreadBytes.on(connection);
+        earliestArrival = hasData ? earliestArrival : Clock.micros();
       }
-      return asked;
+      return hasData;
     }
 
     /** The earliest time at which what can be read on it may have come: when it was last looked at in vain. */
-    private long earliest() {
-      return lookedAt;
+    private long earliestArrival() {
+      return earliestArrival;
     }
   }
 
@@ -131,13 +131,14 @@
       Selector selector,
       String name,
       int stackBytes,
-      ThreadCache given,
+      ThreadCache sharedThreads,
       Handler handler) {
     this.server = server;
     this.selector = selector;
     this.handler = handler;
-    this.ownsThreads = given == null;
-    this.threads = given == null ? new ThreadCache(name, READY_THREADS, stackBytes) : given;
+    this.ownsThreads = sharedThreads == null;
+    this.threads =
+        sharedThreads == null ? new ThreadCache(name, MIN_IDLE_THREADS, stackBytes) : sharedThreads;
     threads.whenFree(this::wakeIfWaiting);
     this.acceptor = Threads.start(name + "-accept", stackBytes, this::accept);
   }
@@ -185,20 +186,20 @@
       try (selector;
           server) {
         while (!stopped) {
-          Threads.guarded("listener", this::await);
+          Threads.guarded("listener", this::awaitConnections);
           Threads.guarded("listener", this::startWaiting);
           acceptAll();
         }
         // What the system had accepted before the listener goes belongs to clients that may have
         // asked already; also where accepting fails just now.
         acceptAll();
-        for (int tries = 0; failingSince > 0 && tries < LAST_TRIES; tries++) {
+        for (int tries = 0; acceptFailsSince > 0 && tries < MAX_FINAL_TRIES; tries++) {
           pause();
           acceptAll();
         }
       }
       addressFree.countDown();
-      serveLast();
+      serveRemaining();
     } catch (IOException e) {
       LOG.error("accepting ended", e);
     } finally {
@@ -207,22 +208,22 @@
   }
 
   /** Nothing new comes: serves what waits for a thread and asked something, and ends the others. */
-  private void serveLast() throws IOException {
-    for (int tries = 0; !unstarted.isEmpty() && tries < LAST_TRIES; tries++) {
-      for (int left = unstarted.size(); left > 0; left--) {
-        Unstarted waits = unstarted.pollFirst();
-        if (waits.hasAsked()) {
-          unstarted.addLast(waits);
+  private void serveRemaining() throws IOException {
+    for (int tries = 0; !waitingConnections.isEmpty() && tries < MAX_FINAL_TRIES; tries++) {
+      for (int left = waitingConnections.size(); left > 0; left--) {
+        WaitingConnection candidate = waitingConnections.pollFirst();
+        if (candidate.hasData()) {
+          waitingConnections.addLast(candidate);
         } else {
-          endUnserved(waits.connection);
+          endUnserved(candidate.connection);
         }
       }
       startWaiting();
       pause();
     }
-    for (Unstarted waits : unstarted) {
+    for (WaitingConnection candidate : waitingConnections) {
       LOG.error("no thread for a connection before the end");
-      endUnserved(waits.connection);
+      endUnserved(candidate.connection);
     }
   }
 
@@ -233,9 +234,9 @@
   }
 
   /** Waits until there is something to accept. */
-  private void await() {
+  private void awaitConnections() {
     try {
-      selector.select(unstarted.isEmpty() ? 0 : PAUSE_MILLIS);
+      selector.select(waitingConnections.isEmpty() ? 0 : RETRY_PAUSE_MILLIS);
       selector.selectedKeys().clear();
     } catch (IOException | RuntimeException e) {
       LOG.warn("waiting for connections failed: {}", e.toString());
@@ -248,7 +249,7 @@
    * program.
    */
   private void acceptAll() {
-    for (int failures = 0; failures < TRIES_AT_ONCE; failures++) {
+    for (int failures = 0; failures < MAX_TRIES_WITHOUT_PAUSE; failures++) {
       long before = accepted;
       if (acceptUntilNone()) {
         return;
@@ -261,7 +262,7 @@
   /** Accepts until none waits; false where a call failed, and then more may wait. */
   private boolean acceptUntilNone() {
     // All that waits now may have waited since accepting began to fail.
-    long waitedSince = failingSince > 0 ? failingSince : Clock.micros();
+    long waitedSince = acceptFailsSince > 0 ? acceptFailsSince : Clock.micros();
     try {
       for (SocketChannel connection = server.accept();
           connection != null;
@@ -269,17 +270,17 @@
         accepted++;
         if (handler.admit(connection, waitedSince)) {
           open.add(connection);
-          start(new Unstarted(connection, waitedSince));
+          start(new WaitingConnection(connection, waitedSince));
         } else {
           connection.close();
         }
       }
-      failingSince = 0;
+      acceptFailsSince = 0;
       return true;
     } catch (IOException | RuntimeException | Error e) {
-      if (failingSince == 0) {
+      if (acceptFailsSince == 0) {
         LOG.warn("accept failed: {}", e.toString());
-        failingSince = waitedSince;
+        acceptFailsSince = waitedSince;
       }
       return false;
     }
@@ -289,9 +290,9 @@
    * Gives a connection its thread. Where there is none for a moment the connection waits for one: on it a client may
    * have asked already.
    */
-  private void start(Unstarted starts) {
-    if (!given(starts)) {
-      unstarted.addLast(starts);
+  private void start(WaitingConnection candidate) {
+    if (!tryGiveThread(candidate)) {
+      waitingConnections.addLast(candidate);
       waiting = true;
     }
   }
@@ -300,31 +301,32 @@
    * Gives it a thread, where there is one for it. A silent connection gets none of the last: a crowd of them would take
    * what clients that ask, and connections that carry their calls, need.
    */
-  private boolean given(Unstarted starts) {
-    boolean asked = starts.hasAsked();
-    long earliest = starts.earliest();
-    Runnable serving = () -> serve(starts.connection, earliest);
-    return asked ? threads.execute(serving) : threads.executeIfSpare(serving);
+  private boolean tryGiveThread(WaitingConnection candidate) {
+    boolean hasData = candidate.hasData();
+    long earliestArrival = candidate.earliestArrival();
+    Runnable serving = () -> serve(candidate.connection, earliestArrival);
+    return hasData ? threads.execute(serving) : threads.executeIfSpare(serving);
   }
 
   /** Gives threads to connections that wait for one: those first on which something can be read. */
   private void startWaiting() {
-    unstarted.removeIf(waits -> !waits.connection.isOpen() && open.remove(waits.connection));
-    if (!unstarted.isEmpty()) {
+    waitingConnections.removeIf(
+        candidate -> !candidate.connection.isOpen() && open.remove(candidate.connection));
+    if (!waitingConnections.isEmpty()) {
       startWaiting(true);
       startWaiting(false);
     }
-    waiting = !unstarted.isEmpty();
+    waiting = !waitingConnections.isEmpty();
   }
 
-  private void startWaiting(boolean thatAsked) {
-    for (int left = unstarted.size(); left > 0; left--) {
-      Unstarted waits = unstarted.pollFirst();
-      boolean turn = waits.hasAsked() || !thatAsked;
-      if (!turn || !given(waits)) {
-        unstarted.addLast(waits);
-        if (turn && thatAsked) {
-          handler.spareThread(Clock.micros() - waits.earliest());
+  private void startWaiting(boolean withDataOnly) {
+    for (int left = waitingConnections.size(); left > 0; left--) {
+      WaitingConnection candidate = waitingConnections.pollFirst();
+      boolean eligible = candidate.hasData() || !withDataOnly;
+      if (!eligible || !tryGiveThread(candidate)) {
+        waitingConnections.addLast(candidate);
+        if (eligible && withDataOnly) {
+          handler.reclaimThread(Clock.micros() - candidate.earliestArrival());
         }
       }
     }
@@ -339,15 +341,15 @@
 
   private void pause() {
     try {
-      Thread.sleep(PAUSE_MILLIS);
+      Thread.sleep(RETRY_PAUSE_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private void serve(SocketChannel connection, long earliest) {
+  private void serve(SocketChannel connection, long earliestArrival) {
     try (connection) {
-      handler.serve(connection, earliest);
+      handler.serve(connection, earliestArrival);
     } catch (IOException e) {
       LOG.debug("connection ended: {}", e.toString());
     } finally {
@@ -360,8 +362,8 @@
     stopped = true;
     selector.wakeup();
     try {
-      if (!addressFree.await(MOST_JOIN_MILLIS, TimeUnit.MILLISECONDS)) {
-        LOG.warn("accepting has not ended after {} ms", MOST_JOIN_MILLIS);
+      if (!addressFree.await(MAX_JOIN_MILLIS, TimeUnit.MILLISECONDS)) {
+        LOG.warn("accepting has not ended after {} ms", MAX_JOIN_MILLIS);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/runtime/src/main/java/gorseladder/runtime/LocalShortage.java
+++ b/runtime/src/main/java/gorseladder/runtime/LocalShortage.java
@@ -11,7 +11,7 @@
  */
 public final class LocalShortage {
   /** EMFILE, ENFILE, ENOBUFS, ENOMEM. */
-  private static final List<String> TEXTS =
+  private static final List<String> MESSAGES =
       List.of("Too many open files", "No buffer space available", "Cannot allocate memory");
 
   private LocalShortage() {}
@@ -25,6 +25,6 @@
     if (e.getCause() instanceof IOException cause) {
       return is(cause);
     }
-    return e instanceof BindException || TEXTS.stream().anyMatch(text::contains);
+    return e instanceof BindException || MESSAGES.stream().anyMatch(text::contains);
   }
 }
--- a/runtime/src/main/java/gorseladder/runtime/Mailbox.java
+++ b/runtime/src/main/java/gorseladder/runtime/Mailbox.java
@@ -13,25 +13,25 @@
  */
 public final class Mailbox<T> {
   private final ReentrantLock lock = new ReentrantLock();
-  private final WakeUp filled = new WakeUp();
-  private final ArrayDeque<T> news = new ArrayDeque<>();
+  private final WakeUp notEmpty = new WakeUp();
+  private final ArrayDeque<T> notices = new ArrayDeque<>();
   private final ArrayDeque<T> offers = new ArrayDeque<>();
-  private final int mostOffers;
+  private final int maxOffers;
 
   /** A mailbox that holds at most so many offers of new work. */
-  public Mailbox(int mostOffers) {
-    this.mostOffers = mostOffers;
+  public Mailbox(int maxOffers) {
+    this.maxOffers = maxOffers;
   }
 
   /** Puts news; always taken. */
   public void put(T message) {
     lock.lock();
     try {
-      news.addLast(message);
+      notices.addLast(message);
     } finally {
       lock.unlock();
     }
-    filled.wake();
+    notEmpty.wake();
   }
 
   /** Offers work; false where the mailbox holds as much as it may. */
@@ -47,7 +47,7 @@
   public boolean offer(T message, Predicate<? super T> mayFollow) {
     lock.lock();
     try {
-      boolean full = offers.size() >= mostOffers;
+      boolean full = offers.size() >= maxOffers;
       if (full || !offers.isEmpty() && !mayFollow.test(offers.peekFirst())) {
         return false;
       }
@@ -55,7 +55,7 @@
     } finally {
       lock.unlock();
     }
-    filled.wake();
+    notEmpty.wake();
     return true;
   }
 
@@ -65,15 +65,15 @@
     for (long left = nanos; ; left = until - System.nanoTime()) {
       lock.lockInterruptibly();
       try {
-        T next = news.isEmpty() ? offers.pollFirst() : news.pollFirst();
+        T next = notices.isEmpty() ? offers.pollFirst() : notices.pollFirst();
         if (next != null || left <= 0) {
           return next;
         }
-        filled.announce();
+        notEmpty.prepareSleep();
       } finally {
         lock.unlock();
       }
-      filled.sleep(left);
+      notEmpty.sleep(left);
     }
   }
 
@@ -81,7 +81,7 @@
   public int size() {
     lock.lock();
     try {
-      return news.size() + offers.size();
+      return notices.size() + offers.size();
     } finally {
       lock.unlock();
     }
--- a/runtime/src/main/java/gorseladder/runtime/MessageMemory.java
+++ b/runtime/src/main/java/gorseladder/runtime/MessageMemory.java
@@ -76,8 +76,8 @@
   }
 
   /** Names how what is kept at present is let go of. */
-  public synchronized void onDiscard(Runnable lettingGo) {
-    discard = lettingGo;
+  public synchronized void onDiscard(Runnable action) {
+    discard = action;
   }
 
   /** Throws where this has ended. */
--- a/runtime/src/main/java/gorseladder/runtime/Outbox.java
+++ b/runtime/src/main/java/gorseladder/runtime/Outbox.java
@@ -20,9 +20,9 @@
  * <p>Any thread; the callbacks come without any lock of this class held.
  */
 public final class Outbox {
-  private static final int ONE_GO = 65_536;
+  private static final int MAX_WRITE_BYTES = 65_536;
   /** Bytes that the system takes without waiting: half of the least send buffer that Linux gives a connection. */
-  private static final int MOST_UNREAD = 8_192;
+  private static final int MAX_UNREAD_BYTES = 8_192;
 
   /** Something to write. */
   public interface Item {
@@ -47,7 +47,7 @@
   }
 
   private final Executor pool;
-  private final int mostBytes;
+  private final int maxBytes;
   private final Failure failure;
   private final ArrayDeque<Item> items = new ArrayDeque<>();
   private final Runnable writing = () -> write(false);
@@ -60,14 +60,14 @@
 
   private boolean busy;
   private boolean closed;
-  private boolean closesWhenEmpty;
+  private boolean closeWhenEmpty;
   private Runnable whenIdle;
   private volatile long writingSince;
 
   /** An outbox that holds about so many bytes; nothing is written before {@link #open}. */
-  public Outbox(Executor pool, int mostBytes, Failure failure) {
+  public Outbox(Executor pool, int maxBytes, Failure failure) {
     this.pool = pool;
-    this.mostBytes = mostBytes;
+    this.maxBytes = maxBytes;
     this.failure = failure;
   }
 
@@ -92,7 +92,7 @@
    * The same for a caller that holds a lock which must not be held during a write: the item waits until {@link #send}.
    */
   public synchronized boolean add(Item item) {
-    if (closed || bytes + item.size() > mostBytes && bytes > 0) {
+    if (closed || bytes + item.size() > maxBytes && bytes > 0) {
       return false;
     }
     items.addLast(item);
@@ -138,7 +138,7 @@
   public void finish() {
     boolean now;
     synchronized (this) {
-      closesWhenEmpty = true;
+      closeWhenEmpty = true;
       now = !busy && !closed && channel != null && items.isEmpty();
       closed |= now;
     }
@@ -178,15 +178,15 @@
   }
 
   private void wake() {
-    boolean atOnce;
+    boolean onCallerThread;
     synchronized (this) {
       if (!hasWork()) {
         return;
       }
       busy = true;
-      atOnce = hasRoomFor(bytes);
+      onCallerThread = hasRoomFor(bytes);
     }
-    if (atOnce) {
+    if (onCallerThread) {
       write(true);
     } else {
       pool.execute(writing);
@@ -206,19 +206,20 @@
 
   /** Whether a thread has to be found that writes; the lock is held. */
   private boolean hasWork() {
-    return !busy && channel != null && !closed && (!items.isEmpty() || closesWhenEmpty);
+    return !busy && channel != null && !closed && (!items.isEmpty() || closeWhenEmpty);
   }
 
   /** Whether the system takes so many bytes more without waiting for the peer; the lock is held. */
   private boolean hasRoomFor(int more) {
-    return written - read + more <= MOST_UNREAD;
+    return written - read + more <= MAX_UNREAD_BYTES;
   }
 
   /** The items of one go; the lock is held. */
   private ArrayDeque<Item> takeItems() {
     ArrayDeque<Item> taken = new ArrayDeque<>();
     int gathered = 0;
-    while (!items.isEmpty() && (gathered == 0 || gathered + items.peekFirst().size() <= ONE_GO)) {
+    while (!items.isEmpty()
+        && (gathered == 0 || gathered + items.peekFirst().size() <= MAX_WRITE_BYTES)) {
       Item item = items.pollFirst();
       gathered += item.size();
       bytes -= item.size();
@@ -232,20 +233,20 @@
    *
    * @param atOnce on a thread that must not wait for the peer: a thread of the pool goes on where it might
    */
-  private void write(boolean atOnce) {
+  private void write(boolean onCallerThread) {
     while (true) {
       ArrayDeque<Item> now;
       boolean last = false;
       Runnable idle = null;
       synchronized (this) {
-        if (atOnce && !hasRoomFor(bytes)) {
+        if (onCallerThread && !hasRoomFor(bytes)) {
           break;
         }
         now = takeItems();
         if (now.isEmpty()) {
           busy = false;
-          last = closesWhenEmpty && !closed;
-          closed |= closesWhenEmpty;
+          last = closeWhenEmpty && !closed;
+          closed |= closeWhenEmpty;
           idle = whenIdle;
           whenIdle = null;
         }
@@ -285,7 +286,7 @@
     // large as the largest write.
     int end = out.limit();
     while (out.position() < end) {
-      out.limit(Math.min(end, out.position() + ONE_GO));
+      out.limit(Math.min(end, out.position() + MAX_WRITE_BYTES));
       channel.write(out);
     }
     writingSince = 0;
--- a/runtime/src/main/java/gorseladder/runtime/ProcessSignals.java
+++ b/runtime/src/main/java/gorseladder/runtime/ProcessSignals.java
@@ -21,24 +21,24 @@
  */
 public final class ProcessSignals {
   private static final Logger LOG = LoggerFactory.getLogger(ProcessSignals.class);
-  private static final String RELOAD = "HUP";
-  private static final String[] STOPS = {"TERM", "INT"};
+  private static final String RELOAD_SIGNAL = "HUP";
+  private static final String[] STOP_SIGNALS = {"TERM", "INT"};
   /** How the machine names a signal in its table. */
-  private static final String PREFIX = "SIG";
+  private static final String TABLE_NAME_PREFIX = "SIG";
 
   private final Runnable onSecondStop;
-  private final boolean reloads;
-  private boolean reloadAsked;
-  private boolean stopAsked;
+  private final boolean handlesReload;
+  private boolean reloadRequested;
+  private boolean stopRequested;
 
-  private ProcessSignals(Runnable onSecondStop, boolean reloads) {
+  private ProcessSignals(Runnable onSecondStop, boolean handlesReload) {
     this.onSecondStop = onSecondStop;
-    this.reloads = reloads;
+    this.handlesReload = handlesReload;
   }
 
   /** Begins to notice signals to stop and to read the configuration again; one more signal to stop changes nothing. */
-  public static ProcessSignals stopsAndReloads() {
-    return notice(new ProcessSignals(() -> {}, true));
+  public static ProcessSignals listenForStopAndReload() {
+    return install(new ProcessSignals(() -> {}, true));
   }
 
   /**
@@ -46,53 +46,53 @@
    *
    * @param onSecondStop run at each of them after the first one, on a thread of the machine; must not block
    */
-  public static ProcessSignals stops(Runnable onSecondStop) {
-    return notice(new ProcessSignals(onSecondStop, false));
+  public static ProcessSignals listenForStop(Runnable onSecondStop) {
+    return install(new ProcessSignals(onSecondStop, false));
   }
 
-  private static ProcessSignals notice(ProcessSignals signals) {
-    if (signals.reloads) {
-      Signal.handle(new Signal(RELOAD), signals::noteReload);
+  private static ProcessSignals install(ProcessSignals signals) {
+    if (signals.handlesReload) {
+      Signal.handle(new Signal(RELOAD_SIGNAL), signals::recordReload);
     }
-    for (String stop : STOPS) {
-      Signal.handle(new Signal(stop), signals::noteStop);
+    for (String stop : STOP_SIGNALS) {
+      Signal.handle(new Signal(stop), signals::recordStop);
     }
     try {
-      signals.noteAtLookUp();
+      signals.installRecordingTable();
     } catch (ReflectiveOperationException | RuntimeException e) {
       LOG.warn("a signal is lost where no thread can be started for it: {}", e.getMessage());
     }
     return signals;
   }
 
-  private void noteAtLookUp() throws ReflectiveOperationException {
+  private void installRecordingTable() throws ReflectiveOperationException {
     Field field = Class.forName("jdk.internal.misc.Signal").getDeclaredField("handlers");
     field.setAccessible(true);
     Map<?, ?> handlers = (Map<?, ?>) field.get(null);
-    field.set(null, new NotingTable(handlers));
+    field.set(null, new RecordingTable(handlers));
   }
 
   /**
    * The table of handlers; the signals of this class are noted when they are looked up, and have no handler beside
    * that.
    */
-  private final class NotingTable extends Hashtable<Object, Object> {
+  private final class RecordingTable extends Hashtable<Object, Object> {
     private static final long serialVersionUID = 1L;
 
-    private NotingTable(Map<?, ?> handlers) {
+    private RecordingTable(Map<?, ?> handlers) {
       super(handlers);
     }
 
     @Override
     public synchronized Object get(Object signal) {
       String name = String.valueOf(signal);
-      if (reloads && name.equals(PREFIX + RELOAD)) {
-        noteReload(null);
+      if (handlesReload && name.equals(TABLE_NAME_PREFIX + RELOAD_SIGNAL)) {
+        recordReload(null);
         return null;
       }
-      for (String stop : STOPS) {
-        if (name.equals(PREFIX + stop)) {
-          noteStop(null);
+      for (String stop : STOP_SIGNALS) {
+        if (name.equals(TABLE_NAME_PREFIX + stop)) {
+          recordStop(null);
           return null;
         }
       }
@@ -100,25 +100,25 @@
     }
   }
 
-  private synchronized void noteReload(Signal signal) {
-    reloadAsked = true;
+  private synchronized void recordReload(Signal signal) {
+    reloadRequested = true;
     notifyAll();
   }
 
-  private synchronized void noteStop(Signal signal) {
-    if (stopAsked) {
+  private synchronized void recordStop(Signal signal) {
+    if (stopRequested) {
       onSecondStop.run();
     }
-    stopAsked = true;
+    stopRequested = true;
     notifyAll();
   }
 
   /** Waits for a signal: true where the process is to stop, false where it is to read its configuration again. */
-  public synchronized boolean awaitStop() throws InterruptedException {
-    while (!stopAsked && !reloadAsked) {
+  public synchronized boolean awaitStopOrReload() throws InterruptedException {
+    while (!stopRequested && !reloadRequested) {
       wait();
     }
-    reloadAsked = false;
-    return stopAsked;
+    reloadRequested = false;
+    return stopRequested;
   }
 }
--- a/runtime/src/main/java/gorseladder/runtime/Retry.java
+++ b/runtime/src/main/java/gorseladder/runtime/Retry.java
@@ -11,7 +11,7 @@
  */
 public final class Retry {
   private static final long PAUSE_MILLIS = 50;
-  private static final int TRIES = 60;
+  private static final int MAX_TRIES = 60;
 
   private Retry() {}
 
@@ -36,7 +36,7 @@
       try {
         return call.call();
       } catch (IOException e) {
-        if (tries >= TRIES || !isTransient.test(e)) {
+        if (tries >= MAX_TRIES || !isTransient.test(e)) {
           throw e;
         }
         pause();
--- a/runtime/src/main/java/gorseladder/runtime/ThreadCache.java
+++ b/runtime/src/main/java/gorseladder/runtime/ThreadCache.java
@@ -17,26 +17,26 @@
  */
 public final class ThreadCache implements AutoCloseable {
   private static final long KEEP_SECONDS = 30;
-  private static final long KEEP = KEEP_SECONDS * 1_000_000;
+  private static final long KEEP_MICROS = KEEP_SECONDS * 1_000_000;
   /** Between two vain starts, in microseconds; doubles up to the bound. */
-  private static final long LEAST_PAUSE = 10_000;
+  private static final long MIN_RETRY_MICROS = 10_000;
 
-  private static final long MOST_PAUSE = 200_000;
+  private static final long MAX_RETRY_MICROS = 200_000;
 
   private final String name;
   private final ThreadFactory threads;
-  private final int least;
+  private final int minIdle;
   private final ReentrantLock lock = new ReentrantLock();
-  private final ArrayDeque<Worker> idle = new ArrayDeque<>();
+  private final ArrayDeque<CachedThread> idle = new ArrayDeque<>();
   private volatile Runnable whenFree = () -> {};
   private long failedAt = Long.MIN_VALUE / 2;
-  private long pause = LEAST_PAUSE;
+  private long retryDelay = MIN_RETRY_MICROS;
   private long failedStarts;
   private boolean closed;
 
   /** One thread; its fields are the lock's. */
-  private final class Worker {
-    private final WakeUp given = new WakeUp();
+  private final class CachedThread {
+    private final WakeUp wakeUp = new WakeUp();
     private Runnable task;
     private long idleUntil;
 
@@ -51,7 +51,7 @@
       lock.lock();
       try {
         if (task == null && !closed) {
-          idleUntil = Clock.micros() + KEEP;
+          idleUntil = Clock.micros() + KEEP_MICROS;
           idle.addLast(this);
         }
       } finally {
@@ -63,14 +63,14 @@
       while (true) {
         lock.lock();
         try {
-          if (task != null || closed || letGo() || Thread.interrupted()) {
+          if (task != null || closed || shouldEnd() || Thread.interrupted()) {
             return take();
           }
-          given.announce();
+          wakeUp.prepareSleep();
         } finally {
           lock.unlock();
         }
-        given.sleep(KEEP * 1_000);
+        wakeUp.sleep(KEEP_MICROS * 1_000);
       }
     }
 
@@ -83,13 +83,13 @@
     }
 
     /** True where it was idle for long and is not needed; the lock is held. */
-    private boolean letGo() {
+    private boolean shouldEnd() {
       long now = Clock.micros();
       if (now < idleUntil) {
         return false;
       }
-      idleUntil = now + KEEP;
-      return idle.size() > least && now - failedAt > KEEP;
+      idleUntil = now + KEEP_MICROS;
+      return idle.size() > minIdle && now - failedAt > KEEP_MICROS;
     }
   }
 
@@ -98,23 +98,23 @@
    *
    * @param least so many stand ready from the start, as far as the system has them
    */
-  public ThreadCache(String name, int least, int stackBytes) {
-    this(name, least, Threads.factory(name, stackBytes));
+  public ThreadCache(String name, int minIdle, int stackBytes) {
+    this(name, minIdle, Threads.factory(name, stackBytes));
   }
 
   /** The same with threads of that factory. */
-  public ThreadCache(String name, int least, ThreadFactory threads) {
+  public ThreadCache(String name, int minIdle, ThreadFactory threads) {
     this.name = name;
-    this.least = least;
+    this.minIdle = minIdle;
     this.threads = threads;
-    for (int i = 0; i < least; i++) {
+    for (int i = 0; i < minIdle; i++) {
       start(null);
     }
   }
 
   /** Is run by a thread that has just become free, and must not block; names the one that has tasks waiting. */
-  public void whenFree(Runnable told) {
-    whenFree = told;
+  public void whenFree(Runnable action) {
+    whenFree = action;
   }
 
   /** Has a thread run the task at once; false where none can be had at present, and then it is not taken. */
@@ -127,17 +127,17 @@
    * ready to tasks that are wanted now.
    */
   public boolean executeIfSpare(Runnable task) {
-    return execute(task, least / 2);
+    return execute(task, minIdle / 2);
   }
 
-  private boolean execute(Runnable task, int left) {
-    Worker free;
+  private boolean execute(Runnable task, int reserved) {
+    CachedThread free;
     lock.lock();
     try {
-      free = closed || idle.size() <= left ? null : idle.pollLast();
+      free = closed || idle.size() <= reserved ? null : idle.pollLast();
       if (free != null) {
         free.task = task;
-      } else if (closed || Clock.micros() < failedAt + pause) {
+      } else if (closed || Clock.micros() < failedAt + retryDelay) {
         return false;
       }
     } finally {
@@ -146,23 +146,23 @@
     if (free == null) {
       return start(task);
     }
-    free.given.wake();
+    free.wakeUp.wake();
     return true;
   }
 
   private boolean start(Runnable task) {
-    Worker worker = new Worker();
-    worker.task = task;
-    boolean started = Threads.tryStart(threads.newThread(worker::run));
+    CachedThread cached = new CachedThread();
+    cached.task = task;
+    boolean started = Threads.tryStart(threads.newThread(cached::run));
     lock.lock();
     try {
       if (started) {
-        pause = LEAST_PAUSE;
+        retryDelay = MIN_RETRY_MICROS;
       } else {
         failedStarts++;
-        pause = failedAt + 2 * MOST_PAUSE < Clock.micros()
-            ? LEAST_PAUSE
-            : Math.min(MOST_PAUSE, 2 * pause);
+        retryDelay = failedAt + 2 * MAX_RETRY_MICROS < Clock.micros()
+            ? MIN_RETRY_MICROS
+            : Math.min(MAX_RETRY_MICROS, 2 * retryDelay);
         failedAt = Clock.micros();
       }
     } finally {
@@ -197,7 +197,7 @@
     lock.lock();
     try {
       closed = true;
-      idle.forEach(worker -> worker.given.wake());
+      idle.forEach(cached -> cached.wakeUp.wake());
     } finally {
       lock.unlock();
     }
--- a/runtime/src/main/java/gorseladder/runtime/Threads.java
+++ b/runtime/src/main/java/gorseladder/runtime/Threads.java
@@ -12,10 +12,10 @@
 public final class Threads {
   private static final Logger LOG = LoggerFactory.getLogger(Threads.class);
 
-  private static final int START_TRIES = 200;
+  private static final int MAX_START_TRIES = 200;
   private static final long START_PAUSE_MILLIS = 50;
   /** Starts that failed, of all threads. */
-  private static final AtomicLong FAILED = new AtomicLong();
+  private static final AtomicLong FAILED_STARTS = new AtomicLong();
 
   private Threads() {}
 
@@ -39,7 +39,7 @@
    */
   public static Thread start(String name, int stackBytes, Runnable task) {
     ThreadFactory factory = factory(name, stackBytes);
-    for (int tries = 1; tries < START_TRIES; tries++) {
+    for (int tries = 1; tries < MAX_START_TRIES; tries++) {
       Thread thread = factory.newThread(task);
       if (tryStart(thread)) {
         return thread;
@@ -80,7 +80,7 @@
       thread.start();
       return true;
     } catch (OutOfMemoryError e) {
-      long failed = FAILED.incrementAndGet();
+      long failed = FAILED_STARTS.incrementAndGet();
       if (Long.bitCount(failed) == 1) {
         LOG.warn("no thread for {}, {} in all: {}", thread.getName(), failed, e.getMessage());
       }
@@ -89,8 +89,8 @@
   }
 
   /** A pool that grows up to a bound and keeps idle threads for half a minute; past the bound tasks are rejected. */
-  public static ThreadPoolExecutor pool(String name, int most, int stackBytes) {
+  public static ThreadPoolExecutor pool(String name, int maxThreads, int stackBytes) {
     return new ThreadPoolExecutor(
-        0, most, 30, TimeUnit.SECONDS, new SynchronousQueue<>(), factory(name, stackBytes));
+        0, maxThreads, 30, TimeUnit.SECONDS, new SynchronousQueue<>(), factory(name, stackBytes));
   }
 }
--- a/runtime/src/main/java/gorseladder/runtime/WakeUp.java
+++ b/runtime/src/main/java/gorseladder/runtime/WakeUp.java
@@ -21,7 +21,7 @@
   private volatile Thread sleeper;
 
   /** The calling thread is about to sleep; under the lock. */
-  void announce() {
+  void prepareSleep() {
     sleeper = Thread.currentThread();
   }
 
--- a/runtime/src/main/java/gorseladder/runtime/Watchdog.java
+++ b/runtime/src/main/java/gorseladder/runtime/Watchdog.java
@@ -9,13 +9,13 @@
  * own. Nearly all timers are cancelled, which the wheel makes cheap. Tasks must not block. Any thread.
  */
 public class Watchdog implements AutoCloseable {
-  private static final long TICK = 1_000;
+  private static final long TICK_MICROS = 1_000;
   /** The longest sleep, in microseconds. */
-  private static final long LONGEST_SLEEP = 1_000_000;
+  private static final long MAX_SLEEP_MICROS = 1_000_000;
 
   private final ReentrantLock lock = new ReentrantLock();
   private final WakeUp changed = new WakeUp();
-  private final TimerWheel<Runnable> wheel = new TimerWheel<>(TICK, Clock.micros());
+  private final TimerWheel<Runnable> wheel = new TimerWheel<>(TICK_MICROS, Clock.micros());
   private final Thread thread;
   /** When the thread wakes by itself; 0 while it is awake. */
   private long sleepsUntil;
@@ -71,11 +71,11 @@
     // Where there is no memory for a moment the next turn goes on; what is due by then is still in
     // the list.
     while (!ended) {
-      Threads.guarded("watchdog", () -> turn(due));
+      Threads.guarded("watchdog", () -> runDue(due));
     }
   }
 
-  private void turn(ArrayDeque<Runnable> due) {
+  private void runDue(ArrayDeque<Runnable> due) {
     lock.lock();
     try {
       sleepsUntil = 0;
@@ -97,10 +97,10 @@
     lock.lock();
     try {
       long now = Clock.micros();
-      sleepsUntil = Math.min(wheel.nextDue(), now + LONGEST_SLEEP);
+      sleepsUntil = Math.min(wheel.nextDue(), now + MAX_SLEEP_MICROS);
       wait = closed ? 0 : sleepsUntil - now;
       if (wait > 0) {
-        changed.announce();
+        changed.prepareSleep();
       }
     } finally {
       lock.unlock();
--- a/runtime/src/main/java/gorseladder/runtime/Writers.java
+++ b/runtime/src/main/java/gorseladder/runtime/Writers.java
@@ -16,38 +16,38 @@
  * <p>Any thread; {@link #release} is the holder's own.
  */
 public final class Writers implements Executor, AutoCloseable {
-  private static final int FEW = 3;
+  private static final int INITIAL_THREADS = 3;
   /** Tasks held back at the most; by then a thread is well used. */
-  private static final int MOST_HELD = 16;
+  private static final int MAX_HELD_TASKS = 16;
   /** A task that waited for so long says that the threads are held up. */
-  private static final long HELD_UP = 50_000;
+  private static final long BLOCKED_AFTER_MICROS = 50_000;
 
   private final ReentrantLock lock = new ReentrantLock();
-  private final Condition filled = lock.newCondition();
+  private final Condition notEmpty = lock.newCondition();
   private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
   private final ArrayDeque<Runnable> held = new ArrayDeque<>();
   private final ThreadFactory threads;
-  private final int most;
+  private final int maxThreads;
   private int started;
-  private int free;
-  private long servedAt = Clock.micros();
+  private int idle;
+  private long lastTakenAt = Clock.micros();
   private boolean closed;
-  private volatile Thread holder;
+  private volatile Thread batchingThread;
 
   /** So many threads at the most. */
-  public Writers(int most, int stackBytes) {
-    this.most = most;
+  public Writers(int maxThreads, int stackBytes) {
+    this.maxThreads = maxThreads;
     this.threads = Threads.factory("writer", stackBytes);
     // From the start: at the first answer the system may have no thread.
-    for (int i = 0; i < Math.min(FEW, most); i++) {
+    for (int i = 0; i < Math.min(INITIAL_THREADS, maxThreads); i++) {
       started++;
-      startOne();
+      startThread();
     }
   }
 
   /** Lets go what the calling thread's tasks held back, and holds its later ones back until the next call. */
   public void releaseHeld() {
-    holder = Thread.currentThread();
+    batchingThread = Thread.currentThread();
     if (!held.isEmpty()) {
       submit(held);
     }
@@ -55,33 +55,33 @@
 
   @Override
   public void execute(Runnable task) {
-    if (Thread.currentThread() == holder) {
+    if (Thread.currentThread() == batchingThread) {
       held.addLast(task);
-      if (held.size() >= MOST_HELD) {
+      if (held.size() >= MAX_HELD_TASKS) {
         submit(held);
       }
       return;
     }
-    ArrayDeque<Runnable> one = new ArrayDeque<>(1);
-    one.addLast(task);
-    submit(one);
+    ArrayDeque<Runnable> single = new ArrayDeque<>(1);
+    single.addLast(task);
+    submit(single);
   }
 
   private void submit(ArrayDeque<Runnable> all) {
-    boolean more;
+    boolean needsThread;
     lock.lock();
     try {
       while (!all.isEmpty()) {
         tasks.addLast(all.pollFirst());
       }
-      more = free == 0 && started < FEW && !closed;
-      started += more ? 1 : 0;
-      filled.signal();
+      needsThread = idle == 0 && started < INITIAL_THREADS && !closed;
+      started += needsThread ? 1 : 0;
+      notEmpty.signal();
     } finally {
       lock.unlock();
     }
-    if (more) {
-      startOne();
+    if (needsThread) {
+      startThread();
     }
   }
 
@@ -90,27 +90,28 @@
    * called now and then.
    */
   public void growIfBlocked() {
-    boolean more;
+    boolean needsThread;
     lock.lock();
     try {
-      boolean heldUp = !tasks.isEmpty() && !closed && Clock.micros() - servedAt > HELD_UP;
-      more = heldUp && free == 0 && started < most;
-      started += more ? 1 : 0;
-      if (heldUp) {
-        filled.signalAll();
+      boolean blocked =
+          !tasks.isEmpty() && !closed && Clock.micros() - lastTakenAt > BLOCKED_AFTER_MICROS;
+      needsThread = blocked && idle == 0 && started < maxThreads;
+      started += needsThread ? 1 : 0;
+      if (blocked) {
+        notEmpty.signalAll();
       }
     } finally {
       lock.unlock();
     }
-    if (more) {
-      startOne();
+    if (needsThread) {
+      startThread();
     }
   }
 
   /**
    * One thread more, counted already. Where the system has none, those that run go on, and the next look asks again.
    */
-  private void startOne() {
+  private void startThread() {
     if (Threads.tryStart(threads.newThread(this::run))) {
       return;
     }
@@ -127,13 +128,13 @@
       Runnable task;
       lock.lock();
       try {
-        free++;
+        idle++;
         while (tasks.isEmpty() && !closed) {
-          filled.awaitUninterruptibly();
+          notEmpty.awaitUninterruptibly();
         }
-        free--;
+        idle--;
         task = tasks.pollFirst();
-        servedAt = Clock.micros();
+        lastTakenAt = Clock.micros();
       } finally {
         lock.unlock();
       }
@@ -150,7 +151,7 @@
     lock.lock();
     try {
       closed = true;
-      filled.signalAll();
+      notEmpty.signalAll();
     } finally {
       lock.unlock();
     }
