--- a/runtime/src/main/java/gorseladder/runtime/ArrivalTimes.java
+++ b/runtime/src/main/java/gorseladder/runtime/ArrivalTimes.java
@@ -3,24 +3,24 @@
 import java.util.function.LongUnaryOperator;
 
 /**
- * Tells when bytes of one connection that are read now may have come at the earliest, from what its reader found unread
- * before each read.
+ * Estimates the earliest time at which the bytes read from a connection may have arrived, from the number of unread
+ * bytes before each read.
  *
- * <p>Guards against bytes that lie unread while the connection's thread is busy with what came before, has no
- * processor, or does not read yet: taken as new when they are read at last, they gave a request more time than its
- * client has left. What is found unread came after the last look that did not find it; what is waited for came when the
- * read ended, or in a pause of the process just before. It could harm a client that sends without an end and faster
- * than it is read: its requests count from the look before last.
+ * <p>Bytes may lie unread while the thread of the connection processes earlier ones, has no processor, or does not read
+ * yet. If they counted as new when they are read, a request would get more time than its client has left. Bytes found
+ * unread arrived after the last check that did not find them; bytes that the read waited for arrived when the read
+ * ended, or during a stall of the process just before. A client that permanently sends faster than it is read has its
+ * requests counted from the check before the last one.
  *
- * <p>Not thread safe: the connection's thread. Times are microseconds.
+ * <p>Not thread safe; used by the connection's thread. Times are in microseconds.
  */
 public final class ArrivalTimes {
   private final LongUnaryOperator earliestArrivalFor;
-  /** The earliest time for bytes that are read now. */
+  /** The earliest arrival of the bytes that are read now. */
   private long earliest;
-  /** What is read past {@link #markedUpTo} came after this time. */
+  /** Bytes beyond {@link #markedUpTo} arrived after this time. */
   private long markedAt;
-  /** Bytes that had come by the last mark, counted from the connection's beginning. */
+  /** Total bytes that had arrived by the last mark. */
   private long markedUpTo;
 
   private long bytesRead;
@@ -28,10 +28,10 @@
   private boolean unreadBefore;
 
   /**
-   * A connection of which nothing was read.
+   * Starts with a connection from which nothing was read.
    *
-   * @param cameAt the earliest time at which something may have come that a read returned just then
-   * @param waitedSince since when its bytes may have lain unread
+   * @param earliestArrivalFor maps the time of a read to the earliest arrival of what it returned
+   * @param waitedSince since when bytes may have been unread
    */
   public ArrivalTimes(LongUnaryOperator earliestArrivalFor, long waitedSince) {
     this.earliestArrivalFor = earliestArrivalFor;
@@ -39,7 +39,7 @@
     this.earliest = waitedSince;
   }
 
-  /** A read is about to begin; so many bytes are found unread. */
+  /** Called before a read with the number of unread bytes. */
   public void beforeRead(int unread, long now) {
     unreadBefore = unread > 0;
     if (unreadBefore && bytesRead >= markedUpTo) {
@@ -49,7 +49,7 @@
     }
   }
 
-  /** The read has ended with so many bytes. */
+  /** Called after a read with the number of bytes it returned. */
   public void afterRead(int count, long now) {
     readAt = now;
     bytesRead += count;
@@ -60,7 +60,7 @@
     }
   }
 
-  /** More was read at once, without a wait. */
+  /** Called when the same read was continued without waiting. */
   public void readMore(int count) {
     bytesRead += Math.max(0, count);
     if (!unreadBefore) {
@@ -68,7 +68,7 @@
     }
   }
 
-  /** The earliest time at which what was read last may have come. */
+  /** The earliest time at which the bytes of the last read may have arrived. */
   public long earliestArrival() {
     return Math.min(earliest, earliestArrivalFor.applyAsLong(readAt));
   }
--- a/runtime/src/main/java/gorseladder/runtime/ByteBudget.java
+++ b/runtime/src/main/java/gorseladder/runtime/ByteBudget.java
@@ -2,17 +2,17 @@
 
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Counts bytes that others have this process keep, against one bound for all of them. Any thread. */
+/** Limits the total number of bytes that are buffered on behalf of peers. Thread safe. */
 public final class ByteBudget {
   private final long limit;
   private final AtomicLong used = new AtomicLong();
 
-  /** A budget of so many bytes. */
+  /** Creates a budget of the given number of bytes. */
   public ByteBudget(long limit) {
     this.limit = limit;
   }
 
-  /** Takes so many bytes where the bound allows it; false where it does not, and then nothing is taken. */
+  /** Takes bytes if the limit allows it; otherwise takes nothing and returns false. */
   public boolean tryTake(long bytes) {
     if (used.addAndGet(bytes) <= limit) {
       return true;
@@ -21,7 +21,7 @@
     return false;
   }
 
-  /** Takes bytes that have to be kept, even past the bound; true where it still holds. */
+  /** Takes bytes that have to be kept, even beyond the limit; returns whether the total is within the limit. */
   public boolean forceTake(long bytes) {
     return used.addAndGet(bytes) <= limit;
   }
@@ -31,12 +31,11 @@
     used.addAndGet(-bytes);
   }
 
-  /** Bytes taken at present. */
+  /** Bytes that are taken at present. */
   public long used() {
     return used.get();
   }
 
-  /** The bound. */
   public long limit() {
     return limit;
   }
--- a/runtime/src/main/java/gorseladder/runtime/Counts.java
+++ b/runtime/src/main/java/gorseladder/runtime/Counts.java
@@ -4,21 +4,21 @@
 import java.util.TreeMap;
 
 /**
- * Counts by words that may come from outside: so many words at the most, the rest together as {@code other}. Any
- * thread.
+ * Counters by label. Labels may come from peers, so their number is limited; further ones are counted together as
+ * {@code other}. Thread safe.
  */
 public final class Counts {
   private static final int MAX_WORDS = 64;
 
   private final Map<String, Long> counts = new TreeMap<>();
 
-  /** Counts one. */
+  /** Increments the counter of a label. */
   public synchronized void count(String word) {
     counts.merge(
         counts.size() < MAX_WORDS || counts.containsKey(word) ? word : "other", 1L, Long::sum);
   }
 
-  /** The counts by words, in their order, for the log. */
+  /** The counters, sorted by label, for the log. */
   @Override
   public synchronized String toString() {
     return counts.toString();
--- a/runtime/src/main/java/gorseladder/runtime/HttpConnection.java
+++ b/runtime/src/main/java/gorseladder/runtime/HttpConnection.java
@@ -17,18 +17,18 @@
 import java.util.Arrays;
 
 /**
- * One HTTP/1.1 connection, either side, with blocking reads and writes. It moves bytes between the socket and the
- * parsers and judges neither. One thread at a time uses it; {@link #close()}, {@link #abort()} may come from any thread
- * and end a blocked read or write with an {@link IOException}.
+ * An HTTP/1.1 connection of a client or a server, with blocking reads and writes. It moves bytes between the socket and
+ * the parsers. Used by one thread at a time; {@link #close()} and {@link #abort()} are thread safe and end a blocked
+ * read or write with an {@link IOException}.
  */
 public final class HttpConnection implements Closeable {
-  /** Bytes that are read at a time, which a connection in use holds. */
+  /** Size of the read buffer of a connection in use. */
   public static final int BUFFER_BYTES = 8192;
 
-  /** Bytes that are written at a time; the thread keeps a copy as long as its longest write, outside the heap. */
+  /** Maximum bytes of one write; the JDK keeps a buffer for each thread outside the heap, as long as its longest write. */
   private static final int MAX_WRITE_BYTES = 16_384;
 
-  /** Bytes of memory for each byte of a header section: its line, and its fields as text. */
+  /** Memory bytes for each byte of a header section: the line, and its fields as text. */
   private static final int HEAD_MEMORY_FACTOR = 3;
 
   private final SocketChannel channel;
@@ -40,10 +40,10 @@
   private boolean ended;
   private long readBytes;
   private ArrivalTimes arrivals = new ArrivalTimes(now -> now, Clock.micros());
-  /** When the first byte of the buffer may have come at the earliest. */
+  /** The earliest time at which the first byte of the buffer may have arrived. */
   private long earliestArrival;
 
-  /** Where what is read now takes its memory. */
+  /** Memory of the message that is being read. */
   private MessageMemory memory = MessageMemory.unbounded();
 
   private Runnable beforeWait = () -> {};
@@ -57,7 +57,7 @@
     channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
   }
 
-  /** Opens a connection within so many milliseconds. */
+  /** Opens a connection within the given time. */
   public static HttpConnection open(InetSocketAddress to, long connectMillis, HttpLimits limits)
       throws IOException {
     SocketChannel channel = SocketChannel.open();
@@ -70,28 +70,28 @@
     }
   }
 
-  /** The other side's address. */
+  /** The address of the peer. */
   public InetSocketAddress peer() {
     return (InetSocketAddress) socket.getRemoteSocketAddress();
   }
 
-  /** Has the first run before each wait for bytes and the second after it, on the reading thread. */
+  /** Sets actions that the reading thread runs before and after each wait for bytes. */
   public void aroundWaits(Runnable before, Runnable after) {
     beforeWait = before;
     afterWait = after;
   }
 
-  /** Has messages that are read from now on take their memory there; without this it has no bound. */
+  /** Sets the memory for messages that are read from now on; it is unlimited by default. */
   public void takeMemoryFrom(MessageMemory message) {
     memory = message;
   }
 
-  /** Has this tell when bytes came, from the first read on. */
+  /** Sets the estimate of arrival times; to be called before the first read. */
   public void arrivals(ArrivalTimes times) {
     arrivals = times;
   }
 
-  /** The earliest time at which the first byte that is not used yet may have come; {@link Clock#micros()}. */
+  /** The earliest time at which the first unparsed byte may have arrived; {@link Clock#micros()}. */
   public long earliestArrival() {
     return earliestArrival;
   }
@@ -104,8 +104,9 @@
   /**
    * Waits for the first byte of a message.
    *
-   * @return false where the connection ended instead
-   * @throws SocketTimeoutException where none came by then ({@link Clock#micros()})
+   * @param until end of the wait, in {@link Clock#micros()}
+   * @return false if the connection ended instead
+   * @throws SocketTimeoutException if no byte arrived by then
    */
   public boolean awaitMessage(long until) throws IOException {
     return from < to || fill(until);
@@ -116,7 +117,7 @@
     return readHead(HeadParser.forRequest(limits), until);
   }
 
-  /** Reads the header section of a response, passing over interim ones (1xx). */
+  /** Reads the header section of a response, skipping interim ones (1xx). */
   public Head readResponse(long until) throws IOException, BadMessage {
     Head head = readHead(HeadParser.forResponse(limits), until);
     while (head.status() < 200) {
@@ -163,7 +164,7 @@
     return content(parser);
   }
 
-  /** While the content grows its old and its new memory both stand. */
+  /** While the content buffer grows, the old and the new buffer are both counted. */
   private void feed(BodyParser parser) throws NoRoomException, BadMessage {
     int before = parser.held();
     int after = parser.heldAfter(to - from);
@@ -198,7 +199,7 @@
     }
     long left = (until - Clock.micros()) / 1000;
     if (left <= 0) {
-      throw new SocketTimeoutException("the time to read is over");
+      throw new SocketTimeoutException("the read timed out");
     }
     socket.setSoTimeout((int) Math.min(left, Integer.MAX_VALUE));
     if (readBytes > 0 && buffer.length < BUFFER_BYTES) {
@@ -222,8 +223,8 @@
   }
 
   /**
-   * Looks, without waiting, whether the other side closed or reset the connection. Bytes that came are kept for the
-   * next read; where they fill the buffer its end cannot be seen behind them.
+   * Checks, without blocking, whether the peer closed or reset the connection. Bytes that arrived are kept for the next
+   * read; if they fill the buffer, an end of the connection behind them cannot be detected.
    */
   public boolean peerGone() {
     if (ended) {
@@ -254,7 +255,7 @@
     return ended;
   }
 
-  /** Moves unused bytes to the beginning of the buffer; false where they fill it. */
+  /** Moves unused bytes to the beginning of the buffer; returns false if they fill it. */
   private boolean makeRoom() {
     if (from == 0 && to == buffer.length && buffer.length < BUFFER_BYTES) {
       buffer = Arrays.copyOf(buffer, BUFFER_BYTES);
@@ -265,12 +266,12 @@
     return to < buffer.length;
   }
 
-  /** True where bytes wait that no message asked for. */
+  /** Whether the buffer holds bytes beyond the last message. */
   public boolean hasBufferedBytes() {
     return from < to;
   }
 
-  /** True where the socket holds bytes that were not read yet; any thread. */
+  /** Whether the socket holds unread bytes; thread safe. */
   public boolean hasBytesToRead() {
     return UnreadBytes.on(channel);
   }
@@ -280,14 +281,14 @@
     writeFrom(bytes, 0);
   }
 
-  /** Writes the bytes from that one on. */
+  /** Writes the bytes from the given index on. */
   public void writeFrom(byte[] bytes, int first) throws IOException {
     for (int next = first; next < bytes.length; next += MAX_WRITE_BYTES) {
       socket.getOutputStream().write(bytes, next, Math.min(MAX_WRITE_BYTES, bytes.length - next));
     }
   }
 
-  /** Writes the first bytes, as many as the system takes at once, without waiting; returns how many. */
+  /** Writes the first bytes, as many as possible without blocking; returns how many. */
   public int writeAtOnce(byte[] bytes) throws IOException {
     channel.configureBlocking(false);
     try {
@@ -298,7 +299,8 @@
   }
 
   /**
-   * Tells the other side that nothing more comes, and reads away what it still sends for a moment, so that it is read.
+   * Shuts down the output and discards what the peer still sends until the given time, so that the peer can read the
+   * last message before the connection is closed.
    */
   public void closeGracefully(long until) {
     try {
@@ -307,12 +309,12 @@
         from = to;
       }
     } catch (IOException e) {
-      // The other side is gone or too slow: closing is all that is left.
+      // The peer is gone or too slow; the connection is closed anyway.
     }
     close();
   }
 
-  /** Closes with a reset, so that the other side knows at once that its work is not wanted. */
+  /** Closes with a reset, so that the peer learns at once that its result is not wanted. */
   public void abort() {
     try {
       channel.setOption(StandardSocketOptions.SO_LINGER, 0);
--- a/runtime/src/main/java/gorseladder/runtime/HttpServer.java
+++ b/runtime/src/main/java/gorseladder/runtime/HttpServer.java
@@ -17,65 +17,65 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Accepts connections and gives each a thread of its own with a small stack. Where no thread can be had a connection
- * waits for one; those on which something can be read come first, and the handler is asked to end one that can be
- * spared for them.
+ * Accepts connections and serves each on a thread of its own with a small stack. If the system has no thread, a
+ * connection waits for one; connections with data to read are served first, and for them the handler is asked to
+ * reclaim a thread from an idle connection.
  *
- * <p>Any thread.
+ * <p>Thread safe.
  */
 public final class HttpServer implements Closeable {
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
   private static final long MAX_JOIN_MILLIS = 2_000;
-  /** Before the system is asked again for what it did not have. */
+  /** Pause before a failed request for a system resource is repeated. */
   private static final long RETRY_PAUSE_MILLIS = 20;
 
-  /** After the end of accepting, so often what waits for a thread is looked at; with the pause about a second. */
+  /** Tries to serve waiting connections after accepting has ended; with the pause about one second. */
   private static final int MAX_FINAL_TRIES = 50;
 
   /**
-   * Of calls to accept that fail one after the other so many are made without a pause. Guards against a queue of
-   * connections that grows faster than one is accepted after each pause, where many calls fail: clients that waited
-   * behind a crowd were answered after their time. It costs a few vain calls.
+   * Consecutive failed calls to accept that are made without a pause. With a pause after each failure, the queue of
+   * connections would grow faster than they are accepted, and clients behind a crowd were answered after their deadline.
+   * The cost is a few useless calls.
    */
   private static final int MAX_TRIES_WITHOUT_PAUSE = 10;
 
-  /** Threads that stand ready where no others are given. */
+  /** Idle threads kept if no thread cache is given. */
   private static final int MIN_IDLE_THREADS = 4;
 
-  /** What is done with connections. */
+  /** Serves the connections. */
   public interface Handler {
-    /** Serves one, on a thread of its own; it is closed when this returns. */
+    /** Serves a connection on a thread of its own; the connection is closed when this method returns. */
     void serve(SocketChannel connection) throws IOException;
 
     /**
-     * The same.
+     * Serves a connection on a thread of its own; the connection is closed when this method returns.
      *
-     * @param earliest the earliest time at which what can be read now may have come ({@link Clock#micros()}): the
-     *     connection may have waited to be accepted, or for its thread
+     * @param earliestArrival the earliest time at which the data that can be read now may have arrived
+     *     ({@link Clock#micros()}), since the connection may have waited to be accepted or for its thread
      */
     default void serve(SocketChannel connection, long earliestArrival) throws IOException {
       serve(connection);
     }
 
     /**
-     * A connection was accepted; false turns it away. On the accepting thread and for one connection at a time, so that
-     * what is counted here cannot be passed by many at once. Must not block.
+     * Decides whether an accepted connection is kept; false closes it. Called on the accepting thread for one connection
+     * at a time, so that concurrent connections cannot exceed a limit that is checked here. Must not block.
      *
-     * @param waitedSince since when the connection may have waited to be accepted, with what was sent on it
+     * @param waitedSince since when the connection, and data sent on it, may have waited to be accepted
      */
     default boolean admit(SocketChannel connection, long waitedSince) {
       return true;
     }
 
-    /** A connection that was admitted ends unserved: the system has no thread for it. */
+    /** Called when an admitted connection is closed without being served, because the system has no thread for it. */
     default void unserved(SocketChannel connection) {}
 
     /**
-     * A connection on which something can be read waits for a thread: ends one that has a thread and can be spared.
-     * Must not block.
+     * Closes an idle connection, if possible, so that its thread can serve a waiting connection with data to read. Must
+     * not block.
      *
-     * @param waited for how long it has waited, in microseconds
+     * @param waited how long that connection has waited, in microseconds
      */
     default void reclaimThread(long waited) {}
   }
@@ -86,32 +86,32 @@
   private final ThreadCache threads;
   private final boolean ownsThreads;
   private final Set<SocketChannel> open = ConcurrentHashMap.newKeySet();
-  /** Connections accepted for which there was no thread yet; the accepting thread's own. */
+  /** Accepted connections that wait for a thread; used by the accepting thread only. */
   private final ArrayDeque<WaitingConnection> waitingConnections = new ArrayDeque<>();
 
   private final Thread acceptor;
   private final CountDownLatch addressFree = new CountDownLatch(1);
   private volatile boolean stopped;
-  /** Connections wait for a thread. */
+  /** Whether connections wait for a thread. */
   private volatile boolean waiting;
-  /** Since when accepting fails; 0 while it does not. The accepting thread's own. */
+  /** Since when accepting fails, 0 while it succeeds; used by the accepting thread only. */
   private long acceptFailsSince;
-  /** Connections accepted so far; the accepting thread's own. */
+  /** Connections accepted so far; used by the accepting thread only. */
   private long accepted;
 
-  /** A connection that has no thread yet. */
+  /** A connection that waits for a thread. */
   private static final class WaitingConnection {
     private final SocketChannel connection;
     private long earliestArrival;
     private boolean hasData;
 
-    /** One on which nothing can have come before that time. */
+    /** A connection on which no data can have arrived before {@code waitedSince}. */
     private WaitingConnection(SocketChannel connection, long waitedSince) {
       this.connection = connection;
       this.earliestArrival = waitedSince;
     }
 
-    /** True once something can be read on it. */
+    /** Whether the connection has data to read. */
     private boolean hasData() {
       if (!hasData) {
         hasData = UnreadBytes.on(connection);
@@ -120,7 +120,7 @@
       return hasData;
     }
 
-    /** The earliest time at which what can be read on it may have come: when it was last looked at in vain. */
+    /** The earliest time at which its data may have arrived: the last check that found none. */
     private long earliestArrival() {
       return earliestArrival;
     }
@@ -143,13 +143,13 @@
     this.acceptor = Threads.start(name + "-accept", stackBytes, this::accept);
   }
 
-  /** Listens, with threads of its own; the port may be 0. */
+  /** Listens with threads of its own; the port may be 0. */
   public static HttpServer listen(
       InetSocketAddress at, String name, int stackBytes, Handler handler) throws IOException {
     return listen(at, name, stackBytes, null, handler);
   }
 
-  /** Listens, with threads that serve others too; null for threads of its own. The port may be 0. */
+  /** Listens with shared threads, or with threads of its own if {@code threads} is null; the port may be 0. */
   public static HttpServer listen(
       InetSocketAddress at, String name, int stackBytes, ThreadCache threads, Handler handler)
       throws IOException {
@@ -167,7 +167,7 @@
     }
   }
 
-  /** Where it listens. */
+  /** The address on which the server listens. */
   public InetSocketAddress address() {
     try {
       return (InetSocketAddress) server.getLocalAddress();
@@ -176,7 +176,7 @@
     }
   }
 
-  /** Connections that are open. */
+  /** Number of open connections. */
   public int connections() {
     return open.size();
   }
@@ -190,8 +190,8 @@
           Threads.guarded("listener", this::startWaiting);
           acceptAll();
         }
-        // What the system had accepted before the listener goes belongs to clients that may have
-        // asked already; also where accepting fails just now.
+        // Connections in the backlog may already carry requests, so they are accepted before the
+        // listener is closed, even if accepting fails at the moment.
         acceptAll();
         for (int tries = 0; acceptFailsSince > 0 && tries < MAX_FINAL_TRIES; tries++) {
           pause();
@@ -207,7 +207,7 @@
     }
   }
 
-  /** Nothing new comes: serves what waits for a thread and asked something, and ends the others. */
+  /** After accepting has ended: serves waiting connections that have data, and closes the others. */
   private void serveRemaining() throws IOException {
     for (int tries = 0; !waitingConnections.isEmpty() && tries < MAX_FINAL_TRIES; tries++) {
       for (int left = waitingConnections.size(); left > 0; left--) {
@@ -233,7 +233,7 @@
     connection.close();
   }
 
-  /** Waits until there is something to accept. */
+  /** Waits for a connection to accept, or for the next try if connections wait for a thread. */
   private void awaitConnections() {
     try {
       selector.select(waitingConnections.isEmpty() ? 0 : RETRY_PAUSE_MILLIS);
@@ -244,10 +244,7 @@
     }
   }
 
-  /**
-   * Accepts all that the system holds ready. What fails here is over in a moment: the listener stands as long as the
-   * program.
-   */
+  /** Accepts all connections in the backlog. Failures are transient and do not end the listener. */
   private void acceptAll() {
     for (int failures = 0; failures < MAX_TRIES_WITHOUT_PAUSE; failures++) {
       long before = accepted;
@@ -259,9 +256,9 @@
     pause();
   }
 
-  /** Accepts until none waits; false where a call failed, and then more may wait. */
+  /** Accepts until the backlog is empty; returns false if a call failed, in which case more may wait. */
   private boolean acceptUntilNone() {
-    // All that waits now may have waited since accepting began to fail.
+    // Every connection in the backlog may have waited since accepting began to fail.
     long waitedSince = acceptFailsSince > 0 ? acceptFailsSince : Clock.micros();
     try {
       for (SocketChannel connection = server.accept();
@@ -287,8 +284,8 @@
   }
 
   /**
-   * Gives a connection its thread. Where there is none for a moment the connection waits for one: on it a client may
-   * have asked already.
+   * Gives a connection its thread. If there is none at the moment, the connection waits, since it may already carry a
+   * request.
    */
   private void start(WaitingConnection candidate) {
     if (!tryGiveThread(candidate)) {
@@ -298,8 +295,8 @@
   }
 
   /**
-   * Gives it a thread, where there is one for it. A silent connection gets none of the last: a crowd of them would take
-   * what clients that ask, and connections that carry their calls, need.
+   * Gives a connection a thread, if one is available. A connection without data gets none of the last idle threads:
+   * many such connections would take the threads that clients with requests, and connections to runners, need.
    */
   private boolean tryGiveThread(WaitingConnection candidate) {
     boolean hasData = candidate.hasData();
@@ -308,7 +305,7 @@
     return hasData ? threads.execute(serving) : threads.executeIfSpare(serving);
   }
 
-  /** Gives threads to connections that wait for one: those first on which something can be read. */
+  /** Gives threads to waiting connections, first to those that have data. */
   private void startWaiting() {
     waitingConnections.removeIf(
         candidate -> !candidate.connection.isOpen() && open.remove(candidate.connection));
@@ -332,7 +329,7 @@
     }
   }
 
-  /** A thread has become free: the accepting thread may give it to a connection that waits. */
+  /** Called when a thread becomes free, so that the accepting thread can give it to a waiting connection. */
   private void wakeIfWaiting() {
     if (waiting) {
       selector.wakeup();
@@ -357,7 +354,7 @@
     }
   }
 
-  /** Stops accepting once all that the system holds is accepted; open connections go on. Then the address is free. */
+  /** Accepts the backlog, then stops accepting and frees the address; open connections continue. */
   public void stopAccepting() {
     stopped = true;
     selector.wakeup();
--- a/runtime/src/main/java/gorseladder/runtime/InMemoryChannel.java
+++ b/runtime/src/main/java/gorseladder/runtime/InMemoryChannel.java
@@ -14,14 +14,14 @@
 import java.util.Set;
 
 /**
- * A blocking connection whose other side is code of this process: what is written is handed to a peer, what the peer
- * delivers is read. It has no descriptor and no address, and nothing of it leaves the process. One thread reads, one
- * writes; {@link #deliver} and {@link #close} are for any thread.
+ * A blocking connection whose other end is code in this process: written bytes are passed to a {@link Peer}, and bytes
+ * that the peer delivers are read. It has no descriptor and no address. One thread reads and one writes;
+ * {@link #deliver} and {@link #close} are thread safe.
  */
 public final class InMemoryChannel extends SocketChannel {
-  /** The other side. Called by the writing thread, in the order of the writes; must not block. */
+  /** The other end. Called on the writing thread, in the order of the writes; must not block. */
   public interface Peer {
-    /** These bytes were written on that connection. */
+    /** Receives the bytes of a write. */
     void received(InMemoryChannel channel, byte[] bytes);
   }
 
@@ -29,19 +29,19 @@
   private final Object lock = new Object();
   private final ArrayDeque<byte[]> delivered = new ArrayDeque<>();
   private final MemorySocket socket = new MemorySocket();
-  /** Bytes of the first array that were read already. */
+  /** Bytes of the first array that were already read. */
   private int consumed;
 
   private int unread;
   private boolean closed;
 
-  /** A connection that is up. */
+  /** Creates a connected channel. */
   public InMemoryChannel(Peer peer) {
     super(SelectorProvider.provider());
     this.peer = peer;
   }
 
-  /** Has the bytes read on this side. */
+  /** Makes bytes available to the reader of this channel. */
   public void deliver(byte[] bytes) {
     synchronized (lock) {
       delivered.addLast(bytes);
@@ -56,7 +56,7 @@
       return awaitBytes(into);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      // Without the lock: who closes takes this class's lock after the channel's own.
+      // Without the lock: closing takes this class's lock after the lock of the superclass.
       close();
       throw new ClosedByInterruptException();
     }
@@ -74,7 +74,7 @@
     }
   }
 
-  /** Moves what is there, as far as there is room; the lock is held. */
+  /** Moves delivered bytes to the buffer as far as they fit; the lock is held. */
   private int take(ByteBuffer into) {
     int before = into.position();
     while (into.hasRemaining() && !delivered.isEmpty()) {
@@ -116,16 +116,16 @@
     return socket;
   }
 
-  /** What blocking code asks the socket of a channel for. */
+  /** The part of a socket that blocking code uses. */
   private final class MemorySocket extends Socket {
     @Override
     public void connect(SocketAddress to, int millis) {
-      // Its other side is there from the start.
+      // The channel is connected from the start.
     }
 
     @Override
     public void setTcpNoDelay(boolean on) {
-      // Nothing is gathered.
+      // Writes are passed on without delay.
     }
 
     @Override
@@ -133,7 +133,7 @@
       return new InputStream() {
         @Override
         public int read() {
-          throw new UnsupportedOperationException("the channel is read");
+          throw new UnsupportedOperationException("read from the channel");
         }
 
         @Override
--- a/runtime/src/main/java/gorseladder/runtime/LocalShortage.java
+++ b/runtime/src/main/java/gorseladder/runtime/LocalShortage.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * Tells errors by which this machine says that it lacks something for a connection from those that speak of the other
- * side. Java has a class of its own only for some of them; for the others the system's text counts (strerror(3) in the
- * C locale, which the Java machine uses). Pure functions; any thread.
+ * Distinguishes socket errors caused by a lack of local resources from those caused by the peer. Java has an exception
+ * class for only some of them; the others are recognized by the message of the operating system (strerror(3) in the C
+ * locale, which the JVM uses). Pure functions; thread safe.
  */
 public final class LocalShortage {
   /** EMFILE, ENFILE, ENOBUFS, ENOMEM. */
@@ -17,8 +17,8 @@
   private LocalShortage() {}
 
   /**
-   * True where a connect, a listener or another socket failed for want of a descriptor, an address (EADDRNOTAVAIL,
-   * which Java tells as a {@link BindException}), buffers or memory.
+   * Whether a socket operation failed for lack of a descriptor, an address (EADDRNOTAVAIL, which Java reports as a
+   * {@link BindException}), buffers or memory.
    */
   public static boolean is(IOException e) {
     String text = String.valueOf(e.getMessage());
--- a/runtime/src/main/java/gorseladder/runtime/Mailbox.java
+++ b/runtime/src/main/java/gorseladder/runtime/Mailbox.java
@@ -5,11 +5,12 @@
 import java.util.function.Predicate;
 
 /**
- * The one way into a thread that owns state. News that must not be lost (ends of attempts, the list) is always taken;
- * what offers new work is taken only while fewer than the bound wait, so that a slow owner makes callers hear "busy"
- * and not a growing queue. News comes out before offers of work. Any thread may put; one thread takes.
+ * The input queue of a thread that owns state. Notices that must not be lost (ends of attempts, list updates) are always
+ * accepted; offers of new work are accepted only while fewer than a maximum wait, so that callers of an overloaded
+ * thread are rejected instead of queued without bound. Notices are taken before offers. Any thread may add; one thread
+ * takes.
  *
- * @param <T> the messages
+ * @param <T> type of the messages
  */
 public final class Mailbox<T> {
   private final ReentrantLock lock = new ReentrantLock();
@@ -18,12 +19,12 @@
   private final ArrayDeque<T> offers = new ArrayDeque<>();
   private final int maxOffers;
 
-  /** A mailbox that holds at most so many offers of new work. */
+  /** Creates a mailbox that holds at most the given number of offers. */
   public Mailbox(int maxOffers) {
     this.maxOffers = maxOffers;
   }
 
-  /** Puts news; always taken. */
+  /** Adds a notice; always accepted. */
   public void put(T message) {
     lock.lock();
     try {
@@ -34,15 +35,15 @@
     notEmpty.wake();
   }
 
-  /** Offers work; false where the mailbox holds as much as it may. */
+  /** Offers work; returns false if the maximum number of offers waits. */
   public boolean offer(T message) {
     return offer(message, oldest -> true);
   }
 
   /**
-   * Offers work; false where the mailbox holds as much as it may, or the work may not wait behind what is there.
+   * Offers work; returns false if the maximum number of offers waits, or the work may not queue behind them.
    *
-   * @param mayFollow asked, with the lock held, about the offer that has waited for longest; not where none waits
+   * @param mayFollow called under the lock with the oldest waiting offer, if any; false rejects the work
    */
   public boolean offer(T message, Predicate<? super T> mayFollow) {
     lock.lock();
@@ -59,7 +60,7 @@
     return true;
   }
 
-  /** The next message, or null once so many nanoseconds have passed without one; does not wait for 0. */
+  /** Takes the next message; returns null after waiting in vain for the given time, immediately if it is 0. */
   public T take(long nanos) throws InterruptedException {
     long until = nanos > 0 ? System.nanoTime() + nanos : 0;
     for (long left = nanos; ; left = until - System.nanoTime()) {
@@ -77,7 +78,7 @@
     }
   }
 
-  /** Messages that wait. */
+  /** Number of waiting messages. */
   public int size() {
     lock.lock();
     try {
--- a/runtime/src/main/java/gorseladder/runtime/MessageMemory.java
+++ b/runtime/src/main/java/gorseladder/runtime/MessageMemory.java
@@ -4,11 +4,11 @@
 import java.util.function.LongPredicate;
 
 /**
- * The memory of one message, taken from the budgets that messages share. What is taken is given back exactly once:
- * piece by piece, or all that is left by {@link #end}, however the message ends.
+ * The memory of one message, taken from budgets that all messages share. Taken bytes are given back exactly once: in
+ * parts, or the rest by {@link #end}, however the message ends.
  *
- * <p>Guards against connections that are each within their bound and together past the memory of the process. Any
- * thread; whoever keeps bytes for the message changes them under this object's lock, so that {@link #end} can let go of
+ * <p>Without shared budgets, connections that each stay within their own limit could together exceed the memory of the
+ * process. Thread safe; buffers of the message are changed under this object's lock, so that {@link #end} can discard
  * them from another thread.
  */
 public final class MessageMemory {
@@ -21,31 +21,31 @@
   private Runnable discard = NOTHING;
 
   /**
-   * Nothing is taken yet.
+   * Creates an empty reservation.
    *
-   * @param budgets each byte counts in all of them
-   * @param makeRoom is asked past a bound, with the bytes that are wanted and without a lock of this object; false if
-   *     it could make none
+   * @param budgets budgets that each byte is taken from
+   * @param makeRoom called with the number of wanted bytes, without this object's lock, if a budget is exhausted;
+   *     returns false if it could not free any
    */
   public MessageMemory(List<ByteBudget> budgets, LongPredicate makeRoom) {
     this.budgets = budgets;
     this.makeRoom = makeRoom;
   }
 
-  /** Memory without a bound, for peers that the operator runs. */
+  /** Memory without a limit, for peers that the operator runs. */
   public static MessageMemory unbounded() {
     return new MessageMemory(List.of(), bytes -> false);
   }
 
   /**
-   * Takes bytes, before they are kept.
+   * Takes bytes before they are buffered.
    *
-   * @throws NoRoomException where there is no room for them and none could be made, or this has ended
+   * @throws NoRoomException if a budget is exhausted and no room could be made, or the message has ended
    */
   public void take(long bytes) throws NoRoomException {
     while (!tryTake(bytes)) {
       if (!makeRoom.test(bytes)) {
-        throw new NoRoomException("no room for " + bytes + " bytes more of a message");
+        throw new NoRoomException("no memory for " + bytes + " more bytes of a message");
       }
     }
   }
@@ -62,7 +62,7 @@
     return true;
   }
 
-  /** Gives back bytes that were taken and are kept no more. */
+  /** Gives back bytes that are no longer buffered. */
   public synchronized void giveBack(long bytes) {
     if (!ended) {
       taken -= bytes;
@@ -70,29 +70,29 @@
     }
   }
 
-  /** Gives back all but so many bytes; nothing where fewer are taken. */
+  /** Gives back all but the given number of bytes; does nothing if fewer are taken. */
   public synchronized void shrinkTo(long bytes) {
     giveBack(Math.max(0, taken - bytes));
   }
 
-  /** Names how what is kept at present is let go of. */
+  /** Sets the action by which {@link #end} discards what is buffered now. */
   public synchronized void onDiscard(Runnable action) {
     discard = action;
   }
 
-  /** Throws where this has ended. */
+  /** Throws an exception if the message has ended. */
   public synchronized void requireNotEnded() throws NoRoomException {
     if (ended) {
-      throw new NoRoomException("a message had to make room for others");
+      throw new NoRoomException("the message was discarded to make room for others");
     }
   }
 
-  /** Bytes taken at present. */
+  /** Bytes that are taken at present. */
   public synchronized long taken() {
     return taken;
   }
 
-  /** Lets go of what is kept, gives back all that is left, and takes nothing more. */
+  /** Discards what is buffered, gives back all bytes, and rejects further ones. */
   public synchronized void end() {
     if (!ended) {
       discard.run();
--- a/runtime/src/main/java/gorseladder/runtime/NoRoomException.java
+++ b/runtime/src/main/java/gorseladder/runtime/NoRoomException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** A message cannot be read or written on: the memory for messages is spent, or it had to make room for others. */
+/** Thrown when a message cannot be processed further because the memory for messages is exhausted. */
 public final class NoRoomException extends IOException {
   private static final long serialVersionUID = 1L;
 
-  /** With a text for the log. */
+  /** Creates an exception with a message for the log. */
   public NoRoomException(String text) {
     super(text);
   }
--- a/runtime/src/main/java/gorseladder/runtime/Outbox.java
+++ b/runtime/src/main/java/gorseladder/runtime/Outbox.java
@@ -8,40 +8,39 @@
 import java.util.concurrent.Executor;
 
 /**
- * What is to be written on one connection. Any thread puts an item and goes on at once. It writes the item itself where
- * that cannot wait: as long as the peer has left little unread, the system has room for it. Else a thread of a pool
- * writes what has gathered, in one go. A peer that stops reading holds up nobody but itself, and only until its bound
- * is reached.
+ * The output queue of one connection. Adding an item never blocks. The adding thread writes the item itself as long as
+ * the peer has left little unread, because the send buffer then has room; otherwise a thread of a pool writes everything
+ * that is queued in one write. A peer that stops reading delays only its own connection, until its queue is full.
  *
- * <p>Writing at once guards against answers that are ready and wait for another thread's turn: with little processor
- * each hand-over takes as long as all threads that want it. It could harm by one call of the system for each item where
- * the pool writes several in one.
+ * <p>Writing on the adding thread saves a hand-over to another thread, which on a busy processor takes as long as the
+ * turns of all threads that wait for it. The cost is one system call for each item, where the pool writes several items
+ * at once.
  *
- * <p>Any thread; the callbacks come without any lock of this class held.
+ * <p>Thread safe; callbacks are made without any lock of this class.
  */
 public final class Outbox {
   private static final int MAX_WRITE_BYTES = 65_536;
-  /** Bytes that the system takes without waiting: half of the least send buffer that Linux gives a connection. */
+  /** Unread bytes up to which a write does not block: half of the smallest send buffer of a Linux connection. */
   private static final int MAX_UNREAD_BYTES = 8_192;
 
-  /** Something to write. */
+  /** A message to write. */
   public interface Item {
-    /** The bytes, asked for just before they are written; null where nothing is to be written any more. */
+    /** The bytes, requested just before they are written; null if the item is not to be written any more. */
     byte[] take();
 
-    /** About how many bytes; held against the bound. */
+    /** Approximate number of bytes, counted against the limit of the queue. */
     int size();
 
     /**
-     * The bytes were handed to the system whole; only where there were any.
+     * Called when all bytes were handed to the operating system; not called for an item without bytes.
      *
-     * @param at when, in {@link Clock#micros()}
-     * @param upTo bytes written on this connection in all, with the last of these
+     * @param at time of the write, in {@link Clock#micros()}
+     * @param upTo total bytes written on this connection, including this item
      */
     default void written(long at, long upTo) {}
   }
 
-  /** Hears that the connection is of no further use; may come more than once. */
+  /** Called when the connection has failed; possibly more than once. */
   public interface Failure {
     void failed(IOException cause);
   }
@@ -53,9 +52,9 @@
   private final Runnable writing = () -> write(false);
   private SocketChannel channel;
   private int bytes;
-  /** Bytes handed to the system, or about to be, in all. */
+  /** Total bytes handed to the operating system, or about to be. */
   private long written;
-  /** Of these, so many the peer has read for certain. */
+  /** Bytes of these that the peer has certainly read. */
   private long read;
 
   private boolean busy;
@@ -64,14 +63,14 @@
   private Runnable whenIdle;
   private volatile long writingSince;
 
-  /** An outbox that holds about so many bytes; nothing is written before {@link #open}. */
+  /** Creates a queue of approximately the given size; nothing is written before {@link #open}. */
   public Outbox(Executor pool, int maxBytes, Failure failure) {
     this.pool = pool;
     this.maxBytes = maxBytes;
     this.failure = failure;
   }
 
-  /** Names the connection and lets what has gathered go. */
+  /** Sets the connection and starts writing what is queued. */
   public void open(SocketChannel to) {
     synchronized (this) {
       channel = to;
@@ -79,7 +78,7 @@
     wake();
   }
 
-  /** Puts an item; false where the connection is closed or the bound is reached, and then it is not taken. */
+  /** Queues an item and starts writing; returns false, without queueing it, if closed or full. */
   public boolean put(Item item) {
     boolean taken = add(item);
     if (taken) {
@@ -89,7 +88,8 @@
   }
 
   /**
-   * The same for a caller that holds a lock which must not be held during a write: the item waits until {@link #send}.
+   * Queues an item without writing, for a caller that holds a lock which must not be held during a write; the item waits
+   * until {@link #send}. Returns false, without queueing it, if closed or full.
    */
   public synchronized boolean add(Item item) {
     if (closed || bytes + item.size() > maxBytes && bytes > 0) {
@@ -100,17 +100,17 @@
     return true;
   }
 
-  /** Lets go what was added. */
+  /** Starts writing what was added. */
   public void send() {
     wake();
   }
 
-  /** The peer has read all bytes up to that count, as {@link Item#written} was told it. */
+  /** Reports that the peer has read all bytes up to this total, as passed to {@link Item#written}. */
   public synchronized void readUpTo(long count) {
     read = Math.max(read, count);
   }
 
-  /** Puts bytes that nothing can take back. */
+  /** Queues bytes that are written in any case. */
   public boolean put(byte[] message) {
     return put(new Item() {
       @Override
@@ -125,15 +125,15 @@
     });
   }
 
-  /** Takes nothing more; what has gathered is dropped. */
+  /** Rejects further items and drops the queued ones. */
   public synchronized void close() {
     closed = true;
     items.clear();
   }
 
   /**
-   * Takes nothing more; once all is written the other side is told that nothing comes after it. Where nothing waits
-   * that is done before this returns: what crosses the end on the wire is little only if the end leaves at once.
+   * Rejects further items and shuts down the output once all is written. With an empty queue the shutdown happens before
+   * this method returns, so that the peer sends as little as possible that crosses it on the wire.
    */
   public void finish() {
     boolean now;
@@ -149,18 +149,18 @@
     try {
       channel.shutdownOutput();
     } catch (IOException e) {
-      // It has ended, and its reader is told too.
+      // The connection has ended; its reader gets the error too.
     }
   }
 
-  /** True where nothing waits or is being written. */
+  /** Whether nothing is queued or being written. */
   public synchronized boolean idle() {
     return items.isEmpty() && !busy;
   }
 
   /**
-   * Runs a task once nothing waits or is being written: at once, or by the thread that writes. The last one told
-   * counts.
+   * Runs a task once nothing is queued or being written: immediately, or on the writing thread. A later task replaces an
+   * earlier one.
    */
   public void whenIdle(Runnable task) {
     synchronized (this) {
@@ -172,7 +172,7 @@
     task.run();
   }
 
-  /** Since when the present write has been under way, 0 where there is none; {@link Clock#micros()}. */
+  /** When the current write began ({@link Clock#micros()}); 0 if there is none. */
   public long writingSince() {
     return writingSince;
   }
@@ -193,7 +193,7 @@
     }
   }
 
-  /** Wakes a thread of the pool, whatever there is room for. */
+  /** Starts writing on a thread of the pool, even if a write would not block. */
   private void wakePool() {
     synchronized (this) {
       if (!hasWork()) {
@@ -204,17 +204,17 @@
     pool.execute(writing);
   }
 
-  /** Whether a thread has to be found that writes; the lock is held. */
+  /** Whether a thread has to start writing; the lock is held. */
   private boolean hasWork() {
     return !busy && channel != null && !closed && (!items.isEmpty() || closeWhenEmpty);
   }
 
-  /** Whether the system takes so many bytes more without waiting for the peer; the lock is held. */
+  /** Whether this many more bytes can be written without waiting for the peer; the lock is held. */
   private boolean hasRoomFor(int more) {
     return written - read + more <= MAX_UNREAD_BYTES;
   }
 
-  /** The items of one go; the lock is held. */
+  /** Removes the items of the next write; the lock is held. */
   private ArrayDeque<Item> takeItems() {
     ArrayDeque<Item> taken = new ArrayDeque<>();
     int gathered = 0;
@@ -229,9 +229,9 @@
   }
 
   /**
-   * Writes until nothing waits.
+   * Writes until the queue is empty.
    *
-   * @param atOnce on a thread that must not wait for the peer: a thread of the pool goes on where it might
+   * @param onCallerThread true on a thread that must not block: a thread of the pool continues if a write might block
    */
   private void write(boolean onCallerThread) {
     while (true) {
@@ -282,8 +282,8 @@
       written += out.remaining();
     }
     writingSince = Clock.micros();
-    // In slices: the system's copy of what is written lies outside the heap, one a thread, as
-    // large as the largest write.
+    // In slices: the JDK copies what is written to a buffer outside the heap, one for each
+    // thread, as large as the thread's largest write.
     int end = out.limit();
     while (out.position() < end) {
       out.limit(Math.min(end, out.position() + MAX_WRITE_BYTES));
@@ -297,7 +297,7 @@
     }
   }
 
-  /** The bytes of each item; those that have nothing to write any more are taken out. */
+  /** The bytes of each item; items that have nothing to write any more are removed. */
   private static ArrayDeque<byte[]> partsOf(ArrayDeque<Item> items) {
     ArrayDeque<byte[]> parts = new ArrayDeque<>();
     for (Iterator<Item> it = items.iterator(); it.hasNext(); ) {
--- a/runtime/src/main/java/gorseladder/runtime/ProcessSignals.java
+++ b/runtime/src/main/java/gorseladder/runtime/ProcessSignals.java
@@ -8,22 +8,22 @@
 import sun.misc.Signal;
 
 /**
- * What this process is told by signals: to stop (SIGTERM, SIGINT), to read its configuration again (SIGHUP).
+ * Receives the signals that stop the process (SIGTERM, SIGINT) or make it reload its configuration (SIGHUP).
  *
- * <p>The Java machine handles each signal on a new thread, and where it cannot start one the signal is lost
- * ({@code Exception java.lang.OutOfMemoryError occurred dispatching signal}). Guards against that: the machine's own
- * dispatching thread looks a signal's handler up in a table, and the table put in its place here notes the signal at
- * that look-up, so that no thread is needed. That takes {@code Add-Opens: java.base/jdk.internal.misc}, which the jar's
- * manifest has. Where it is missing, or the table is not as expected, the machine's way is used and a line says so. It
- * could harm where a later machine looks handlers up at other times too; each look-up would then count as a signal.
+ * <p>The JVM runs the handler of each signal on a new thread, and loses the signal if it cannot start one
+ * ({@code Exception java.lang.OutOfMemoryError occurred dispatching signal}). To avoid that, this class replaces the
+ * JDK's table of handlers with one that records the signal when the JVM's signal dispatcher looks up the handler, so
+ * that no new thread is needed. This requires {@code Add-Opens: java.base/jdk.internal.misc}, which the manifest of the
+ * jar contains. If it is missing, or the table has another form, the standard handlers are used and a warning is
+ * logged. A JDK that also looks up handlers at other times would make each look-up count as a signal.
  *
- * <p>Any thread.
+ * <p>Thread safe.
  */
 public final class ProcessSignals {
   private static final Logger LOG = LoggerFactory.getLogger(ProcessSignals.class);
   private static final String RELOAD_SIGNAL = "HUP";
   private static final String[] STOP_SIGNALS = {"TERM", "INT"};
-  /** How the machine names a signal in its table. */
+  /** Prefix of signal names in the JDK's table. */
   private static final String TABLE_NAME_PREFIX = "SIG";
 
   private final Runnable onSecondStop;
@@ -36,15 +36,15 @@
     this.handlesReload = handlesReload;
   }
 
-  /** Begins to notice signals to stop and to read the configuration again; one more signal to stop changes nothing. */
+  /** Installs handlers for signals to stop and to reload; further signals to stop have no effect. */
   public static ProcessSignals listenForStopAndReload() {
     return install(new ProcessSignals(() -> {}, true));
   }
 
   /**
-   * Begins to notice signals to stop.
+   * Installs handlers for signals to stop.
    *
-   * @param onSecondStop run at each of them after the first one, on a thread of the machine; must not block
+   * @param onSecondStop run on a JVM thread for each such signal after the first; must not block
    */
   public static ProcessSignals listenForStop(Runnable onSecondStop) {
     return install(new ProcessSignals(onSecondStop, false));
@@ -73,8 +73,8 @@
   }
 
   /**
-   * The table of handlers; the signals of this class are noted when they are looked up, and have no handler beside
-   * that.
+   * Table of signal handlers that records the signals of this class when their handler is looked up, and returns no
+   * handler for them.
    */
   private final class RecordingTable extends Hashtable<Object, Object> {
     private static final long serialVersionUID = 1L;
@@ -113,7 +113,7 @@
     notifyAll();
   }
 
-  /** Waits for a signal: true where the process is to stop, false where it is to read its configuration again. */
+  /** Waits for a signal; returns true if the process is to stop, false if it is to reload its configuration. */
   public synchronized boolean awaitStopOrReload() throws InterruptedException {
     while (!stopRequested && !reloadRequested) {
       wait();
--- a/runtime/src/main/java/gorseladder/runtime/Retry.java
+++ b/runtime/src/main/java/gorseladder/runtime/Retry.java
@@ -3,11 +3,11 @@
 import java.io.IOException;
 
 /**
- * Tries again what fails at the start because this machine lacks something for a moment: a descriptor, an address, a
- * buffer, a file that cannot be read.
+ * Retries operations at startup that fail because of a transient lack of a local resource: a descriptor, an address, a
+ * buffer, a readable file.
  *
- * <p>Guards against a process that ends before it began, for what is over in a moment. It could harm where the want is
- * there to stay: the start then fails so much later. Pure of state; any thread.
+ * <p>Without retries a transient shortage would end the process at its start. If the shortage persists, the start fails
+ * later. Stateless; thread safe.
  */
 public final class Retry {
   private static final long PAUSE_MILLIS = 50;
@@ -15,20 +15,20 @@
 
   private Retry() {}
 
-  /** Something that may fail. */
+  /** An operation that may fail. */
   public interface Call<T> {
     T call() throws IOException;
   }
 
-  /** Tells failures that may be over in a moment. */
+  /** Recognizes transient failures. */
   public interface TransientFailure {
     boolean test(IOException failure);
   }
 
   /**
-   * The call's result; tried for about three seconds.
+   * Returns the result of the call, which is retried for about three seconds.
    *
-   * @throws IOException the first failure that does not pass, or the last one
+   * @throws IOException the first failure that is not transient, or the last one
    */
   public static <T> T whileTransient(TransientFailure isTransient, Call<T> call)
       throws IOException {
--- a/runtime/src/main/java/gorseladder/runtime/ThreadCache.java
+++ b/runtime/src/main/java/gorseladder/runtime/ThreadCache.java
@@ -5,20 +5,20 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * Threads for tasks that block for long, as reading a connection does: a task has a thread of its own, and a thread
- * that is done is kept for the next one.
+ * A pool for tasks that block for long, such as reading a connection: each task has a thread of its own, and a finished
+ * thread is kept for the next task.
  *
- * <p>Guards against a system that has no new thread for a while: what ends then gives its thread to what begins,
- * instead of taking it along. A few stand ready from the start, and none is let go while starting one fails. Vain
- * starts are spaced out, since each costs the caller some milliseconds. It could harm by holding stacks of threads that
- * a burst needed, for {@link #KEEP_SECONDS}.
+ * <p>If the system has no new thread for a while, the threads of finished tasks serve new ones. A few threads are
+ * started in advance, and no idle thread ends while starts fail. Failed starts are spaced out, since each costs the
+ * caller some milliseconds. The cost is that the stacks of threads started in a burst are kept for
+ * {@link #KEEP_SECONDS}.
  *
- * <p>Any thread.
+ * <p>Thread safe.
  */
 public final class ThreadCache implements AutoCloseable {
   private static final long KEEP_SECONDS = 30;
   private static final long KEEP_MICROS = KEEP_SECONDS * 1_000_000;
-  /** Between two vain starts, in microseconds; doubles up to the bound. */
+  /** Initial delay after a failed start; doubles up to the maximum. */
   private static final long MIN_RETRY_MICROS = 10_000;
 
   private static final long MAX_RETRY_MICROS = 200_000;
@@ -34,7 +34,7 @@
   private long failedStarts;
   private boolean closed;
 
-  /** One thread; its fields are the lock's. */
+  /** One thread of the pool; its fields are guarded by the lock. */
   private final class CachedThread {
     private final WakeUp wakeUp = new WakeUp();
     private Runnable task;
@@ -46,7 +46,7 @@
       }
     }
 
-    /** Waits for the next task; null where this thread is to end. */
+    /** Waits for the next task; returns null if this thread is to end. */
     private Runnable next(boolean again) {
       lock.lock();
       try {
@@ -74,7 +74,7 @@
       }
     }
 
-    /** Is idle no more; its task, once, null where it has none. The lock is held. */
+    /** Removes this thread from the idle ones and takes its task, null if it has none; the lock is held. */
     private Runnable take() {
       idle.remove(this);
       Runnable now = task;
@@ -82,7 +82,7 @@
       return now;
     }
 
-    /** True where it was idle for long and is not needed; the lock is held. */
+    /** Whether this thread was idle for long and is not needed; the lock is held. */
     private boolean shouldEnd() {
       long now = Clock.micros();
       if (now < idleUntil) {
@@ -94,15 +94,15 @@
   }
 
   /**
-   * Threads of that name.
+   * Creates a pool whose threads have the given name.
    *
-   * @param least so many stand ready from the start, as far as the system has them
+   * @param minIdle number of threads started in advance, as far as the system has them
    */
   public ThreadCache(String name, int minIdle, int stackBytes) {
     this(name, minIdle, Threads.factory(name, stackBytes));
   }
 
-  /** The same with threads of that factory. */
+  /** Creates a pool with threads of the given factory. */
   public ThreadCache(String name, int minIdle, ThreadFactory threads) {
     this.name = name;
     this.minIdle = minIdle;
@@ -112,19 +112,19 @@
     }
   }
 
-  /** Is run by a thread that has just become free, and must not block; names the one that has tasks waiting. */
+  /** Sets the action that each thread runs when it becomes free, so that a waiting task can use it; must not block. */
   public void whenFree(Runnable action) {
     whenFree = action;
   }
 
-  /** Has a thread run the task at once; false where none can be had at present, and then it is not taken. */
+  /** Runs a task on a thread of its own; returns false, without running it, if there is no thread at the moment. */
   public boolean execute(Runnable task) {
     return execute(task, 0);
   }
 
   /**
-   * The same for a task that nobody waits for yet: where no new thread can be had it leaves half of those that stand
-   * ready to tasks that are wanted now.
+   * Like {@link #execute(Runnable)}, for a task that no client waits for yet: if no new thread can be started, it leaves
+   * half of the threads started in advance to more urgent tasks.
    */
   public boolean executeIfSpare(Runnable task) {
     return execute(task, minIdle / 2);
@@ -171,7 +171,7 @@
     return started;
   }
 
-  /** Threads that wait for a task. */
+  /** Number of threads that wait for a task. */
   public int idle() {
     lock.lock();
     try {
@@ -181,7 +181,7 @@
     }
   }
 
-  /** Starts of threads that failed so far. */
+  /** Number of failed starts of threads so far. */
   public long failedStarts() {
     lock.lock();
     try {
@@ -191,7 +191,7 @@
     }
   }
 
-  /** Lets idle threads go; those that have a task end after it. */
+  /** Ends idle threads at once, and the others after their task. */
   @Override
   public void close() {
     lock.lock();
--- a/runtime/src/main/java/gorseladder/runtime/Threads.java
+++ b/runtime/src/main/java/gorseladder/runtime/Threads.java
@@ -8,18 +8,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Makes platform threads with small stacks: blocking code needs many threads, and each call needs little depth. */
+/** Creates platform threads with small stacks: blocking code needs many threads with shallow call stacks. */
 public final class Threads {
   private static final Logger LOG = LoggerFactory.getLogger(Threads.class);
 
   private static final int MAX_START_TRIES = 200;
   private static final long START_PAUSE_MILLIS = 50;
-  /** Starts that failed, of all threads. */
+  /** Failed starts of all threads. */
   private static final AtomicLong FAILED_STARTS = new AtomicLong();
 
   private Threads() {}
 
-  /** A factory of daemon threads named {@code name-0}, {@code name-1} and so on. */
+  /** Creates a factory of daemon threads named {@code name-0}, {@code name-1} and so on. */
   public static ThreadFactory factory(String name, int stackBytes) {
     AtomicLong next = new AtomicLong();
     return task -> {
@@ -32,10 +32,9 @@
   }
 
   /**
-   * Starts one thread that the program cannot do without: where the system has none it is tried again, for about ten
-   * seconds.
+   * Starts a thread that the program cannot run without; a failed start is retried for about ten seconds.
    *
-   * @throws OutOfMemoryError where it has none by then
+   * @throws OutOfMemoryError if the system still has no thread by then
    */
   public static Thread start(String name, int stackBytes, Runnable task) {
     ThreadFactory factory = factory(name, stackBytes);
@@ -57,11 +56,11 @@
   }
 
   /**
-   * Runs a task of a thread that has others to run after it: an error of this one is logged and ends nothing else.
+   * Runs one of several tasks of a thread: an exception or error of the task is logged and does not end the thread.
    *
-   * <p>Guards against threads that end for what is over in a moment: the system has no thread to start or no memory,
-   * which Java tells as an Error, or it could not set up a class of its own. It could harm where such an error left
-   * state half changed; what the task was about then ends by its time.
+   * <p>A thread must not end because of a transient problem: a lack of threads or memory, which Java reports as an
+   * Error, or a JDK class that failed to initialize. Such an error may leave state half changed; the request concerned
+   * then ends by its timeout.
    */
   public static void guarded(String name, Runnable task) {
     try {
@@ -72,8 +71,8 @@
   }
 
   /**
-   * Starts a thread that the program can do without for a moment; false where the system has none. Has a line for the
-   * first failure, and then for each power of two.
+   * Starts a thread that the program can do without for a while; returns false if the system has none. Logs the first
+   * failed start and then each one whose count is a power of two.
    */
   public static boolean tryStart(Thread thread) {
     try {
@@ -88,7 +87,7 @@
     }
   }
 
-  /** A pool that grows up to a bound and keeps idle threads for half a minute; past the bound tasks are rejected. */
+  /** Creates a pool that keeps idle threads for 30 seconds and rejects tasks if all of its threads are busy. */
   public static ThreadPoolExecutor pool(String name, int maxThreads, int stackBytes) {
     return new ThreadPoolExecutor(
         0, maxThreads, 30, TimeUnit.SECONDS, new SynchronousQueue<>(), factory(name, stackBytes));
--- a/runtime/src/main/java/gorseladder/runtime/WakeUp.java
+++ b/runtime/src/main/java/gorseladder/runtime/WakeUp.java
@@ -3,35 +3,34 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Lets one thread sleep until another has something for it, or its time is over.
+ * Lets one thread sleep until another thread wakes it or a timeout expires.
  *
- * <p>What is waited for has a lock. The sleeper looks at it and calls {@link #announce} in one hold of that lock, and
- * {@link #sleep} after it; others change it under the lock and call {@link #wake} after the change. A change before the
- * look is seen by the look; one after it comes, by the order of the lock, after the announcement, which {@link #wake}
- * then sees. So no change is missed. A sleep may end early: the sleeper looks again.
+ * <p>The awaited state is guarded by a lock. The sleeping thread checks the state and calls {@link #prepareSleep} in
+ * one critical section, and {@link #sleep} after it; other threads change the state under the lock and call
+ * {@link #wake} afterwards. The check sees every earlier change, and {@link #wake} sees the prepared sleep for every
+ * later one, so no change is missed. A sleep may end early: the sleeping thread must check the state again.
  *
- * <p>Guards against the timed waits of a {@link java.util.concurrent.locks.Condition}. One whose time is over while
- * another thread signals it does not park until that thread has put it into the queue of the lock: it takes a processor
- * meanwhile, for seconds where the other one has none. Here nobody waits for a thread that wakes. It could harm by the
- * cost of a wake-up that is not needed: while the sleeper has not run yet each change wakes it again, which makes no
- * call of the system.
+ * <p>Replaces the timed waits of {@link java.util.concurrent.locks.Condition}. If such a wait times out while another
+ * thread signals it, it spins until that thread has moved it to the lock's queue, and uses a processor for seconds if
+ * the signalling thread has none. Here no thread waits for a thread that wakes it. The cost is redundant wake-ups: each
+ * change wakes a thread again that has not run yet, without a system call.
  */
 final class WakeUp {
-  /** Written by the sleeper only; null while it neither sleeps nor is about to. */
+  /** Written by the sleeping thread only; null while it neither sleeps nor prepares to. */
   private volatile Thread sleeper;
 
-  /** The calling thread is about to sleep; under the lock. */
+  /** Announces that the calling thread is about to sleep; the lock is held. */
   void prepareSleep() {
     sleeper = Thread.currentThread();
   }
 
-  /** Sleeps so many nanoseconds at the most, less where it is woken or interrupted; the lock is not held. */
+  /** Sleeps for at most the given time, less if woken or interrupted; the lock is not held. */
   void sleep(long nanos) {
     LockSupport.parkNanos(this, nanos);
     sleeper = null;
   }
 
-  /** Ends the sleep, or the one that was announced. Any thread; after the change, with the lock or without. */
+  /** Ends the current or prepared sleep; called after the change, with or without the lock. Thread safe. */
   void wake() {
     Thread asleep = sleeper;
     if (asleep != null) {
--- a/runtime/src/main/java/gorseladder/runtime/Watchdog.java
+++ b/runtime/src/main/java/gorseladder/runtime/Watchdog.java
@@ -5,26 +5,25 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * Runs short tasks at a time, from one thread: mostly closing sockets on which a blocking write has no timeout of its
- * own. Nearly all timers are cancelled, which the wheel makes cheap. Tasks must not block. Any thread.
+ * A timer thread for short tasks, mostly closing sockets whose blocking writes have no timeout of their own. Nearly all
+ * timers are cancelled, which a timer wheel makes cheap. Tasks must not block. Thread safe.
  */
 public class Watchdog implements AutoCloseable {
   private static final long TICK_MICROS = 1_000;
-  /** The longest sleep, in microseconds. */
   private static final long MAX_SLEEP_MICROS = 1_000_000;
 
   private final ReentrantLock lock = new ReentrantLock();
   private final WakeUp changed = new WakeUp();
   private final TimerWheel<Runnable> wheel = new TimerWheel<>(TICK_MICROS, Clock.micros());
   private final Thread thread;
-  /** When the thread wakes by itself; 0 while it is awake. */
+  /** When the sleeping thread wakes by itself; 0 while it is awake. */
   private long sleepsUntil;
 
   private boolean closed;
-  /** The thread's own. */
+  /** Used by the timer thread only. */
   private boolean ended;
 
-  /** A timer that was set. */
+  /** A scheduled task. */
   public final class Timer {
     private final TimerWheel.Node<Runnable> node;
 
@@ -32,7 +31,7 @@
       this.node = node;
     }
 
-    /** Takes the timer back; false where it ran or is about to. */
+    /** Cancels the task; returns false if it ran or is about to run. */
     public boolean cancel() {
       lock.lock();
       try {
@@ -48,7 +47,7 @@
     thread = Threads.start(name, stackBytes, this::run);
   }
 
-  /** Runs the task once after so many microseconds. */
+  /** Schedules a task to run once after the given time. */
   public Timer after(long micros, Runnable task) {
     Timer timer;
     boolean sooner;
@@ -68,8 +67,8 @@
 
   private void run() {
     ArrayDeque<Runnable> due = new ArrayDeque<>();
-    // Where there is no memory for a moment the next turn goes on; what is due by then is still in
-    // the list.
+    // After a transient lack of memory the next iteration continues; the due tasks are still in the
+    // list.
     while (!ended) {
       Threads.guarded("watchdog", () -> runDue(due));
     }
@@ -91,7 +90,7 @@
     sleep();
   }
 
-  /** Sleeps until the next timer is due, or one is set that is due before. */
+  /** Sleeps until the next timer is due, or a timer is set that is due earlier. */
   private void sleep() {
     long wait;
     lock.lock();
--- a/runtime/src/main/java/gorseladder/runtime/Writers.java
+++ b/runtime/src/main/java/gorseladder/runtime/Writers.java
@@ -7,19 +7,19 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * Threads that write what gathered in outboxes. A few look after all; where they are held up by peers that do not read,
- * more are started, up to a bound, at the next {@link #relieve}.
+ * A pool of threads that write the contents of outboxes. A few threads serve all outboxes; if they are blocked by peers
+ * that do not read, {@link #growIfBlocked} starts more, up to a maximum.
  *
- * <p>Waking a thread for every message costs more than the write. So one thread, the core's, holds its tasks back while
- * it has more to do and lets them go together with {@link #release}.
+ * <p>Waking a thread for every message costs more than the write. Therefore one thread, the core's, batches its tasks
+ * while it is busy and submits them together with {@link #releaseHeld}.
  *
- * <p>Any thread; {@link #release} is the holder's own.
+ * <p>Thread safe; {@link #releaseHeld} is for the batching thread only.
  */
 public final class Writers implements Executor, AutoCloseable {
   private static final int INITIAL_THREADS = 3;
-  /** Tasks held back at the most; by then a thread is well used. */
+  /** Size of a batch that is submitted at once; it keeps a thread busy. */
   private static final int MAX_HELD_TASKS = 16;
-  /** A task that waited for so long says that the threads are held up. */
+  /** Time without a task being taken after which the threads count as blocked. */
   private static final long BLOCKED_AFTER_MICROS = 50_000;
 
   private final ReentrantLock lock = new ReentrantLock();
@@ -34,18 +34,18 @@
   private boolean closed;
   private volatile Thread batchingThread;
 
-  /** So many threads at the most. */
+  /** Creates a pool of at most the given number of threads. */
   public Writers(int maxThreads, int stackBytes) {
     this.maxThreads = maxThreads;
     this.threads = Threads.factory("writer", stackBytes);
-    // From the start: at the first answer the system may have no thread.
+    // Started in advance, since the system may have no thread when the first answer is written.
     for (int i = 0; i < Math.min(INITIAL_THREADS, maxThreads); i++) {
       started++;
       startThread();
     }
   }
 
-  /** Lets go what the calling thread's tasks held back, and holds its later ones back until the next call. */
+  /** Submits the calling thread's batched tasks, and batches its later ones until the next invocation. */
   public void releaseHeld() {
     batchingThread = Thread.currentThread();
     if (!held.isEmpty()) {
@@ -86,8 +86,7 @@
   }
 
   /**
-   * Where tasks wait because the thread that was to do them is held up, wakes those that are free, or starts one more;
-   * called now and then.
+   * If tasks wait because the threads are blocked, wakes the idle threads, or starts one more; called periodically.
    */
   public void growIfBlocked() {
     boolean needsThread;
@@ -108,9 +107,7 @@
     }
   }
 
-  /**
-   * One thread more, counted already. Where the system has none, those that run go on, and the next look asks again.
-   */
+  /** Starts a thread that is already counted; if the system has none, a later invocation tries again. */
   private void startThread() {
     if (Threads.tryStart(threads.newThread(this::run))) {
       return;
@@ -145,7 +142,7 @@
     }
   }
 
-  /** Ends the threads once nothing waits. */
+  /** Ends the threads once no task waits. */
   @Override
   public void close() {
     lock.lock();
--- a/runtime/src/test/java/gorseladder/runtime/HandOverTest.java
+++ b/runtime/src/test/java/gorseladder/runtime/HandOverTest.java
@@ -7,58 +7,58 @@
 import java.util.function.LongConsumer;
 import org.junit.jupiter.api.Test;
 
-/** Threads hand over just when the other side begins to wait, or its wait runs out: no wake-up is lost. */
+/** Guards against wake-ups that are lost when a hand-over coincides with the start or the end of the other's wait. */
 class HandOverTest {
   private static final int PRODUCERS = 4;
-  private static final long PLAY_NANOS = 1_000_000_000;
-  /** Longer than any stop of a busy machine; the watchdog wakes of itself after a second. */
-  private static final long LONG = 10_000_000_000L;
+  private static final long RUN_NANOS = 1_000_000_000;
+  /** Longer than any stall of a busy machine; the watchdog wakes by itself after a second. */
+  private static final long MAX_WAIT_NANOS = 10_000_000_000L;
 
-  private static final long LATE = 900_000_000;
-  private static final int MOST_BEFORE = 2_000;
+  private static final long MAX_LATENCY_NANOS = 900_000_000;
+  private static final int MAX_DELAY_NANOS = 2_000;
   private static final long SEED = 44;
 
-  /** Handed over next by the producer whose turn it is; 0 before the first, -1 after the last. */
+  /** The number that the producer whose turn it is hands over next; 0 before the first round, -1 after the last. */
   private volatile long round;
 
-  private volatile long ran;
+  private volatile long lastRun;
 
-  /** With a lost wake-up a message lay until the next one came; here none comes before it is taken. */
+  /** A lost wake-up leaves a message in the mailbox until the next one; here the next one follows only when it is taken. */
   @Test
   void aMessageAlwaysWakesTheTaker() throws Exception {
     Mailbox<Long> mailbox = new Mailbox<>(1);
     Random random = new Random(SEED);
     start(mailbox::put);
     long longest = 0;
-    for (long end = System.nanoTime() + PLAY_NANOS; System.nanoTime() < end; ) {
+    for (long end = System.nanoTime() + RUN_NANOS; System.nanoTime() < end; ) {
       long begin = System.nanoTime();
       long now = ++round;
       Long got = null;
       for (int i = random.nextInt(4); i > 0 && got == null; i--) {
         got = mailbox.take(random.nextInt(20_000));
       }
-      assertEquals(now, got != null ? got : mailbox.take(LONG));
+      assertEquals(now, got != null ? got : mailbox.take(MAX_WAIT_NANOS));
       longest = Math.max(longest, System.nanoTime() - begin);
     }
     round = -1;
-    assertTrue(longest < LATE, longest + " ns");
+    assertTrue(longest < MAX_LATENCY_NANOS, longest + " ns");
   }
 
-  /** With a lost wake-up a timer ran when the thread woke of itself, up to a second late. */
+  /** A lost wake-up makes a timer run only when the thread wakes by itself, up to a second late. */
   @Test
   void aTimerAlwaysWakesTheWatchdog() {
     try (Watchdog watchdog = new Watchdog("watchdog", 256 << 10)) {
-      start(number -> watchdog.after(number % 100, () -> ran = number));
+      start(number -> watchdog.after(number % 100, () -> lastRun = number));
       long longest = 0;
-      for (long end = System.nanoTime() + PLAY_NANOS; System.nanoTime() < end; ) {
+      for (long end = System.nanoTime() + RUN_NANOS; System.nanoTime() < end; ) {
         long begin = System.nanoTime();
         long now = ++round;
-        while (ran != now && System.nanoTime() - begin < LONG) {
+        while (lastRun != now && System.nanoTime() - begin < MAX_WAIT_NANOS) {
           Thread.onSpinWait();
         }
         longest = Math.max(longest, System.nanoTime() - begin);
       }
-      assertTrue(longest < LATE, longest + " ns");
+      assertTrue(longest < MAX_LATENCY_NANOS, longest + " ns");
     }
     round = -1;
   }
@@ -70,7 +70,7 @@
     }
   }
 
-  /** Hands over in its turns, a random moment after the round began. */
+  /** Hands over in this producer's rounds, a random time after the round began. */
   private void run(int number, LongConsumer handOver) {
     Random random = new Random(SEED + number);
     long done = 0;
@@ -79,7 +79,7 @@
         Thread.onSpinWait();
         continue;
       }
-      for (long from = System.nanoTime(), wait = random.nextInt(MOST_BEFORE);
+      for (long from = System.nanoTime(), wait = random.nextInt(MAX_DELAY_NANOS);
           System.nanoTime() - from < wait; ) {
         Thread.onSpinWait();
       }
--- a/runtime/src/test/java/gorseladder/runtime/HeldProducer.java
+++ b/runtime/src/test/java/gorseladder/runtime/HeldProducer.java
@@ -1,15 +1,15 @@
 package gorseladder.runtime;
 
 /**
- * The program that {@link WaitingThreadTest} debugs: its main thread hands something to a thread that waits, again and
- * again, each time soon after that thread began to wait.
+ * The program that {@link WaitingThreadTest} debugs. Its main thread repeatedly hands a message or a timer to a waiting
+ * thread, each time just after that thread began to wait.
  */
 final class HeldProducer {
-  /** So long, in microseconds, the other thread waits at the most; set by the debugger. */
+  /** Timeout of the other thread's waits in microseconds; set by the debugger under this name. */
   static volatile long patience = 60_000_000;
 
-  /** What the other thread got so far. */
-  private static volatile int got;
+  /** Number of hand-overs that the other thread received. */
+  private static volatile int received;
 
   private static final int WARM_UP_ROUNDS = 100;
   private static final Mailbox<String> MAILBOX = new Mailbox<>(1);
@@ -24,11 +24,11 @@
       watchdog = new Watchdog("waiting", 256 << 10);
       watchdog.after(0, () -> waiting = Thread.currentThread());
     } else {
-      waiting = Threads.start("waiting", 256 << 10, HeldProducer::takeOn);
+      waiting = Threads.start("waiting", 256 << 10, HeldProducer::takeForever);
     }
-    for (int given = 0; ; given++) {
-      awaitTheOther(given);
-      if (given < WARM_UP_ROUNDS) {
+    for (int handedOver = 0; ; handedOver++) {
+      awaitWaitingThread(handedOver);
+      if (handedOver < WARM_UP_ROUNDS) {
         handOver();
       } else {
         held();
@@ -36,7 +36,7 @@
     }
   }
 
-  /** The debugger stops here, and in what is called from here. */
+  /** The debugger stops in this method, found by its name, and in the methods that it calls. */
   private static void held() {
     handOver();
   }
@@ -49,11 +49,11 @@
     }
   }
 
-  private static void takeOn() {
+  private static void takeForever() {
     try {
       while (true) {
         if (MAILBOX.take(patience * 1_000) != null) {
-          got++;
+          received++;
         }
       }
     } catch (InterruptedException e) {
@@ -62,13 +62,15 @@
   }
 
   private static void due() {
-    got++;
+    received++;
     watchdog.after(patience, () -> {});
   }
 
-  /** Until the other thread got all that was given, and waits. */
-  private static void awaitTheOther(int given) throws InterruptedException {
-    while (waiting == null || got < given || waiting.getState() != Thread.State.TIMED_WAITING) {
+  /** Waits until the other thread has received all hand-overs and waits again. */
+  private static void awaitWaitingThread(int handedOver) throws InterruptedException {
+    while (waiting == null
+        || received < handedOver
+        || waiting.getState() != Thread.State.TIMED_WAITING) {
       Thread.sleep(0, 100_000);
     }
   }
--- a/runtime/src/test/java/gorseladder/runtime/InMemoryChannelTest.java
+++ b/runtime/src/test/java/gorseladder/runtime/InMemoryChannelTest.java
@@ -9,9 +9,9 @@
 
 class InMemoryChannelTest {
   private static final int ROUNDS = 1_000;
-  private static final long PATIENCE_MILLIS = 20_000;
+  private static final long JOIN_TIMEOUT_MILLIS = 20_000;
 
-  /** Guards against a reader that is interrupted and one that closes who wait for each other's lock for good. */
+  /** Guards against a deadlock between an interrupted reader and a thread that closes the channel. */
   @Test
   void anInterruptedReaderAndACloseBothEnd() throws Exception {
     for (int i = 0; i < ROUNDS; i++) {
@@ -22,8 +22,8 @@
       }
       Thread closer = start(channel::close);
       reader.interrupt();
-      reader.join(PATIENCE_MILLIS);
-      closer.join(PATIENCE_MILLIS);
+      reader.join(JOIN_TIMEOUT_MILLIS);
+      closer.join(JOIN_TIMEOUT_MILLIS);
       assertFalse(reader.isAlive() || closer.isAlive(), "still there in round " + i);
     }
   }
@@ -37,7 +37,7 @@
       try {
         step.run();
       } catch (IOException e) {
-        // The channel was closed, as it is to be.
+        // Expected: the channel was closed.
       }
     });
   }
--- a/runtime/src/test/java/gorseladder/runtime/LongWriteTest.java
+++ b/runtime/src/test/java/gorseladder/runtime/LongWriteTest.java
@@ -15,15 +15,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against memory outside the heap that grows with what is written: the system's copy of a write is as long as
- * the write and stays with the thread that made it.
+ * Guards against off-heap memory that grows with the length of a write: the JDK copies a write to a buffer of the same
+ * length and keeps it for the writing thread.
  */
 class LongWriteTest {
   private static final int MESSAGE_BYTES = 8 << 20;
-  /** A small part of the message; other threads of the test's process may hold some of it. */
-  private static final long MOST_BYTES = MESSAGE_BYTES / 16;
+  /** A small part of the message, since other threads of the test process may hold off-heap buffers too. */
+  private static final long MAX_OFF_HEAP_BYTES = MESSAGE_BYTES / 16;
 
-  private static long outsideTheHeap() {
+  private static long offHeapBytes() {
     return ManagementFactory.getPlatformMXBeans(BufferPoolMXBean.class).stream()
         .filter(pool -> pool.getName().equals("direct"))
         .mapToLong(BufferPoolMXBean::getMemoryUsed)
@@ -38,13 +38,13 @@
             (InetSocketAddress) server.getLocalSocketAddress(), 1_000, HttpLimits.INNER);
         Socket other = server.accept()) {
       CompletableFuture<Integer> read = CompletableFuture.supplyAsync(() -> count(other));
-      long before = outsideTheHeap();
+      long before = offHeapBytes();
       int written = connection.writeAtOnce(message);
       connection.writeFrom(message, written);
-      long taken = outsideTheHeap() - before;
+      long taken = offHeapBytes() - before;
       connection.close();
       assertEquals(MESSAGE_BYTES, read.get());
-      assertTrue(taken <= MOST_BYTES, () -> taken + " bytes outside the heap");
+      assertTrue(taken <= MAX_OFF_HEAP_BYTES, () -> taken + " bytes outside the heap");
     }
   }
 
--- a/runtime/src/test/java/gorseladder/runtime/RuntimeTest.java
+++ b/runtime/src/test/java/gorseladder/runtime/RuntimeTest.java
@@ -127,7 +127,7 @@
     first.close();
   }
 
-  /** Connections that came up before the listener closes are served, though nobody had looked at them by then. */
+  /** Connections in the backlog are served even if the listener closes before they are accepted. */
   @Test
   void aListenerThatClosesTakesItsBacklogAlong() throws Exception {
     CountDownLatch first = new CountDownLatch(1);
@@ -172,7 +172,7 @@
     server.close();
   }
 
-  /** Timers and writers look after everybody: an error in the task of one must not end the thread for the others. */
+  /** The threads of timers and writers are shared: an error in one task must not end the thread for the others. */
   @Test
   void aTaskThatFailsEndsNoThread() throws Exception {
     CountDownLatch after = new CountDownLatch(8);
@@ -192,7 +192,7 @@
     writers.close();
   }
 
-  /** A writer that is held up keeps its own task only: those that waited with it go to a free one. */
+  /** A blocked writer keeps only its own task: the tasks that wait behind it go to an idle writer. */
   @Test
   void tasksBehindAHeldUpWriterGoToAFreeOne() throws Exception {
     Writers writers = new Writers(3, 128 << 10);
@@ -205,7 +205,7 @@
         Thread.currentThread().interrupt();
       }
     };
-    // Two threads, both free again.
+    // Two threads, both idle again.
     CountDownLatch started = new CountDownLatch(2);
     for (int i = 0; i < 2; i++) {
       writers.execute(() -> {
--- a/runtime/src/test/java/gorseladder/runtime/ThreadCacheTest.java
+++ b/runtime/src/test/java/gorseladder/runtime/ThreadCacheTest.java
@@ -28,7 +28,7 @@
     }
   });
 
-  /** Incident-1: with each connection that ended a thread was gone, and the system gave no new one. */
+  /** Incident-1: each connection that ended took its thread with it, and the system gave no new one. */
   @Test
   void whileTheSystemHasNoThreadThoseThatAreDoneServeOn() throws Exception {
     failing.set(true);
@@ -48,11 +48,11 @@
     threads.close();
   }
 
-  /** A vain start costs its caller some milliseconds: of many in a row most are not tried. */
+  /** A failed start costs the caller some milliseconds: of many starts in a row most must not be tried. */
   @Test
   void vainStartsAreSpacedOut() throws Exception {
     CountDownLatch go = new CountDownLatch(1);
-    Runnable waits = () -> {
+    Runnable blocks = () -> {
       try {
         go.await();
       } catch (InterruptedException e) {
@@ -62,11 +62,11 @@
     while (threads.idle() < 2) {
       Thread.onSpinWait();
     }
-    assertTrue(threads.execute(waits));
-    assertTrue(threads.execute(waits));
+    assertTrue(threads.execute(blocks));
+    assertTrue(threads.execute(blocks));
     failing.set(true);
     for (int i = 0; i < 1_000; i++) {
-      assertFalse(threads.execute(waits));
+      assertFalse(threads.execute(blocks));
     }
     assertTrue(threads.failedStarts() < 100, threads.failedStarts() + " starts tried");
     go.countDown();
--- a/runtime/src/test/java/gorseladder/runtime/WaitingThreadTest.java
+++ b/runtime/src/test/java/gorseladder/runtime/WaitingThreadTest.java
@@ -36,19 +36,18 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A thread that waits does not use the processor, wherever the thread that hands something to it has come to a stop.
+ * A waiting thread uses no processor, wherever the thread that hands something to it is suspended.
  *
- * <p>The other thread is stopped by a debugger, at each line of the call that hands over, in the classes of the Java
- * machine too; the waits run out meanwhile.
+ * <p>A debugger suspends the other thread at each line of the hand-over, also in JDK classes, while the waits time out.
  */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class WaitingThreadTest {
   private static final long HOLD_NANOS = 30_000_000;
-  /** Of the waiting thread while the other is held, in microseconds: well under a hold. */
-  private static final long PATIENCE = 4_000;
+  /** Timeout of the waiting thread while the other is suspended, in microseconds; well below {@link #HOLD_NANOS}. */
+  private static final long WAIT_TIMEOUT_MICROS = 4_000;
 
   private static final int RECORDINGS = 3;
-  private static final long MOST_MILLIS_TO_A_LINE = 500;
+  private static final long MAX_MILLIS_TO_LINE = 500;
   private static final int CONNECT_MILLIS = 30_000;
 
   private Process process;
@@ -56,13 +55,13 @@
   private ThreadReference producer;
   private Path waiting;
 
-  /** The core's thread took a processor for as long as a thread that put into its mailbox stood still. */
+  /** The core's thread used a processor for as long as a thread that added to its mailbox was suspended. */
   @Test
   void aTakerUsesNoProcessorWhileAPutStandsStill() throws Exception {
     waitsWithoutTheProcessor("mailbox");
   }
 
-  /** The same for the thread of the timers, and a thread that sets one. */
+  /** The timer thread used a processor for as long as a thread that set a timer was suspended. */
   @Test
   void aWatchdogUsesNoProcessorWhileASetTimerStandsStill() throws Exception {
     waitsWithoutTheProcessor("watchdog");
@@ -78,7 +77,7 @@
       }
       held.disable();
       ClassType program = (ClassType) held().declaringType();
-      program.setValue(program.fieldByName("patience"), machine.mirrorOf(PATIENCE));
+      program.setValue(program.fieldByName("patience"), machine.mirrorOf(WAIT_TIMEOUT_MICROS));
       machine.resume();
       List<String> busy = new ArrayList<>();
       int holds = 0;
@@ -143,7 +142,7 @@
         .get(0);
   }
 
-  /** The lines that the producer goes through in one call, while the other thread waits for it alone. */
+  /** The lines that the producer executes in one hand-over, while the other thread waits. */
   private List<Location> record() throws InterruptedException {
     machine.resume();
     next(BreakpointEvent.class, CONNECT_MILLIS);
@@ -170,28 +169,28 @@
     return request;
   }
 
-  /** Processor of the waiting thread, in nanoseconds, while the producer is held there; -1 where it does not come. */
+  /** Processor time of the waiting thread in nanoseconds while the producer is suspended there; -1 if it never is. */
   private long holdAt(Location line) throws Exception {
     BreakpointRequest request = breakAt(line);
-    LocatableEvent stop = next(BreakpointEvent.class, MOST_MILLIS_TO_A_LINE);
+    LocatableEvent stop = next(BreakpointEvent.class, MAX_MILLIS_TO_LINE);
     request.disable();
     if (stop == null) {
       return -1;
     }
-    long[] from = schedule();
+    long[] from = processorTimes();
     long start = System.nanoTime();
     long[] to;
-    // A hold lasts for as long as the thread could have had a processor: this machine may be busy.
+    // Time in which the thread waited for a processor does not count: the machine may be busy.
     do {
       Thread.sleep(2);
-      to = schedule();
+      to = processorTimes();
     } while (System.nanoTime() - start - (to[1] - from[1]) < HOLD_NANOS);
     producer.resume();
     return to[0] - from[0];
   }
 
-  /** The nanoseconds that the waiting thread had a processor, and those that it waited for one, by the system. */
-  private long[] schedule() throws IOException {
+  /** Nanoseconds for which the waiting thread had a processor, and waited for one, from the operating system. */
+  private long[] processorTimes() throws IOException {
     if (waiting == null) {
       try (Stream<Path> tasks = Files.list(Path.of("/proc/" + process.pid() + "/task"))) {
         for (Path task : tasks.toList()) {
@@ -205,7 +204,7 @@
     return new long[] {Long.parseLong(numbers[0]), Long.parseLong(numbers[1])};
   }
 
-  /** The next event of that kind; null where none came in time. Others go on at once. */
+  /** The next event of the given type, null if none arrives in time; other events are resumed at once. */
   private <E extends Event> E next(Class<E> kind, long millis) throws InterruptedException {
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
     for (long left = millis; left > 0; left = (until - System.nanoTime()) / 1_000_000) {
