--- a/core/src/main/java/gorseladder/core/Core.java
+++ b/core/src/main/java/gorseladder/core/Core.java
@@ -566,7 +566,7 @@
 
   /** Logs, at debug level, the cold budget that a starting worker has left after this call. */
   private void logStartingWorker(C call, String worker) {
-    double left = LOG.isDebugEnabled() ? router.startBudget(worker) : Double.NaN;
+    double left = LOG.isDebugEnabled() ? router.coldBudget(worker) : Double.NaN;
     if (!Double.isNaN(left)) {
       LOG.debug(
           "request={} worker={} which is starting, budget left {}",
--- a/node/src/main/java/gorseladder/node/runners/RunnerLinks.java
+++ b/node/src/main/java/gorseladder/node/runners/RunnerLinks.java
@@ -9,8 +9,8 @@
 import gorseladder.core.Core.AttemptEnd;
 import gorseladder.core.RuleLog;
 import gorseladder.core.StallDetector;
-import gorseladder.core.ThreadReclaimer.IdleConnection;
 import gorseladder.core.ThreadReclaimer;
+import gorseladder.core.ThreadReclaimer.IdleConnection;
 import gorseladder.gate.SendGate;
 import gorseladder.node.NodeCall;
 import gorseladder.node.NodeConfig;
@@ -215,7 +215,7 @@
       gate.told(uid, phase, at);
       mayForget = true;
       if (phase != Phase.GONE) {
-        gate.started(uid, entry.born(), news, at);
+        gate.started(uid, entry.startedAt(), news, at);
       }
       before = links.get(uid);
       if (phase != Phase.GONE && before != null && before.address().equals(address)) {
