--- a/runtime/src/main/java/gorseladder/runtime/Writers.java
+++ b/runtime/src/main/java/gorseladder/runtime/Writers.java
@@ -7,47 +7,47 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * Threads that write what gathered in outboxes. A few look after all; where they are held up by peers that do not read,
- * more are started, up to a bound, at the next {@link #relieve}.
+ * A pool of threads that write the contents of outboxes. A few threads serve all outboxes; if they are blocked by peers
+ * that do not read, {@link #growIfBlocked} starts more, up to a maximum.
  *
- * <p>Waking a thread for every message costs more than the write. So one thread, the core's, holds its tasks back while
- * it has more to do and lets them go together with {@link #release}.
+ * <p>Waking a thread for every message costs more than the write. Therefore one thread, the core's, batches its tasks
+ * while it is busy and submits them together with {@link #releaseHeld}.
  *
- * <p>Any thread; {@link #release} is the holder's own.
+ * <p>Thread safe; {@link #releaseHeld} is for the batching thread only.
  */
 public final class Writers implements Executor, AutoCloseable {
-  private static final int FEW = 3;
-  /** Tasks held back at the most; by then a thread is well used. */
-  private static final int MOST_HELD = 16;
-  /** A task that waited for so long says that the threads are held up. */
-  private static final long HELD_UP = 50_000;
+  private static final int INITIAL_THREADS = 3;
+  /** Size of a batch that is submitted at once; it keeps a thread busy. */
+  private static final int MAX_HELD_TASKS = 16;
+  /** Time without a task being taken after which the threads count as blocked. */
+  private static final long BLOCKED_AFTER_MICROS = 50_000;
 
   private final ReentrantLock lock = new ReentrantLock();
-  private final Condition filled = lock.newCondition();
+  private final Condition notEmpty = lock.newCondition();
   private final ArrayDeque<Runnable> tasks = new ArrayDeque<>();
   private final ArrayDeque<Runnable> held = new ArrayDeque<>();
   private final ThreadFactory threads;
-  private final int most;
+  private final int maxThreads;
   private int started;
-  private int free;
-  private long servedAt = Clock.micros();
+  private int idle;
+  private long lastTakenAt = Clock.micros();
   private boolean closed;
-  private volatile Thread holder;
+  private volatile Thread batchingThread;
 
-  /** So many threads at the most. */
-  public Writers(int most, int stackBytes) {
-    this.most = most;
+  /** Creates a pool of at most the given number of threads. */
+  public Writers(int maxThreads, int stackBytes) {
+    this.maxThreads = maxThreads;
     this.threads = Threads.factory("writer", stackBytes);
-    // From the start: at the first answer the system may have no thread.
-    for (int i = 0; i < Math.min(FEW, most); i++) {
+    // Started in advance, since the system may have no thread when the first answer is written.
+    for (int i = 0; i < Math.min(INITIAL_THREADS, maxThreads); i++) {
       started++;
-      startOne();
+      startThread();
     }
   }
 
-  /** Lets go what the calling thread's tasks held back, and holds its later ones back until the next call. */
+  /** Submits the calling thread's batched tasks, and batches its later ones until the next invocation. */
   public void releaseHeld() {
-    holder = Thread.currentThread();
+    batchingThread = Thread.currentThread();
     if (!held.isEmpty()) {
       submit(held);
     }
@@ -55,62 +55,60 @@
 
   @Override
   public void execute(Runnable task) {
-    if (Thread.currentThread() == holder) {
+    if (Thread.currentThread() == batchingThread) {
       held.addLast(task);
-      if (held.size() >= MOST_HELD) {
+      if (held.size() >= MAX_HELD_TASKS) {
         submit(held);
       }
       return;
     }
-    ArrayDeque<Runnable> one = new ArrayDeque<>(1);
-    one.addLast(task);
-    submit(one);
+    ArrayDeque<Runnable> single = new ArrayDeque<>(1);
+    single.addLast(task);
+    submit(single);
   }
 
   private void submit(ArrayDeque<Runnable> all) {
-    boolean more;
+    boolean needsThread;
     lock.lock();
     try {
       while (!all.isEmpty()) {
         tasks.addLast(all.pollFirst());
       }
-      more = free == 0 && started < FEW && !closed;
-      started += more ? 1 : 0;
-      filled.signal();
+      needsThread = idle == 0 && started < INITIAL_THREADS && !closed;
+      started += needsThread ? 1 : 0;
+      notEmpty.signal();
     } finally {
       lock.unlock();
     }
-    if (more) {
-      startOne();
+    if (needsThread) {
+      startThread();
     }
   }
 
   /**
-   * Where tasks wait because the thread that was to do them is held up, wakes those that are free, or starts one more;
-   * called now and then.
+   * If tasks wait because the threads are blocked, wakes the idle threads, or starts one more; called periodically.
    */
   public void growIfBlocked() {
-    boolean more;
+    boolean needsThread;
     lock.lock();
     try {
-      boolean heldUp = !tasks.isEmpty() && !closed && Clock.micros() - servedAt > HELD_UP;
-      more = heldUp && free == 0 && started < most;
-      started += more ? 1 : 0;
-      if (heldUp) {
-        filled.signalAll();
+      boolean blocked =
+          !tasks.isEmpty() && !closed && Clock.micros() - lastTakenAt > BLOCKED_AFTER_MICROS;
+      needsThread = blocked && idle == 0 && started < maxThreads;
+      started += needsThread ? 1 : 0;
+      if (blocked) {
+        notEmpty.signalAll();
       }
     } finally {
       lock.unlock();
     }
-    if (more) {
-      startOne();
+    if (needsThread) {
+      startThread();
     }
   }
 
-  /**
-   * One thread more, counted already. Where the system has none, those that run go on, and the next look asks again.
-   */
-  private void startOne() {
+  /** Starts a thread that is already counted; if the system has none, a later invocation tries again. */
+  private void startThread() {
     if (Threads.tryStart(threads.newThread(this::run))) {
       return;
     }
@@ -127,13 +125,13 @@
       Runnable task;
       lock.lock();
       try {
-        free++;
+        idle++;
         while (tasks.isEmpty() && !closed) {
-          filled.awaitUninterruptibly();
+          notEmpty.awaitUninterruptibly();
         }
-        free--;
+        idle--;
         task = tasks.pollFirst();
-        servedAt = Clock.micros();
+        lastTakenAt = Clock.micros();
       } finally {
         lock.unlock();
       }
@@ -144,13 +142,13 @@
     }
   }
 
-  /** Ends the threads once nothing waits. */
+  /** Ends the threads once no task waits. */
   @Override
   public void close() {
     lock.lock();
     try {
       closed = true;
-      filled.signalAll();
+      notEmpty.signalAll();
     } finally {
       lock.unlock();
     }
