--- a/decisions/src/main/java/gorseladder/order/Hashes.java
+++ b/decisions/src/main/java/gorseladder/order/Hashes.java
@@ -1,18 +1,18 @@
 package gorseladder.order;
 
-/** Hashes that every dispatcher computes alike, in every version of the program that is to agree with another. */
+/** Hash functions of the shared order. Dispatchers agree on an order only if their versions compute the same hashes. */
 final class Hashes {
-  private static final long OFFSET = 0xcbf29ce484222325L;
-  private static final long PRIME = 0x100000001b3L;
-  private static final long STEP = 0x9e3779b97f4a7c15L;
+  private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+  private static final long FNV_PRIME = 0x100000001b3L;
+  private static final long SPLITMIX_INCREMENT = 0x9e3779b97f4a7c15L;
 
   private Hashes() {}
 
-  /** 64 bits of a name: FNV-1a over its characters, then mixed. Unlike 32 bits, hardly ever equal for two names. */
-  static long name(String name) {
-    long hash = OFFSET;
+  /** A 64-bit hash of a name: FNV-1a over its characters, then mixed. With 32 bits collisions would be frequent. */
+  static long ofName(String name) {
+    long hash = FNV_OFFSET_BASIS;
     for (int i = 0; i < name.length(); i++) {
-      hash = (hash ^ name.charAt(i)) * PRIME;
+      hash = (hash ^ name.charAt(i)) * FNV_PRIME;
     }
     return mix(hash);
   }
@@ -24,13 +24,13 @@
     return mixed ^ mixed >>> 31;
   }
 
-  /** The hash with a number after another, for independent draws from one hash. */
-  static long nth(long hash, int number) {
-    return mix(hash + number * STEP);
+  /** Derives the hash with the given index, for independent draws from one hash. */
+  static long derive(long hash, int index) {
+    return mix(hash + index * SPLITMIX_INCREMENT);
   }
 
-  /** A place on the circle of 2^63 places. */
-  static long circle(long hash) {
+  /** Maps a hash to a point on the circle of 2^63 points. */
+  static long circlePoint(long hash) {
     return hash & Long.MAX_VALUE;
   }
 }
--- a/decisions/src/main/java/gorseladder/order/Member.java
+++ b/decisions/src/main/java/gorseladder/order/Member.java
@@ -1,32 +1,32 @@
 package gorseladder.order;
 
-/** A worker as the shared order sees it: a name and a weight. Not thread safe. */
+/** A worker in a shared order, with its name and weight. Not thread safe. */
 public abstract class Member {
   private final String name;
-  /** Where the name falls on the circle, from 0 to {@link Long#MAX_VALUE}. */
+  /** Position on the circle, from 0 to {@link Long#MAX_VALUE}; derived from the name. */
   final long point;
-  /** Above 0; read only while the member is in an order, which sets it. */
+  /** Above 0; set by the order and valid only while the member is in one. */
   double weight = 1;
-  /** The ring that holds the member; null where it is in no order. */
+  /** The ring that holds the member; null while it is in no order. */
   Ring<?> ring;
 
-  /** A member in no order yet. */
+  /** Creates a member that is in no order yet. */
   protected Member(String name) {
     this.name = name;
-    this.point = Hashes.circle(Hashes.name(name));
+    this.point = Hashes.circlePoint(Hashes.ofName(name));
   }
 
-  /** The name; equal names are the same member to every order. */
+  /** The name, from which every order derives the position of the member. */
   public final String name() {
     return name;
   }
 
-  /** True while the member is in an order. */
+  /** Returns true while the member is in an order. */
   public final boolean isOrdered() {
     return ring != null;
   }
 
-  /** Members are the same only where they are the same object; tables of them are in use on every call. */
+  /** Members are compared by identity, since hash tables of them are used on every call. */
   @Override
   public final int hashCode() {
     return (int) point;
--- a/decisions/src/main/java/gorseladder/order/Ring.java
+++ b/decisions/src/main/java/gorseladder/order/Ring.java
@@ -4,20 +4,20 @@
 import java.util.function.Consumer;
 
 /**
- * Members by their places on the circle, in buckets of a few, so that finding, adding and removing one touches about as
- * many as a bucket holds, whatever the size. Members at one place stand by their names. Not thread safe.
+ * Members sorted by their points on the circle, and by name where points are equal. They are kept in small buckets, so
+ * that finding, adding or removing a member touches only about one bucket, whatever the size. Not thread safe.
  */
 final class Ring<M extends Member> {
   private static final int CIRCLE_BITS = Long.SIZE - 1;
-  /** Mean members of a bucket beyond which the buckets are doubled. */
-  private static final int MOST_PER_BUCKET = 4;
+  /** Mean number of members per bucket at which the number of buckets is doubled. */
+  private static final int MAX_MEMBERS_PER_BUCKET = 4;
 
-  /** Buckets for each member beyond which they are halved. */
-  private static final int BUCKETS_PER_MEMBER_AT_MOST = 4;
+  /** Number of buckets per member beyond which the number of buckets is halved. */
+  private static final int MAX_BUCKETS_PER_MEMBER = 4;
 
-  private static final Member[] NONE = {};
+  private static final Member[] EMPTY_BUCKET = {};
 
-  private Member[][] buckets = {NONE};
+  private Member[][] buckets = {EMPTY_BUCKET};
   private int bucketBits;
   private int size;
 
@@ -25,40 +25,40 @@
     return size;
   }
 
-  private int bucketOf(long point) {
+  private int bucketIndex(long point) {
     return (int) (point >>> CIRCLE_BITS - bucketBits);
   }
 
-  private static boolean before(Member one, Member other) {
+  private static boolean precedes(Member one, Member other) {
     return one.point != other.point
         ? one.point < other.point
         : one.name().compareTo(other.name()) < 0;
   }
 
   void add(M member) {
-    if (size >= buckets.length * MOST_PER_BUCKET) {
-      divide(bucketBits + 1);
+    if (size >= buckets.length * MAX_MEMBERS_PER_BUCKET) {
+      resize(bucketBits + 1);
     }
     insert(member);
     size++;
   }
 
   private void insert(Member member) {
-    int number = bucketOf(member.point);
-    Member[] old = buckets[number];
+    int index = bucketIndex(member.point);
+    Member[] old = buckets[index];
     Member[] bucket = Arrays.copyOf(old, old.length + 1);
-    int at = old.length;
-    while (at > 0 && before(member, old[at - 1])) {
-      bucket[at] = old[at - 1];
-      at--;
+    int position = old.length;
+    while (position > 0 && precedes(member, old[position - 1])) {
+      bucket[position] = old[position - 1];
+      position--;
     }
-    bucket[at] = member;
-    buckets[number] = bucket;
+    bucket[position] = member;
+    buckets[index] = bucket;
   }
 
   void remove(M member) {
-    int number = bucketOf(member.point);
-    Member[] old = buckets[number];
+    int index = bucketIndex(member.point);
+    Member[] old = buckets[index];
     Member[] bucket = new Member[old.length - 1];
     int kept = 0;
     for (Member other : old) {
@@ -66,18 +66,18 @@
         bucket[kept++] = other;
       }
     }
-    buckets[number] = bucket.length == 0 ? NONE : bucket;
+    buckets[index] = bucket.length == 0 ? EMPTY_BUCKET : bucket;
     size--;
-    if (bucketBits > 0 && size * BUCKETS_PER_MEMBER_AT_MOST < buckets.length) {
-      divide(bucketBits - 1);
+    if (bucketBits > 0 && size * MAX_BUCKETS_PER_MEMBER < buckets.length) {
+      resize(bucketBits - 1);
     }
   }
 
-  private void divide(int bits) {
+  private void resize(int bits) {
     Member[][] old = buckets;
     bucketBits = bits;
     buckets = new Member[1 << bits][];
-    Arrays.fill(buckets, NONE);
+    Arrays.fill(buckets, EMPTY_BUCKET);
     for (Member[] bucket : old) {
       for (Member member : bucket) {
         insert(member);
@@ -85,7 +85,7 @@
     }
   }
 
-  /** Every member, in the order of the circle. */
+  /** Passes every member to {@code sink}, in ascending order of points. */
   @SuppressWarnings("unchecked")
   void forEach(Consumer<M> sink) {
     for (Member[] bucket : buckets) {
@@ -95,28 +95,28 @@
     }
   }
 
-  /** Walks the members once, clockwise from a place. The ring may not change meanwhile. */
+  /** Visits each member once, clockwise from a point. The ring must not change meanwhile. */
   final class Cursor {
     private final long from;
     private int bucket;
     private int index;
-    private int left = size;
+    private int remaining = size;
     private M member;
 
     Cursor(long from) {
       this.from = from;
-      bucket = bucketOf(from);
+      bucket = bucketIndex(from);
       while (index < buckets[bucket].length && buckets[bucket][index].point < from) {
         index++;
       }
       next();
     }
 
-    /** Moves on by one; false where all have been seen. */
+    /** Moves to the next member; returns false once all have been visited. */
     @SuppressWarnings("unchecked")
     boolean next() {
       member = null;
-      if (left == 0) {
+      if (remaining == 0) {
         return false;
       }
       while (index >= buckets[bucket].length) {
@@ -124,18 +124,18 @@
         index = 0;
       }
       member = (M) buckets[bucket][index++];
-      left--;
+      remaining--;
       return true;
     }
 
-    /** The member reached; null where all have been seen. */
+    /** The current member; null once all have been visited. */
     M member() {
       return member;
     }
 
-    /** How far the member reached is from the start, clockwise. */
+    /** Clockwise distance from the start to the current member. */
     long distance() {
-      return Hashes.circle(member.point - from);
+      return Hashes.circlePoint(member.point - from);
     }
   }
 }
--- a/decisions/src/main/java/gorseladder/order/SharedOrder.java
+++ b/decisions/src/main/java/gorseladder/order/SharedOrder.java
@@ -10,27 +10,28 @@
 import java.util.TreeMap;
 
 /**
- * For each function an order of all workers that depends on names and weights alone, handed out from its beginning:
- * multi-probe consistent hashing (Appleton, O'Reilly 2015). A function has {@link #PROBES} places on a circle, a worker
- * one. The worker with the least distance from any probe, clockwise, over its weight, is first.
+ * Ranks all workers for each function by names and weights alone, with multi-probe consistent hashing (Appleton,
+ * O'Reilly 2015). A function has {@link #PROBES} points on a circle, a worker has one. The first worker is the one with
+ * the smallest clockwise distance from any probe, divided by its weight.
  *
- * <p>The key of a worker depends on the pair alone. So a worker that joins or leaves moves no other, and two
- * dispatchers whose lists differ by d of W workers agree on the first k of a function but for about a share 2kd/W.
+ * <p>The sort key of a worker depends only on the function and that worker. So a worker that joins or leaves does not
+ * reorder the others, and two dispatchers whose lists differ in d of W workers agree on the first k workers of all but
+ * about 2kd/W of the functions.
  *
- * <p>The first k of a function cost about {@code PROBES + k} members looked at, times the number of {@link #rings}; a
- * change of one worker touches about a bucket of its ring. Not thread safe.
+ * <p>Finding the first k workers of a function examines about {@code PROBES + k} members times the number of
+ * {@link #rings}; a change of one worker touches about one bucket of its ring. Not thread safe.
  *
- * @param <M> the workers
+ * @param <M> the type of the workers
  */
 public final class SharedOrder<M extends Member> {
-  /** More probes spread first places more evenly; each costs a look at the ring for a new function. */
+  /** More probes spread first places more evenly; each adds one ring lookup for a new function. */
   static final int PROBES = 64;
-  /** Where this part of all is asked for, or there are few, each key is computed; else rings are walked. */
-  private static final int DIRECT_PART = 4;
+  /** All workers are sorted if at least one in this many is asked for or there are few; else the rings are walked. */
+  private static final int FULL_SORT_DIVISOR = 4;
 
   private static final double TWO_TO_53 = 1L << 53;
 
-  /** One ring for each power of two of the weights, so that the heaviest of a ring bounds the keys of the rest. */
+  /** One ring per binary exponent of the weights: the next power of two bounds the weights and so the keys. */
   private final Map<Integer, Ring<M>> rings = new TreeMap<>();
 
   private int size;
@@ -38,21 +39,21 @@
 
   private record Scored<M extends Member>(M member, double key) {}
 
-  /** Workers in the order. */
+  /** Number of workers in the order. */
   public int size() {
     return size;
   }
 
-  /** Members looked at so far, in changes and by what was asked for; a measure of work. */
+  /** Number of members examined so far, by changes and lookups; a measure of work. */
   public long examined() {
     return examined;
   }
 
   /**
-   * Adds a worker, or gives the one that is in a new weight.
+   * Adds a worker, or changes its weight if it is already in the order.
    *
    * @param weight above 0, in any unit
-   * @return false where nothing changed
+   * @return false if nothing changed
    */
   public boolean put(M member, double weight) {
     if (member.isOrdered() && member.weight == weight) {
@@ -68,7 +69,7 @@
     return true;
   }
 
-  /** Takes a worker out; false where it is not in. */
+  /** Removes a worker; returns false if it is not in the order. */
   public boolean remove(M member) {
     if (!member.isOrdered()) {
       return false;
@@ -85,30 +86,30 @@
     return true;
   }
 
-  /** The hash under which a function is asked for. */
+  /** The hash of a function name, as {@link #first} takes it. */
   public static long functionHash(String name) {
-    return Hashes.name(name);
+    return Hashes.ofName(name);
   }
 
-  /** The key of a worker in the order of a function: the lowest comes first. */
+  /** The sort key of a worker in the order of a function; the lowest key comes first. */
   public static double key(String function, String worker, double weight) {
     return new Keys(function).of(worker, weight);
   }
 
-  /** The keys of one function, for who asks for many workers. */
+  /** Computes the sort keys of many workers for one function. */
   public static final class Keys {
     private final long function;
     private final long[] probes;
 
-    /** The keys of the function of this name. */
+    /** Prepares the keys of the function with the given name. */
     public Keys(String function) {
-      this.function = Hashes.name(function);
+      this.function = Hashes.ofName(function);
       probes = probes(this.function);
     }
 
-    /** The key of a worker: the lowest comes first. */
+    /** The sort key of a worker; the lowest key comes first. */
     public double of(String worker, double weight) {
-      long point = Hashes.circle(Hashes.name(worker));
+      long point = Hashes.circlePoint(Hashes.ofName(worker));
       return key(nearest(probes, point), function, point, weight);
     }
   }
@@ -116,7 +117,7 @@
   private static long[] probes(long function) {
     long[] probes = new long[PROBES];
     for (int i = 0; i < PROBES; i++) {
-      probes[i] = Hashes.circle(Hashes.nth(function, i));
+      probes[i] = Hashes.circlePoint(Hashes.derive(function, i));
     }
     return probes;
   }
@@ -124,16 +125,16 @@
   private static long nearest(long[] probes, long point) {
     long nearest = Long.MAX_VALUE;
     for (long probe : probes) {
-      nearest = Math.min(nearest, Hashes.circle(point - probe));
+      nearest = Math.min(nearest, Hashes.circlePoint(point - probe));
     }
     return nearest;
   }
 
   /**
-   * The distance, stretched by a factor drawn for the pair, over the weight. Guards against a worker that stands close
-   * behind another on the circle and would be first for hardly any function: of two at one place each is first for
-   * three quarters of its share. It covers chains of such workers less well, and has three members looked at for each
-   * handed out.
+   * The distance, multiplied by a pseudo-random factor of the pair, divided by the weight. Without the factor a worker
+   * closely behind another on the circle would be first for hardly any function; with it, each of two workers at the
+   * same point is first for three quarters of its share. Longer chains of such workers are evened out less well, and
+   * three members are examined for each one returned.
    */
   private static double key(long distance, long function, long point, double weight) {
     double unit = (Hashes.mix(function ^ point) >>> 11) / TWO_TO_53;
@@ -142,13 +143,13 @@
   }
 
   /**
-   * The first workers in the order of a function; all of them where there are no more than that.
+   * The first {@code count} workers in the order of a function, or all of them if there are fewer.
    *
-   * @param function from {@link #functionHash}
+   * @param function the hash from {@link #functionHash}
    */
   public List<M> first(long function, int count) {
-    boolean direct = size <= PROBES || count * DIRECT_PART >= size;
-    return direct ? firstOfAll(function, count) : firstByRings(function, count);
+    boolean sortAll = size <= PROBES || count * FULL_SORT_DIVISOR >= size;
+    return sortAll ? firstBySorting(function, count) : firstByWalking(function, count);
   }
 
   private Comparator<Scored<M>> lowestFirst() {
@@ -158,7 +159,7 @@
     };
   }
 
-  private List<M> firstOfAll(long function, int count) {
+  private List<M> firstBySorting(long function, int count) {
     long[] probes = probes(function);
     List<Scored<M>> all = new ArrayList<>(size);
     for (Ring<M> ring : rings.values()) {
@@ -172,34 +173,36 @@
     return all.stream().limit(count).map(Scored::member).toList();
   }
 
-  /** Walks along the rings from every probe, merged so that the member with the lowest bound comes next. */
-  private final class Walks {
+  /** Walks each ring from every probe, merged so that the member with the lowest bound comes next. */
+  private final class MergedWalk {
     private final List<Ring<M>.Cursor> cursors = new ArrayList<>(PROBES * rings.size());
-    private final double[] heaviest = new double[PROBES * rings.size()];
-    /** No key still to come on a walk is lower than its bound. */
+    /** Upper bound of the weights in the ring of each walk. */
+    private final double[] weightBounds = new double[PROBES * rings.size()];
+    /** Lower bound of the remaining keys of each walk. */
     private final double[] bounds = new double[PROBES * rings.size()];
 
     private int lowest;
 
-    Walks(long[] probes) {
+    MergedWalk(long[] probes) {
       rings.forEach((exponent, ring) -> {
         for (long probe : probes) {
-          heaviest[cursors.size()] = Math.scalb(1.0, exponent + 1);
+          weightBounds[cursors.size()] = Math.scalb(1.0, exponent + 1);
           cursors.add(ring.new Cursor(probe));
-          look(cursors.size() - 1);
+          updateBound(cursors.size() - 1);
         }
       });
       examined += cursors.size();
       findLowest();
     }
 
-    private void look(int walk) {
+    private void updateBound(int walk) {
       Ring<M>.Cursor cursor = cursors.get(walk);
-      bounds[walk] =
-          cursor.member() == null ? Double.POSITIVE_INFINITY : cursor.distance() / heaviest[walk];
+      bounds[walk] = cursor.member() == null
+          ? Double.POSITIVE_INFINITY
+          : cursor.distance() / weightBounds[walk];
     }
 
-    /** Plain scanning: there are few walks, and a heap of them costs more. */
+    /** Scans all walks: there are few, and a heap of them would cost more. */
     private void findLowest() {
       lowest = 0;
       for (int walk = 1; walk < bounds.length; walk++) {
@@ -220,23 +223,23 @@
           new Scored<>(member, key(cursor.distance(), function, member.point, member.weight));
       examined++;
       cursor.next();
-      look(lowest);
+      updateBound(lowest);
       findLowest();
       return scored;
     }
   }
 
-  private List<M> firstByRings(long function, int count) {
-    Walks walks = new Walks(probes(function));
-    PriorityQueue<Scored<M>> met = new PriorityQueue<>(lowestFirst());
+  private List<M> firstByWalking(long function, int count) {
+    MergedWalk walk = new MergedWalk(probes(function));
+    PriorityQueue<Scored<M>> candidates = new PriorityQueue<>(lowestFirst());
     Set<M> taken = new HashSet<>();
     List<M> first = new ArrayList<>(count);
     while (first.size() < count) {
-      if (met.isEmpty() || met.peek().key() >= walks.bound()) {
-        met.add(walks.next(function));
+      if (candidates.isEmpty() || candidates.peek().key() >= walk.bound()) {
+        candidates.add(walk.next(function));
         continue;
       }
-      M member = met.poll().member();
+      M member = candidates.poll().member();
       if (taken.add(member)) {
         first.add(member);
       }
--- a/decisions/src/main/java/gorseladder/order/package-info.java
+++ b/decisions/src/main/java/gorseladder/order/package-info.java
@@ -1,2 +1,2 @@
-/** The order of workers for a function that all dispatchers share, handed out on demand. Pure. */
+/** The order of workers for each function, which every dispatcher computes alike. Free of clocks and input. */
 package gorseladder.order;
--- a/decisions/src/test/java/gorseladder/order/SharedOrderTest.java
+++ b/decisions/src/test/java/gorseladder/order/SharedOrderTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The shared order: the same from any list's history, even by weight, moved little by changes, cheap to ask. */
+/** The shared order does not depend on the history of the list, follows the weights, changes little and is cheap. */
 class SharedOrderTest {
   private static final int FUNCTIONS = 4_000;
 
@@ -66,7 +66,7 @@
     return order.first(function, count).stream().map(Worker::name).toList();
   }
 
-  /** Walking the rings gives what computing every key gives. */
+  /** Walking the rings yields the same order as sorting all keys. */
   @ParameterizedTest
   @CsvSource({"1, 1, 1", "2, 1, 1", "17, 0.1, 10", "300, 1, 1", "300, 0.1, 10", "2000, 0.1, 10"})
   void theFirstAreThoseWithTheLowestKeys(int count, double lightest, double heaviest) {
@@ -92,24 +92,24 @@
     assertTrue(new SharedOrder<Worker>().first(function(1), 3).isEmpty());
   }
 
-  /** Lists that came in another order, with workers that came and went in between, give the same order. */
+  /** Lists added in another sequence, with other workers added and removed in between, give the same order. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void theOrderDoesNotDependOnHowTheListCame(long seed) {
-    SharedOrder<Worker> straight = order(workers(500), 0.1, 10);
+    SharedOrder<Worker> direct = order(workers(500), 0.1, 10);
     List<Worker> shuffled = workers(900);
     Collections.shuffle(shuffled, new Random(seed));
-    SharedOrder<Worker> detour = order(shuffled, 0.1, 10);
+    SharedOrder<Worker> withRemovals = order(shuffled, 0.1, 10);
     shuffled.stream()
         .filter(worker -> Integer.parseInt(worker.name().substring(6)) >= 500)
-        .forEach(detour::remove);
-    assertEquals(straight.size(), detour.size());
+        .forEach(withRemovals::remove);
+    assertEquals(direct.size(), withRemovals.size());
     for (int f = 0; f < 200; f++) {
-      assertEquals(first(straight, function(f), 12), first(detour, function(f), 12));
+      assertEquals(first(direct, function(f), 12), first(withRemovals, function(f), 12));
     }
   }
 
-  /** String.hashCode is 32 bits wide and equal for these two; the order tells them apart, everywhere alike. */
+  /** Names with equal 32-bit hash codes are still distinct in the order, and every dispatcher ranks them alike. */
   @Test
   void workersOfOneHashAreToldApart() {
     assertEquals("Aa".hashCode(), "BB".hashCode());
@@ -125,7 +125,7 @@
     assertEquals(4, firsts.size(), "each is first for some: " + firsts);
   }
 
-  /** A worker that joins is first for about its weight's share, and every other pair keeps its order. */
+  /** A worker that joins is first for about the share of its weight; all others keep their relative order. */
   @ParameterizedTest
   @CsvSource({"1, 0.05", "4, 0.1"})
   void aWorkerThatJoinsMovesNothingElse(double weight, double tolerance) {
@@ -146,7 +146,7 @@
     assertEquals(share, taken / (double) FUNCTIONS, Math.max(tolerance * share, 0.35 * share));
   }
 
-  /** Two lists that differ by d of W workers agree on the first k but for about 2kd/W of the functions. */
+  /** Two lists that differ in d of W workers agree on the first k for all but about 2kd/W of the functions. */
   @ParameterizedTest
   @CsvSource({"2000, 20, 3", "2000, 100, 1", "2000, 20, 8"})
   void listsThatDifferALittleAgreeOnNearlyAllFunctions(int count, int differ, int wanted) {
@@ -161,10 +161,10 @@
     double least = 1 - 2.0 * wanted * differ / count;
     assertTrue(
         agree >= FUNCTIONS * (least - 0.02),
-        agree + " of " + FUNCTIONS + " agree, wanted " + least);
+        agree + " of " + FUNCTIONS + " agree, expected share " + least);
   }
 
-  /** Over 10^5 functions the share of first places of each class of weights is that of its weight within 5 %. */
+  /** Over 100,000 functions each group of weights gets its share of first places within 5 % plus sampling noise. */
   @ParameterizedTest
   @CsvSource({"240, 1, 1", "2400, 0.1, 10", "24000, 0.1, 10"})
   void firstPlacesAreSharedByWeight(int count, double lightest, double heaviest) {
@@ -201,7 +201,7 @@
             classes - 1, classes * Math.log(weight / lightest) / Math.log(heaviest / lightest));
   }
 
-  /** No worker stands so close behind another on the circle that it is first for hardly anything. */
+  /** No worker gets hardly any first places because it lies closely behind another on the circle. */
   @Test
   void everyWorkerIsFirstForAFairShare() {
     int count = 240;
@@ -222,7 +222,7 @@
     assertEquals(180_000, new HashSet<>(order.first(function(1), 180_000)).size());
   }
 
-  /** Members looked at for the first few grow with what is asked for, not with the fleet. */
+  /** The number of members examined grows with the number asked for, not with the fleet. */
   @Test
   void askingForTheFirstFewLooksAtAsManyInAnyFleet() {
     long small = examinedAsking(order(240), 8);
@@ -264,28 +264,28 @@
     return places;
   }
 
-  /** A ring that grows and shrinks by the thousand keeps its members and its order. */
+  /** A ring that is resized many times keeps its members and its order. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
   void aRingThatGrowsAndShrinksKeepsItsOrder(long seed) {
     Ring<Worker> ring = new Ring<>();
     Random random = new Random(seed);
-    List<Worker> in = new ArrayList<>();
+    List<Worker> members = new ArrayList<>();
     for (int step = 0; step < 6_000; step++) {
       boolean grows = step < 3_000 ? random.nextInt(4) > 0 : random.nextInt(4) == 0;
-      if (grows || in.isEmpty()) {
+      if (grows || members.isEmpty()) {
         Worker worker = new Worker(workerName(step));
         ring.add(worker);
-        in.add(worker);
+        members.add(worker);
       } else {
-        ring.remove(in.remove(random.nextInt(in.size())));
+        ring.remove(members.remove(random.nextInt(members.size())));
       }
     }
     List<Worker> walked = new ArrayList<>();
     ring.forEach(walked::add);
-    in.sort(Comparator.comparingLong(worker -> worker.point));
-    assertEquals(in, walked);
-    assertEquals(in.size(), ring.size());
-    assertNotEquals(0, in.size());
+    members.sort(Comparator.comparingLong(worker -> worker.point));
+    assertEquals(members, walked);
+    assertEquals(members.size(), ring.size());
+    assertNotEquals(0, members.size());
   }
 }
