--- a/decisions/src/main/java/gorseladder/attempts/AttemptOutcomes.java
+++ b/decisions/src/main/java/gorseladder/attempts/AttemptOutcomes.java
@@ -4,21 +4,20 @@
 import gorseladder.permits.Verdict;
 
 /**
- * Decides what an attempt that ended on the network is worth as knowledge: the outcome the router is told, and with it
- * whether the call surely did not run (rule 2). The one dividing line is whether the first byte of the request may have
- * left this machine. Before that nothing can have run, whatever went wrong; after it only the runner's own word counts.
+ * Derives the outcome of an attempt from how it ended on the network, and with it whether the call certainly did not
+ * run (rule 2). This depends on whether the first byte of the request may have left this machine: before that nothing
+ * can have run, whatever went wrong; afterwards only a statement by the runner counts.
  *
- * <p>Guards against an unsafe call that is sent again because a reset, a timeout or an odd status looked harmless. It
- * also covers statuses that promise nothing in the protocol (429 and 503 may come from a proxy behind which the call
- * ran). It costs service where a runner refuses without saying that the call never ran: such a refusal counts as an
- * error.
+ * <p>Prevents an unsafe call from being sent again because a reset, a timeout or an unusual status looked harmless. A
+ * status alone proves nothing either: 429 and 503 may come from a proxy behind which the call ran. The cost is that a
+ * refusal by a runner that does not state that the call never ran counts as an error.
  *
  * <p>Pure functions; any thread.
  */
 public final class AttemptOutcomes {
   private AttemptOutcomes() {}
 
-  /** How far an attempt got. The order matters: from {@link #SENDING} on, bytes may have left. */
+  /** How far an attempt got. The order matters: from {@link #SENDING} on, bytes may have been sent. */
   public enum Progress {
     WAITING,
     CONNECTING,
@@ -31,16 +30,16 @@
   public enum Ending {
     CONNECT_FAILED,
     /**
-     * This machine lacks a descriptor, an address, memory or a thread for a connection: that says nothing of the
+     * This machine lacks a descriptor, an address, memory or a thread for a connection, which says nothing about the
      * worker.
      */
     NO_RESOURCE,
     GATE_CLOSED,
     CALL_OVER,
     RESPONSE,
-    /** The connection ended, and with it, as far as is known, the worker's process. */
+    /** The connection ended, presumably together with the worker's process. */
     BROKEN,
-    /** The connection ended while others to the worker stand. */
+    /** The connection ended while others to the worker remain open. */
     CONNECTION_LOST,
     MALFORMED,
     TIMED_OUT,
@@ -48,31 +47,31 @@
   }
 
   /**
-   * What the end of a connection was. A process that dies takes all its connections along; one that ends alone speaks
-   * of itself and not of the worker.
+   * Distinguishes the loss of one connection from the loss of the worker. A process that dies closes all its
+   * connections; one that ends alone says nothing about the worker.
    *
-   * <p>Guards against a worker that is shunned, and its copies forgotten, for one connection that broke. It covers
-   * spoilt answers and resets on the way. It could harm at a death: the first connections to break count as lost alone,
-   * until the last one or the next connect tells.
+   * <p>Prevents a worker from being avoided, and its copies from being forgotten, because of one broken connection, for
+   * example after a corrupt answer or a reset on the network. The drawback: when a worker does die, its first broken
+   * connections count as {@link Ending#CONNECTION_LOST}, until the last one breaks or the next connect fails.
    *
-   * @param othersStand whether other connections to the worker are open
+   * @param othersOpen whether other connections to the worker are open
    */
-  public static Ending endingOfConnection(Ending ending, boolean othersStand) {
-    return ending == Ending.BROKEN && othersStand ? Ending.CONNECTION_LOST : ending;
+  public static Ending endingOfConnection(Ending ending, boolean othersOpen) {
+    return ending == Ending.BROKEN && othersOpen ? Ending.CONNECTION_LOST : ending;
   }
 
   /**
-   * The outcome of an attempt.
+   * The outcome of an attempt that ended.
    *
    * @param progress how far it got when it ended
    * @param ending what ended it
-   * @param status the HTTP status of the response, 100 to 599; read only where {@code ending} is RESPONSE
-   * @param saysNeverRan true where the runner stated in its response that the call did not run
-   * @throws IllegalArgumentException where a response is claimed for an attempt that sent nothing
+   * @param status the HTTP status of the response, 100 to 599; read only if {@code ending} is RESPONSE
+   * @param reportedNeverRan whether the runner stated in its response that the call did not run
+   * @throws IllegalArgumentException if the ending is a response but nothing was sent
    */
-  public static Outcome of(Progress progress, Ending ending, int status, boolean saysNeverRan) {
-    boolean mayHaveLeft = progress.compareTo(Progress.SENDING) >= 0;
-    if (!mayHaveLeft) {
+  public static Outcome of(Progress progress, Ending ending, int status, boolean reportedNeverRan) {
+    boolean mayHaveSent = progress.compareTo(Progress.SENDING) >= 0;
+    if (!mayHaveSent) {
       return switch (ending) {
         case RESPONSE, MALFORMED ->
           throw new IllegalArgumentException("a response to an attempt that sent nothing");
@@ -81,7 +80,7 @@
       };
     }
     return switch (ending) {
-      case RESPONSE -> ofResponse(status, saysNeverRan);
+      case RESPONSE -> ofResponse(status, reportedNeverRan);
       case MALFORMED, CONNECTION_LOST -> Outcome.ERROR;
       case TIMED_OUT -> Outcome.TIMEOUT;
       case CANCELLED, CALL_OVER -> Outcome.CANCELLED;
@@ -90,34 +89,34 @@
   }
 
   /**
-   * The outcome of an attempt that ended without an answer of its own; what spoilt another's says nothing of one
-   * unsent.
+   * The outcome of an attempt that ended without a response of its own. If it was not sent yet, a malformed response
+   * belongs to another request on the same connection.
    */
   public static Outcome ofUnanswered(Progress progress, Ending ending) {
-    boolean mayHaveLeft = progress.compareTo(Progress.SENDING) >= 0;
+    boolean mayHaveSent = progress.compareTo(Progress.SENDING) >= 0;
     return of(
-        progress, ending == Ending.MALFORMED && !mayHaveLeft ? Ending.BROKEN : ending, 0, false);
+        progress, ending == Ending.MALFORMED && !mayHaveSent ? Ending.BROKEN : ending, 0, false);
   }
 
   /**
-   * The end of an attempt that was held back at the last look.
+   * The ending of an attempt that the check just before sending refused.
    *
-   * @throws IllegalArgumentException where it was allowed, or has only to wait
+   * @throws IllegalArgumentException if the verdict allows the attempt or only makes it wait
    */
   public static Ending endingOfDenied(Verdict verdict) {
     return switch (verdict) {
       case CALL_ENDED, TIME_UP -> Ending.CALL_OVER;
       case DRAINING, WORKER_RESTARTED, MAY_HAVE_RUN, WINDOW_OVER, ATTEMPT_OUT, RATION_SPENT ->
         Ending.GATE_CLOSED;
-      default -> throw new IllegalArgumentException("not held back for good: " + verdict);
+      default -> throw new IllegalArgumentException("verdict does not end the attempt: " + verdict);
     };
   }
 
-  private static Outcome ofResponse(int status, boolean saysNeverRan) {
+  private static Outcome ofResponse(int status, boolean reportedNeverRan) {
     if (status >= 200 && status < 300) {
       return Outcome.OK;
     }
-    if (!saysNeverRan) {
+    if (!reportedNeverRan) {
       return Outcome.ERROR;
     }
     return status == 404 ? Outcome.MISS : Outcome.FULL;
--- a/decisions/src/test/java/gorseladder/attempts/AttemptsTest.java
+++ b/decisions/src/test/java/gorseladder/attempts/AttemptsTest.java
@@ -14,39 +14,39 @@
 import org.junit.jupiter.api.Test;
 
 class AttemptsTest {
-  /** Every combination: never ran is claimed only before the first byte, or on the runner's word. */
+  /** Over all combinations, "never ran" is reported only before the first byte or if the runner stated it. */
   @Test
   void neverRanIsClaimedOnlyWithProof() {
     for (Progress progress : Progress.values()) {
       for (Ending ending : Ending.values()) {
         for (int status = 100; status < 600; status += 1) {
-          for (boolean says : new boolean[] {true, false}) {
-            boolean left = progress.compareTo(Progress.SENDING) >= 0;
+          for (boolean reported : new boolean[] {true, false}) {
+            boolean sent = progress.compareTo(Progress.SENDING) >= 0;
             boolean answer = ending == Ending.RESPONSE || ending == Ending.MALFORMED;
-            int code = status;
-            if (!left && answer) {
+            int finalStatus = status;
+            if (!sent && answer) {
               assertThrows(
                   IllegalArgumentException.class,
-                  () -> AttemptOutcomes.of(progress, ending, code, says));
+                  () -> AttemptOutcomes.of(progress, ending, finalStatus, reported));
               continue;
             }
-            Outcome outcome = AttemptOutcomes.of(progress, ending, status, says);
+            Outcome outcome = AttemptOutcomes.of(progress, ending, status, reported);
             boolean proof =
-                !left || ending == Ending.RESPONSE && says && (status < 200 || status >= 300);
+                !sent || ending == Ending.RESPONSE && reported && (status < 200 || status >= 300);
             assertEquals(
-                proof, outcome.neverRan, progress + " " + ending + " " + status + " " + says);
+                proof, outcome.neverRan, progress + " " + ending + " " + status + " " + reported);
           }
         }
       }
     }
   }
 
-  /** One connection that breaks is no death: the worker's copies are still believed; its last one is. */
+  /** One broken connection does not count as the death of the worker while others are open; the last one does. */
   @Test
   void aConnectionThatEndsAloneIsNotAWorkerThatDied() {
-    Ending alone = AttemptOutcomes.endingOfConnection(Ending.BROKEN, true);
-    assertEquals(Outcome.ERROR, AttemptOutcomes.of(Progress.SENDING, alone, 0, false));
-    assertEquals(Outcome.CONNECT_FAILED, AttemptOutcomes.of(Progress.CONNECTED, alone, 0, false));
+    Ending lost = AttemptOutcomes.endingOfConnection(Ending.BROKEN, true);
+    assertEquals(Outcome.ERROR, AttemptOutcomes.of(Progress.SENDING, lost, 0, false));
+    assertEquals(Outcome.CONNECT_FAILED, AttemptOutcomes.of(Progress.CONNECTED, lost, 0, false));
     assertEquals(
         Outcome.RESET,
         AttemptOutcomes.of(
@@ -55,24 +55,28 @@
   }
 
   /**
-   * Peers close and reset what is idle or new: a call that must not run twice goes where something was heard just now.
+   * A call that must not run twice takes a connection used just now, since peers close and reset connections that are
+   * idle or new.
    */
   @Test
   void unsafeCallsGoWhereAConnectionIsInUse() {
     List<Candidate> idle = List.of(new Candidate(0, 300_000), new Candidate(0, 90_000));
-    assertEquals(1, ConnectionChoice.pick(Effect.SAFE, idle, 2), "the one used last");
-    assertEquals(-1, ConnectionChoice.pick(Effect.UNSAFE, idle, 2), "both may be about to close");
-    assertEquals(1, ConnectionChoice.pick(Effect.UNSAFE, idle, 8), "as many as there may be");
+    assertEquals(1, ConnectionChoice.pick(Effect.SAFE, idle, 2), "the most recently used one");
+    assertEquals(
+        -1, ConnectionChoice.pick(Effect.UNSAFE, idle, 2), "the peer may be about to close either");
+    assertEquals(
+        1, ConnectionChoice.pick(Effect.UNSAFE, idle, 8), "no further connection may be opened");
     List<Candidate> busy = List.of(new Candidate(0, 60_000), new Candidate(3, 10_000));
     assertEquals(0, ConnectionChoice.pick(Effect.SAFE, busy, 2));
     assertEquals(1, ConnectionChoice.pick(Effect.UNSAFE, busy, 2));
     List<Candidate> shared = List.of(new Candidate(2, 0), new Candidate(1, 900_000));
-    assertEquals(-1, ConnectionChoice.pick(Effect.SAFE, shared, 2), "not one that others are on");
+    assertEquals(
+        -1, ConnectionChoice.pick(Effect.SAFE, shared, 2), "not one that carries other calls");
     assertEquals(1, ConnectionChoice.pick(Effect.SAFE, shared, 8));
     assertEquals(-1, ConnectionChoice.pick(Effect.SAFE, List.of(), 0));
   }
 
-  /** A call withdrawn soon after it was sent is no sign that its connection is dead; one long unanswered is. */
+  /** A connection is dead if a call went unanswered for long, not if a call was withdrawn soon after it was sent. */
   @Test
   void onlySilenceRetiresAConnection() {
     assertTrue(ConnectionChoice.remainsUsable(1_000_000, 500_000, 1_100_000));
@@ -91,7 +95,7 @@
         Outcome.ERROR, AttemptOutcomes.of(Progress.RESPONDING, Ending.RESPONSE, 503, false));
   }
 
-  /** Each unsafe call opens a connection of its own; kept all, they piled up until no file could be opened. */
+  /** If the connection of every unsafe call were kept, they would pile up until no file could be opened. */
   @Test
   void connectionsOfUnsafeCallsDoNotPileUp() {
     int kept = 0;
