--- a/decisions/src/main/java/gorseladder/repeats/Repeats.java
+++ b/decisions/src/main/java/gorseladder/repeats/Repeats.java
@@ -6,70 +6,70 @@
 import gorseladder.permits.Permits;
 
 /**
- * Decides what a delivery of a message means, from what the ledger remembers of its id: run it, let it wait for the
- * first one, give the old answer again, or refuse it.
+ * Decides how a delivery of a message is handled, given what the ledger holds about its message id: run it, wait for
+ * the first delivery, return the stored answer, or reject it.
  *
- * <p>Guards against effects that happen twice because a sender repeats what it got no answer for, because an attacker
- * replays a captured request, or because the process was killed between the send and the record. An entry that was
- * {@link Phase#LEAVING} when the process died counts as may have run, whoever asks. It could harm a sender that uses
- * one message id for two different bodies; that is answered as a conflict rather than by running either twice.
+ * <p>Prevents effects from happening twice because a sender repeats a request that got no answer, an attacker replays a
+ * captured request, or the process was killed between sending and recording. A message that was {@link Phase#LEAVING}
+ * when the process died counts as one that may have run, whoever sends it again. A sender that uses one message id for
+ * two different bodies gets a conflict for the second one.
  *
  * <p>Pure functions; any thread. Times are microseconds.
  */
 public final class Repeats {
   private Repeats() {}
 
-  /** How far a message got, as the ledger has it. */
+  /** How far a message got according to the ledger. */
   public enum Phase {
-    /** Taken; no byte has left for a runner since (an earlier delivery of it may have run). */
+    /** Accepted; nothing has been sent to a runner since, though an earlier delivery may have run. */
     ACCEPTED,
-    /** Written before the first byte leaves for a runner; from here on it may have run. */
+    /** Recorded before the first byte is sent to a runner; from here on the message may have run. */
     LEAVING,
-    /** Served; the answer is kept. */
+    /** Served; the answer is stored. */
     SERVED,
-    /** Answered without success; whether it may have run stands beside it. */
+    /** Ended without success; whether it may have run is recorded separately. */
     CLOSED
   }
 
   /**
-   * What is remembered of a message id.
+   * What the ledger holds about a message id.
    *
    * @param phase how far it got
-   * @param inProgress true while this process holds the call and will answer it
-   * @param mayHaveRun true where some attempt is not known not to have run
-   * @param leftAt when the first such attempt may have left; read only where {@code mayHaveRun}
-   * @param sameContent true where the new delivery has the same class, function and body
+   * @param inProgress whether this process holds the call and will answer it
+   * @param mayHaveRun false only if no attempt can have run
+   * @param leftAt when the first attempt that may have run may have been sent; read only if {@code mayHaveRun}
+   * @param sameContent whether the new delivery has the same class, function and body
    */
   public record RecordedMessage(
       Phase phase, boolean inProgress, boolean mayHaveRun, long leftAt, boolean sameContent) {}
 
-  /** What to do with a delivery. */
+  /** How a delivery is handled. */
   public enum Action {
-    /** Hand it to the router. */
+    /** Pass the call to the router. */
     RUN,
-    /** Wait for the answer of the call that is out. */
+    /** Wait for the answer of the call in progress. */
     JOIN,
-    /** Give the kept answer. */
+    /** Return the stored answer. */
     RETURN_STORED_ANSWER,
-    /** The very same signed request came before. */
+    /** Reject: the same signed request was received before. */
     REPLAYED,
-    /** The id was used for something else. */
+    /** Reject: the message id was used for other content. */
     CONFLICT,
-    /** It may have run and may not run again. */
+    /** Reject: the message may have run and must not run again. */
     MAY_HAVE_RUN
   }
 
-  /** A deed and, for RUN, the longest time the call may take from now. */
+  /** An action and, for RUN, the longest time that the call may take from now. */
   public record Decision(Action action, long timeLimit) {}
 
   /**
-   * Judges a delivery whose signature holds.
+   * Decides how to handle a delivery with a valid signature.
    *
    * @param requestClass the class of the call
-   * @param signatureSeen true where this very signature was taken before
-   * @param known what the ledger has of the id; null where nothing
-   * @param now the present time
-   * @param patience how long the client waits, more than 0
+   * @param signatureSeen whether a request with the same signature was accepted before
+   * @param known what the ledger holds about the message id; null for nothing
+   * @param now the current time
+   * @param patience how long the client waits, above 0
    */
   public static Decision onDelivery(
       RequestClass requestClass,
@@ -91,58 +91,60 @@
     }
     return switch (known.phase()) {
       case SERVED -> new Decision(Action.RETURN_STORED_ANSWER, 0);
-      case LEAVING -> again(requestClass, known.leftAt(), now, patience);
+      case LEAVING -> decideRepeat(requestClass, known.leftAt(), now, patience);
       case ACCEPTED, CLOSED ->
         known.mayHaveRun()
-            ? again(requestClass, known.leftAt(), now, patience)
+            ? decideRepeat(requestClass, known.leftAt(), now, patience)
             : new Decision(Action.RUN, patience);
     };
   }
 
   /**
-   * True where a delivery may be refused as harmless though something is on record of its message that cannot be read
-   * at present: an earlier one may have run.
+   * Returns whether a delivery may be refused with an invitation to retry although the record of its message cannot be
+   * read at present, so that an earlier delivery may have run.
    */
   public static boolean mayRefuseUnreadable(Effect effect) {
     return effect == Effect.SAFE;
   }
 
   /**
-   * A message that may have run comes again. Safe calls run. A keyed one runs only where every worker drops repeats and
-   * only if all its new attempts end within the window that the first one began; the router cannot know that earlier
-   * attempt, so the time of the call is cut to what is left of the window. Everything else never runs again.
+   * Decides about a repeated message that may have run. Safe calls run. A keyed one runs only if every worker drops
+   * repeats, and only if all new attempts end within the window that the first attempt opened; the router does not know
+   * that attempt, so the time of the call is limited to the rest of the window. Nothing else runs again.
    */
-  private static Decision again(RequestClass requestClass, long leftAt, long now, long patience) {
-    long since = now - leftAt;
+  private static Decision decideRepeat(
+      RequestClass requestClass, long leftAt, long now, long patience) {
+    long elapsed = now - leftAt;
     boolean mayRun = Permits.mayRepeatAfter(
-            requestClass.effect(), true, since, requestClass.repeatWindow())
+            requestClass.effect(), true, elapsed, requestClass.repeatWindow())
         .allowed();
     if (requestClass.effect() == Effect.SAFE) {
       return new Decision(Action.RUN, patience);
     }
     return mayRun && requestClass.group() == Group.ALL
-        ? new Decision(Action.RUN, Math.min(patience, requestClass.repeatWindow() - since))
+        ? new Decision(Action.RUN, Math.min(patience, requestClass.repeatWindow() - elapsed))
         : new Decision(Action.MAY_HAVE_RUN, 0);
   }
 
   /**
-   * True where the record of an end must be durable before the client hears it. For what must not run twice a lost
-   * record would make a served message look as though it may have run, and its sender could never learn the answer.
+   * Returns whether the record of the final answer must be durable before the client gets it. Without its record a
+   * served message that must not run twice would look like one that may have run, and its sender could never learn the
+   * answer.
    */
   public static boolean recordBeforeAnswer(Effect effect) {
     return effect != Effect.SAFE;
   }
 
   /**
-   * True where a call must be on record before it goes on. A safe one is remembered in this process while it is out,
-   * and recorded once, with its end: were the process killed in between, its sender's next try would run it again,
-   * which does no harm.
+   * Returns whether a call must be recorded before it is accepted. A safe call is kept in memory while in progress and
+   * recorded once, when it ends: if the process is killed in between, a retry by the sender runs it again, which does
+   * no harm.
    */
   public static boolean recordBeforeAccepting(Effect effect) {
     return effect != Effect.SAFE;
   }
 
-  /** True where the ledger must hold {@link Phase#LEAVING} before the first byte leaves. */
+  /** Returns whether the ledger must hold {@link Phase#LEAVING} before the first byte is sent. */
   public static boolean recordBeforeSend(Effect effect) {
     return effect != Effect.SAFE;
   }
--- a/decisions/src/test/java/gorseladder/repeats/RepeatsTest.java
+++ b/decisions/src/test/java/gorseladder/repeats/RepeatsTest.java
@@ -23,56 +23,57 @@
   private static final long PATIENCE = 3;
   private static final long WINDOW = 8;
 
-  private static RequestClass of(Effect effect, Group group) {
+  private static RequestClass requestClass(Effect effect, Group group) {
     return new RequestClass("c", effect, group, WINDOW, 1, PATIENCE, 1, 0.2, false);
   }
 
-  private static Decision judge(Effect effect, Group group, RecordedMessage known, long now) {
-    return Repeats.onDelivery(of(effect, group), false, known, now, PATIENCE);
+  private static Decision decide(Effect effect, Group group, RecordedMessage known, long now) {
+    return Repeats.onDelivery(requestClass(effect, group), false, known, now, PATIENCE);
   }
 
   @Test
   void replaysConflictsAndJoins() {
-    RequestClass c = of(Effect.SAFE, Group.ALL);
+    RequestClass c = requestClass(Effect.SAFE, Group.ALL);
     assertEquals(Action.REPLAYED, Repeats.onDelivery(c, true, null, 0, PATIENCE).action());
     assertEquals(Action.RUN, Repeats.onDelivery(c, false, null, 0, PATIENCE).action());
     assertEquals(
         Action.CONFLICT,
-        judge(Effect.SAFE, Group.ALL, new RecordedMessage(Phase.SERVED, false, true, 0, false), 0)
+        decide(Effect.SAFE, Group.ALL, new RecordedMessage(Phase.SERVED, false, true, 0, false), 0)
             .action());
     assertEquals(
         Action.JOIN,
-        judge(Effect.UNSAFE, Group.ALL, new RecordedMessage(Phase.LEAVING, true, true, 0, true), 0)
+        decide(Effect.UNSAFE, Group.ALL, new RecordedMessage(Phase.LEAVING, true, true, 0, true), 0)
             .action());
     assertEquals(
         Action.RETURN_STORED_ANSWER,
-        judge(Effect.UNSAFE, Group.ALL, new RecordedMessage(Phase.SERVED, false, true, 0, true), 0)
+        decide(Effect.UNSAFE, Group.ALL, new RecordedMessage(Phase.SERVED, false, true, 0, true), 0)
             .action());
   }
 
   @Test
   void aKeyedRepeatEndsWithinTheWindowOfItsFirstAttempt() {
     RecordedMessage closed = new RecordedMessage(Phase.CLOSED, false, true, 10, true);
-    assertEquals(new Decision(Action.RUN, PATIENCE), judge(Effect.KEYED, Group.ALL, closed, 11));
-    assertEquals(new Decision(Action.RUN, 2), judge(Effect.KEYED, Group.ALL, closed, 16));
-    assertEquals(Action.MAY_HAVE_RUN, judge(Effect.KEYED, Group.ALL, closed, 18).action());
+    assertEquals(new Decision(Action.RUN, PATIENCE), decide(Effect.KEYED, Group.ALL, closed, 11));
+    assertEquals(new Decision(Action.RUN, 2), decide(Effect.KEYED, Group.ALL, closed, 16));
     assertEquals(
-        Action.MAY_HAVE_RUN, judge(Effect.KEYED, Group.ZONE, closed, 11).action());
+        Action.MAY_HAVE_RUN, decide(Effect.KEYED, Group.ALL, closed, 18).action());
+    assertEquals(
+        Action.MAY_HAVE_RUN, decide(Effect.KEYED, Group.ZONE, closed, 11).action());
     assertEquals(
         Action.MAY_HAVE_RUN,
-        judge(Effect.KEYED, Group.ALL, closed, 9).action(),
-        "the clock went back");
+        decide(Effect.KEYED, Group.ALL, closed, 9).action(),
+        "the clock went backwards");
     assertEquals(
         new Decision(Action.RUN, PATIENCE),
-        judge(
+        decide(
             Effect.KEYED,
             Group.ZONE,
             new RecordedMessage(Phase.CLOSED, false, false, 0, true),
             11));
   }
 
-  /** The life of one message: what the ledger has durably, whether this process holds it, and how often it ran. */
-  private record TestFleet(
+  /** State of one message: its durable record, whether this process holds the call, and how often it ran. */
+  private record MessageState(
       Phase phase,
       boolean mayHaveRun,
       long leftAt,
@@ -82,19 +83,28 @@
       long firstRun,
       long now,
       List<String> trace) {
-    TestFleet step(
-        String what,
-        Phase p,
-        boolean ran,
-        long left,
-        boolean alive,
-        boolean out,
-        int count,
-        long first,
-        long t) {
-      List<String> longer = new ArrayList<>(trace);
-      longer.add(what);
-      return new TestFleet(p, ran, left, alive, out, count, first, t, longer);
+    MessageState step(
+        String event,
+        Phase newPhase,
+        boolean newMayHaveRun,
+        long newLeftAt,
+        boolean newLive,
+        boolean newSent,
+        int newRuns,
+        long newFirstRun,
+        long newNow) {
+      List<String> newTrace = new ArrayList<>(trace);
+      newTrace.add(event);
+      return new MessageState(
+          newPhase,
+          newMayHaveRun,
+          newLeftAt,
+          newLive,
+          newSent,
+          newRuns,
+          newFirstRun,
+          newNow,
+          newTrace);
     }
 
     String key() {
@@ -104,118 +114,144 @@
   }
 
   /**
-   * Every order of deliveries, records, sends, runs, ends, kills and passing time, to the depth given: an unsafe
-   * message never runs twice, a keyed one never outside its window, where workers drop repeats within it.
+   * Explores every sequence of deliveries, records, sends, runs, ends, kills and clock ticks up to a depth: an unsafe
+   * message never runs twice, and a keyed one never outside the window within which workers drop repeats.
    */
   @ParameterizedTest
   @EnumSource(
       value = Effect.class,
       names = {"UNSAFE", "KEYED"})
   void noOrderOfEventsRunsAnEffectTwice(Effect effect) {
-    ArrayDeque<TestFleet> open = new ArrayDeque<>();
+    ArrayDeque<MessageState> open = new ArrayDeque<>();
     Set<String> seen = new HashSet<>();
-    open.add(new TestFleet(null, false, 0, false, false, 0, 0, 1, List.of()));
+    open.add(new MessageState(null, false, 0, false, false, 0, 0, 1, List.of()));
     int states = 0;
     while (!open.isEmpty()) {
-      TestFleet w = open.poll();
-      if (w.trace().size() > 14 || w.now() > 14 || !seen.add(w.key())) {
+      MessageState state = open.poll();
+      if (state.trace().size() > 14 || state.now() > 14 || !seen.add(state.key())) {
         continue;
       }
       states++;
-      assertTrue(w.runs() <= 1, w.trace().toString());
-      open.addAll(next(effect, w));
+      assertTrue(state.runs() <= 1, state.trace().toString());
+      open.addAll(next(effect, state));
     }
     assertTrue(states > 200, states + " states explored");
   }
 
-  private static List<TestFleet> next(Effect effect, TestFleet w) {
-    List<TestFleet> all = new ArrayList<>();
-    long t = w.now();
-    all.add(w.step(
+  private static List<MessageState> next(Effect effect, MessageState state) {
+    List<MessageState> successors = new ArrayList<>();
+    long t = state.now();
+    successors.add(state.step(
         "time",
-        w.phase(),
-        w.mayHaveRun(),
-        w.leftAt(),
-        w.live(),
-        w.sent(),
-        w.runs(),
-        w.firstRun(),
+        state.phase(),
+        state.mayHaveRun(),
+        state.leftAt(),
+        state.live(),
+        state.sent(),
+        state.runs(),
+        state.firstRun(),
         t + 1));
-    if (w.live()) {
-      all.add(w.step(
+    if (state.live()) {
+      successors.add(state.step(
           "kill",
-          w.phase(),
-          w.mayHaveRun(),
-          w.leftAt(),
+          state.phase(),
+          state.mayHaveRun(),
+          state.leftAt(),
           false,
-          w.sent(),
-          w.runs(),
-          w.firstRun(),
+          state.sent(),
+          state.runs(),
+          state.firstRun(),
           t));
-      if (!w.sent() && w.phase() == Phase.ACCEPTED) {
-        long left = w.mayHaveRun() ? w.leftAt() : t;
-        all.add(
-            w.step("record", Phase.LEAVING, true, left, true, false, w.runs(), w.firstRun(), t));
-        all.add(w.step(
+      if (!state.sent() && state.phase() == Phase.ACCEPTED) {
+        long left = state.mayHaveRun() ? state.leftAt() : t;
+        successors.add(state.step(
+            "record", Phase.LEAVING, true, left, true, false, state.runs(), state.firstRun(), t));
+        successors.add(state.step(
             "refuse",
             Phase.CLOSED,
-            w.mayHaveRun(),
-            w.leftAt(),
+            state.mayHaveRun(),
+            state.leftAt(),
             false,
             false,
-            w.runs(),
-            w.firstRun(),
+            state.runs(),
+            state.firstRun(),
             t));
       }
-      if (w.phase() == Phase.LEAVING && !w.sent()) {
-        all.add(w.step("send", w.phase(), true, w.leftAt(), true, true, w.runs(), w.firstRun(), t));
+      if (state.phase() == Phase.LEAVING && !state.sent()) {
+        successors.add(state.step(
+            "send",
+            state.phase(),
+            true,
+            state.leftAt(),
+            true,
+            true,
+            state.runs(),
+            state.firstRun(),
+            t));
       }
-      if (w.sent()) {
-        all.add(
-            w.step("fail", Phase.CLOSED, true, w.leftAt(), false, true, w.runs(), w.firstRun(), t));
-        all.add(w.step(
-            "serve", Phase.SERVED, true, w.leftAt(), false, false, ran(effect, w), first(w), t));
+      if (state.sent()) {
+        successors.add(state.step(
+            "fail",
+            Phase.CLOSED,
+            true,
+            state.leftAt(),
+            false,
+            true,
+            state.runs(),
+            state.firstRun(),
+            t));
+        successors.add(state.step(
+            "serve",
+            Phase.SERVED,
+            true,
+            state.leftAt(),
+            false,
+            false,
+            runsAfterNext(effect, state),
+            firstRunAfterNext(state),
+            t));
       }
-    } else if (w.sent()) {
-      all.add(w.step(
+    } else if (state.sent()) {
+      successors.add(state.step(
           "runs unseen",
-          w.phase(),
-          w.mayHaveRun(),
-          w.leftAt(),
+          state.phase(),
+          state.mayHaveRun(),
+          state.leftAt(),
           false,
           false,
-          ran(effect, w),
-          first(w),
+          runsAfterNext(effect, state),
+          firstRunAfterNext(state),
           t));
     }
-    if (!w.live()) {
-      RecordedMessage known = w.phase() == null
+    if (!state.live()) {
+      RecordedMessage known = state.phase() == null
           ? null
-          : new RecordedMessage(w.phase(), false, w.mayHaveRun(), w.leftAt(), true);
-      Decision v = judge(effect, Group.ALL, known, t);
-      if (v.action() == Action.RUN) {
-        all.add(w.step(
+          : new RecordedMessage(state.phase(), false, state.mayHaveRun(), state.leftAt(), true);
+      Decision decision = decide(effect, Group.ALL, known, t);
+      if (decision.action() == Action.RUN) {
+        successors.add(state.step(
             "deliver",
             Phase.ACCEPTED,
-            w.mayHaveRun(),
-            w.leftAt(),
+            state.mayHaveRun(),
+            state.leftAt(),
             true,
             false,
-            w.runs(),
-            w.firstRun(),
+            state.runs(),
+            state.firstRun(),
             t));
       }
     }
-    return all;
+    return successors;
   }
 
-  private static long first(TestFleet w) {
-    return w.runs() == 0 ? w.now() : w.firstRun();
+  private static long firstRunAfterNext(MessageState state) {
+    return state.runs() == 0 ? state.now() : state.firstRun();
   }
 
-  /** A worker of the group drops a repeat within the window of the first run. */
-  private static int ran(Effect effect, TestFleet w) {
-    boolean dropped = effect == Effect.KEYED && w.runs() > 0 && w.now() < w.firstRun() + WINDOW;
-    return dropped ? w.runs() : w.runs() + 1;
+  /** Number of runs after the next one; a worker drops a keyed repeat within the window of the first run. */
+  private static int runsAfterNext(Effect effect, MessageState state) {
+    boolean dropped =
+        effect == Effect.KEYED && state.runs() > 0 && state.now() < state.firstRun() + WINDOW;
+    return dropped ? state.runs() : state.runs() + 1;
   }
 }
