--- a/decisions/src/main/java/gorseladder/admission/Turns.java
+++ b/decisions/src/main/java/gorseladder/admission/Turns.java
@@ -3,55 +3,59 @@
 import java.util.ArrayDeque;
 
 /**
- * Decides who reads next where only so many may read at once: the newest first, and now and then the oldest.
+ * Limits how many readers of requests run at once and decides which waiting reader runs next: mostly the newest, and
+ * every {@link #OLDEST_FIRST_INTERVAL}th time the oldest.
  *
- * <p>Guards against an edge whose threads all read and refuse while the few that carry calls wait for a processor: with
- * a bound on those that read, what was taken goes on. Newest first, since under overload the oldest has waited in vain
- * already, and those that came in the meantime would wait in vain too (as adaptive last-in-first-out queues do).
- * Without overload nobody waits here. It could harm a sender whose request is the oldest at each burst: every
- * {@link #OLDEST}th turn is the oldest's.
+ * <p>Prevents all threads of an edge from reading and refusing requests while the few that carry accepted calls wait
+ * for a processor. The newest goes first because under overload the oldest has already waited too long, and those that
+ * came later would wait too long as well (as in adaptive last-in-first-out queues). Without overload nobody waits here.
+ * Occasionally serving the oldest keeps a sender whose request is the oldest in each burst from starving.
  *
  * <p>Free of clocks, threads and input; not thread safe.
  *
- * @param <T> who waits
+ * @param <T> the type of the readers
  */
 public final class Turns<T> {
-  /** Every so many turns the oldest goes. */
-  private static final int OLDEST = 8;
+  /** One in this many waiting readers that are started is the oldest. */
+  private static final int OLDEST_FIRST_INTERVAL = 8;
 
-  private final int most;
+  private final int limit;
   private final ArrayDeque<T> waiting = new ArrayDeque<>();
-  private int inside;
-  private int given;
+  private int running;
+  private int handedOn;
 
-  /** Nobody reads; so many may at once, 1 or more. */
-  public Turns(int most) {
-    if (most < 1) {
-      throw new IllegalArgumentException("no turn can ever be given: " + most);
+  /**
+   * Creates a limiter without readers.
+   *
+   * @param limit maximum number of concurrent readers, 1 or more
+   */
+  public Turns(int limit) {
+    if (limit < 1) {
+      throw new IllegalArgumentException("limit must be at least 1: " + limit);
     }
-    this.most = most;
+    this.limit = limit;
   }
 
-  /** True where it may read now; else it waits until {@link #finish} names it. */
-  public boolean tryStart(T who) {
-    if (inside < most) {
-      inside++;
+  /** Returns true if the reader may run now; otherwise it waits until {@link #finish} returns it. */
+  public boolean tryStart(T reader) {
+    if (running < limit) {
+      running++;
       return true;
     }
-    waiting.addLast(who);
+    waiting.addLast(reader);
     return false;
   }
 
-  /** One that read is done; returns who goes now in its place, null where nobody waits. */
+  /** Records that a reader finished; returns the waiting reader that runs next, or null if none waits. */
   public T finish() {
     if (waiting.isEmpty()) {
-      inside--;
+      running--;
       return null;
     }
-    return ++given % OLDEST == 0 ? waiting.pollFirst() : waiting.pollLast();
+    return ++handedOn % OLDEST_FIRST_INTERVAL == 0 ? waiting.pollFirst() : waiting.pollLast();
   }
 
-  /** Those that wait. */
+  /** Number of waiting readers. */
   public int waiting() {
     return waiting.size();
   }
--- a/decisions/src/test/java/gorseladder/admission/AdmissionTest.java
+++ b/decisions/src/test/java/gorseladder/admission/AdmissionTest.java
@@ -17,19 +17,17 @@
 class AdmissionTest {
   private static final long AIM = 1_000_000;
 
-  /**
-   * One server that takes calls in their order, with a cost of each refusal, and clients that come back when told to.
-   */
-  private static final class Site {
-    private static final long CALL = 2_000;
-    private static final long REFUSAL = 100;
+  /** Simulates a server that handles calls in order, where each refusal costs time, and clients that retry as told. */
+  private static final class Simulation {
+    private static final long CALL_MICROS = 2_000;
+    private static final long REFUSAL_MICROS = 100;
 
     private record Waiting(long id, long message, String tenant, double worth, long since) {}
 
-    private record Coming(long at, long message, String tenant, double worth, long first)
-        implements Comparable<Coming> {
+    private record ClientCall(long at, long message, String tenant, double worth, long first)
+        implements Comparable<ClientCall> {
       @Override
-      public int compareTo(Coming other) {
+      public int compareTo(ClientCall other) {
         return Long.compare(at, other.at);
       }
     }
@@ -37,10 +35,10 @@
     private final Admission admission;
     private final int bound;
     private final Random random = new Random(5);
-    private final PriorityQueue<Coming> coming = new PriorityQueue<>();
+    private final PriorityQueue<ClientCall> arrivals = new PriorityQueue<>();
     private final ArrayDeque<Waiting> queue = new ArrayDeque<>();
     private final Map<Integer, Integer> goodBySecond = new HashMap<>();
-    private final Map<String, Integer> good = new HashMap<>();
+    private final Map<String, Integer> goodByTenant = new HashMap<>();
     private final Map<Double, Integer> goodByWorth = new HashMap<>();
     private long messages;
     private long slowFrom = Long.MAX_VALUE;
@@ -48,51 +46,53 @@
     private int slowBy = 1;
     private int refused;
 
-    Site(Admission admission, int bound) {
+    Simulation(Admission admission, int bound) {
       this.admission = admission;
       this.bound = bound;
     }
 
-    /** Poisson arrivals of fresh calls, at a multiple of what the server can do. */
+    /** Adds Poisson arrivals of new calls at a multiple of the capacity of the server. */
     void load(long from, long to, double multiple, String tenant, double worth) {
-      for (double at = from; at < to; at += -Math.log(1 - random.nextDouble()) * CALL / multiple) {
-        coming.add(new Coming((long) at, ++messages, tenant, worth, (long) at));
+      for (double at = from;
+          at < to;
+          at += -Math.log(1 - random.nextDouble()) * CALL_MICROS / multiple) {
+        arrivals.add(new ClientCall((long) at, ++messages, tenant, worth, (long) at));
       }
     }
 
     /**
-     * Runs until nothing comes any more; the server does one thing at a time, refusals first, as they come with the
-     * reading.
+     * Runs until no more calls arrive. The server does one thing at a time, refusals first, since a call is refused
+     * when it is read.
      */
     void run(int retries) {
       long now = 0;
-      while (!coming.isEmpty() || !queue.isEmpty()) {
-        if (queue.isEmpty() && coming.peek().at() > now) {
-          now = coming.peek().at();
+      while (!arrivals.isEmpty() || !queue.isEmpty()) {
+        if (queue.isEmpty() && arrivals.peek().at() > now) {
+          now = arrivals.peek().at();
         }
-        while (!coming.isEmpty() && coming.peek().at() <= now) {
-          now = arrive(coming.poll(), now, retries);
+        while (!arrivals.isEmpty() && arrivals.peek().at() <= now) {
+          now = arrive(arrivals.poll(), now, retries);
         }
         Waiting w = queue.poll();
         if (w != null) {
-          now += CALL * (now >= slowFrom && now < slowTo ? slowBy : 1);
+          now += CALL_MICROS * (now >= slowFrom && now < slowTo ? slowBy : 1);
           if (admission != null) {
             admission.sent(w.id(), now);
           }
           if (now - w.since() <= AIM) {
             goodBySecond.merge((int) (now / 1_000_000), 1, Integer::sum);
-            good.merge(w.tenant(), 1, Integer::sum);
+            goodByTenant.merge(w.tenant(), 1, Integer::sum);
             goodByWorth.merge(w.worth(), 1, Integer::sum);
           }
         }
       }
     }
 
-    private long arrive(Coming c, long now, int retries) {
-      boolean may = queue.size() < bound
+    private long arrive(ClientCall c, long now, int retries) {
+      boolean admitted = queue.size() < bound
           && (admission == null
               || admission.mayEnter(new Arrival(c.message(), c.tenant(), c.worth(), AIM, 0), now));
-      if (may) {
+      if (admitted) {
         long id = ++messages;
         queue.add(new Waiting(id, c.message(), c.tenant(), c.worth(), c.at()));
         if (admission != null) {
@@ -103,10 +103,10 @@
       refused++;
       if (retries > 0 && now - c.first() < retries * 1_000_000L) {
         long wait = admission == null ? 1 : admission.retryAfter();
-        coming.add(
-            new Coming(now + wait * 1_000_000, c.message(), c.tenant(), c.worth(), c.first()));
+        arrivals.add(
+            new ClientCall(now + wait * 1_000_000, c.message(), c.tenant(), c.worth(), c.first()));
       }
-      return now + REFUSAL;
+      return now + REFUSAL_MICROS;
     }
 
     int goodIn(int from, int to) {
@@ -123,100 +123,108 @@
   }
 
   private static double goodput(Admission admission, int bound, double multiple) {
-    Site site = new Site(admission, bound);
-    site.load(0, 20_000_000, multiple, "a", 1);
-    site.run(0);
-    return site.goodIn(5, 20) / 15.0 / (1_000_000.0 / Site.CALL);
+    Simulation simulation = new Simulation(admission, bound);
+    simulation.load(0, 20_000_000, multiple, "a", 1);
+    simulation.run(0);
+    return simulation.goodIn(5, 20) / 15.0 / (1_000_000.0 / Simulation.CALL_MICROS);
   }
 
   @Test
   void goodputStaysWhereAFixedBoundAndNoBoundLoseIt() {
     StringBuilder table = new StringBuilder();
     for (double multiple : new double[] {0.5, 0.9, 1, 1.5, 3, 5}) {
-      double with = goodput(admission(Map.of()), 1_000, multiple);
-      double fixed = goodput(null, 1_000, multiple);
-      double neither = goodput(null, Integer.MAX_VALUE, multiple);
+      double withAdmission = goodput(admission(Map.of()), 1_000, multiple);
+      double fixedBound = goodput(null, 1_000, multiple);
+      double unbounded = goodput(null, Integer.MAX_VALUE, multiple);
       table.append(String.format(
-          "%nx%.1f: %.2f with, %.2f fixed bound, %.2f neither", multiple, with, fixed, neither));
-      // What is left when every call beyond the server's is refused at a twentieth of its cost.
+          "%nx%.1f: %.2f with admission, %.2f fixed bound, %.2f unbounded",
+          multiple, withAdmission, fixedBound, unbounded));
+      // Capacity that is left if every call beyond it is refused at a twentieth of the cost of a
+      // call.
       double best = Math.min(multiple, (1 - 0.05 * multiple) / (1 - 0.05));
-      assertTrue(with > 0.93 * Math.min(1, best), table.toString());
-      assertTrue(multiple < 1.5 || fixed < 0.1 && neither < 0.1, table.toString());
+      assertTrue(withAdmission > 0.93 * Math.min(1, best), table.toString());
+      assertTrue(multiple < 1.5 || fixedBound < 0.1 && unbounded < 0.1, table.toString());
     }
   }
 
   @Test
   void tenTimesTheLoadLeavesNothingStandingTwoSecondsLater() {
-    Site site = new Site(admission(Map.of()), 1_000);
-    site.load(0, 40_000_000, 0.5, "a", 1);
-    site.load(10_000_000, 20_000_000, 9.5, "a", 1);
-    site.run(3);
-    double calm = site.goodIn(2, 10) / 8.0;
-    assertTrue(site.goodIn(25, 40) / 15.0 > 0.97 * calm, site.goodBySecond.toString());
-    assertTrue(site.refused > 10_000);
+    Simulation simulation = new Simulation(admission(Map.of()), 1_000);
+    simulation.load(0, 40_000_000, 0.5, "a", 1);
+    simulation.load(10_000_000, 20_000_000, 9.5, "a", 1);
+    simulation.run(3);
+    double calm = simulation.goodIn(2, 10) / 8.0;
+    assertTrue(simulation.goodIn(25, 40) / 15.0 > 0.97 * calm, simulation.goodBySecond.toString());
+    assertTrue(simulation.refused > 10_000);
   }
 
   @Test
   void halfTheServiceIsHalfTheGoodputAndNotNone() {
-    Site site = new Site(admission(Map.of()), 1_000);
-    site.slowFrom = 10_000_000;
-    site.slowTo = 20_000_000;
-    site.slowBy = 2;
-    site.load(0, 30_000_000, 0.95, "a", 1);
-    site.run(0);
-    assertTrue(site.goodIn(11, 20) / 9.0 > 225, site.goodBySecond.toString());
-    assertTrue(site.goodIn(23, 30) / 7.0 > 440, site.goodBySecond.toString());
+    Simulation simulation = new Simulation(admission(Map.of()), 1_000);
+    simulation.slowFrom = 10_000_000;
+    simulation.slowTo = 20_000_000;
+    simulation.slowBy = 2;
+    simulation.load(0, 30_000_000, 0.95, "a", 1);
+    simulation.run(0);
+    assertTrue(simulation.goodIn(11, 20) / 9.0 > 225, simulation.goodBySecond.toString());
+    assertTrue(simulation.goodIn(23, 30) / 7.0 > 440, simulation.goodBySecond.toString());
   }
 
-  /** A tenant that floods takes what others leave: they, within their shares, keep nearly all of their calls. */
+  /**
+   * A tenant that sends too much gets what others leave; tenants within their shares keep nearly all of their calls.
+   */
   @Test
   void aFloodTakesNothingFromTenantsWithinTheirShare() {
-    Site site = new Site(admission(Map.of("flood", 0.5, "calm", 0.5)), 1_000);
-    site.load(0, 20_000_000, 4, "flood", 1);
-    site.load(0, 20_000_000, 0.3, "calm", 1);
-    site.run(0);
-    double calm = site.good.get("calm") / (20 * 0.3 * 500);
+    Simulation simulation = new Simulation(admission(Map.of("flood", 0.5, "calm", 0.5)), 1_000);
+    simulation.load(0, 20_000_000, 4, "flood", 1);
+    simulation.load(0, 20_000_000, 0.3, "calm", 1);
+    simulation.run(0);
+    double calm = simulation.goodByTenant.get("calm") / (20 * 0.3 * 500);
     assertTrue(calm > 0.95, "calm " + calm);
-    assertTrue(site.good.get("flood") > 20 * 0.5 * 500 * 0.8, "flood " + site.good);
+    assertTrue(
+        simulation.goodByTenant.get("flood") > 20 * 0.5 * 500 * 0.8,
+        "flood " + simulation.goodByTenant);
   }
 
   @Test
   void callsWorthMoreGoFirstAndNoneStarves() {
-    Site site = new Site(admission(Map.of()), 1_000);
-    site.load(0, 20_000_000, 1, "a", 1);
-    site.load(0, 20_000_000, 1, "a", 0.2);
-    site.run(0);
-    int most = site.goodByWorth.get(1.0);
-    int least = site.goodByWorth.getOrDefault(0.2, 0);
-    assertTrue(most > 0.8 * 20 * 500 && least > 10 && least < 0.3 * most, most + " " + least);
+    Simulation simulation = new Simulation(admission(Map.of()), 1_000);
+    simulation.load(0, 20_000_000, 1, "a", 1);
+    simulation.load(0, 20_000_000, 1, "a", 0.2);
+    simulation.run(0);
+    int highWorth = simulation.goodByWorth.get(1.0);
+    int lowWorth = simulation.goodByWorth.getOrDefault(0.2, 0);
+    assertTrue(
+        highWorth > 0.8 * 20 * 500 && lowWorth > 10 && lowWorth < 0.3 * highWorth,
+        highWorth + " " + lowWorth);
   }
 
-  /** A call that was refused and comes again waits for fresh ones. */
+  /** New calls are admitted before retries of refused ones. */
   @Test
   void freshCallsGoBeforeThoseThatComeAgain() {
     Admission admission = admission(Map.of());
     long now = 10_000_000;
-    ArrayDeque<Long> inside = new ArrayDeque<>();
-    // 200 calls come and 100 are sent a second, the oldest first: before long they stand.
+    ArrayDeque<Long> waitingIds = new ArrayDeque<>();
+    // 200 calls arrive and 100 are sent a second, the oldest first, so a queue builds up.
     for (long i = 0; i < 800; i++) {
       now += 5_000;
       if (admission.mayEnter(new Arrival(i, "a", 1, AIM, 0), now)) {
         admission.entered(i, "a", now);
-        inside.add(i);
+        waitingIds.add(i);
       }
-      if (i % 2 == 0 && !inside.isEmpty()) {
-        admission.sent(inside.poll(), now);
+      if (i % 2 == 0 && !waitingIds.isEmpty()) {
+        admission.sent(waitingIds.poll(), now);
       }
     }
     long next = 1_000;
     for (; admission.mayEnter(new Arrival(next, "a", 1, AIM, 0), now); next++) {
       admission.entered(next, "a", now);
-      inside.add(next);
+      waitingIds.add(next);
     }
     int full = admission.waiting();
     assertTrue(full >= 40, "waiting " + full);
     for (int i = 0; i < 8; i++) {
-      admission.endedUnsent(inside.poll());
+      admission.endedUnsent(waitingIds.poll());
     }
     assertFalse(admission.mayEnter(new Arrival(next, "a", 1, AIM, 0), now));
     assertTrue(
@@ -224,7 +232,7 @@
         "waiting " + admission.waiting() + " full " + full);
   }
 
-  /** Calls that wait long for one function's load turn nobody away while others go through at once. */
+  /** Calls that wait long for the load of one function cause no refusals while other calls are sent at once. */
   @Test
   void aStandingFunctionIsNoOverload() {
     Admission admission = admission(Map.of());
@@ -241,7 +249,7 @@
     assertEquals(0, admission.refusals());
   }
 
-  /** Where nothing is sent at all, one call a tenth of a second finds out whether that is still so. */
+  /** While nothing is sent at all, one call per tenth of a second is admitted as a probe. */
   @Test
   void aStandstillIsProbed() {
     Admission admission = admission(Map.of());
@@ -257,7 +265,7 @@
     assertTrue(entered > 90 && entered < 160, "entered " + entered);
   }
 
-  /** A request that waited half its aim to be read is not worth taking while others stand; a few are all the same. */
+  /** A request that waited more than half its aim to be read is refused, unless hardly any calls wait. */
   @Test
   void aHopelessCallIsRefused() {
     Admission admission = admission(Map.of());
@@ -269,7 +277,7 @@
     assertTrue(admission.mayEnter(new Arrival(1, "a", 1, AIM, AIM * 4 / 10), 1_000_000));
   }
 
-  /** Refusals are held back where most calls are refused, and not any more once few are. */
+  /** Refusals are delayed while most calls are refused, and no longer once few are. */
   @Test
   void refusalsAreHeldBackWhereMostAreRefused() {
     Admission admission = admission(Map.of());
--- a/decisions/src/test/java/gorseladder/admission/TurnsTest.java
+++ b/decisions/src/test/java/gorseladder/admission/TurnsTest.java
@@ -28,36 +28,36 @@
     assertThrows(IllegalArgumentException.class, () -> new Turns<>(0));
   }
 
-  /** Draws of asks and ends: never more inside than told, nobody lost, nobody named twice. */
+  /** Random starts and finishes: never more readers than the limit, and each waiting one is started exactly once. */
   @Test
   void neverMoreThanToldAndEachGetsItsTurn() {
     Random random = new Random(2);
     Turns<Integer> turns = new Turns<>(3);
-    Set<Integer> inside = new HashSet<>();
+    Set<Integer> running = new HashSet<>();
     int next = 0;
-    int ended = 0;
+    int finished = 0;
     for (int step = 0; step < 50_000; step++) {
       if (random.nextInt(2) == 0 && step < 40_000) {
         if (turns.tryStart(next)) {
-          assertTrue(inside.add(next));
+          assertTrue(running.add(next));
         }
         next++;
-      } else if (!inside.isEmpty()) {
-        inside.remove(inside.iterator().next());
-        ended++;
-        Integer named = turns.finish();
-        assertTrue(named == null || inside.add(named));
+      } else if (!running.isEmpty()) {
+        running.remove(running.iterator().next());
+        finished++;
+        Integer started = turns.finish();
+        assertTrue(started == null || running.add(started));
       }
-      assertTrue(inside.size() <= 3);
-      assertTrue(inside.size() == 3 || turns.waiting() == 0);
+      assertTrue(running.size() <= 3);
+      assertTrue(running.size() == 3 || turns.waiting() == 0);
     }
-    while (!inside.isEmpty()) {
-      inside.remove(inside.iterator().next());
-      ended++;
-      Integer named = turns.finish();
-      assertTrue(named == null || inside.add(named));
+    while (!running.isEmpty()) {
+      running.remove(running.iterator().next());
+      finished++;
+      Integer started = turns.finish();
+      assertTrue(started == null || running.add(started));
     }
-    assertEquals(next, ended);
+    assertEquals(next, finished);
     turns.tryStart(-1);
     assertNull(turns.finish());
   }
