--- a/decisions/src/main/java/gorseladder/starts/ColdBudget.java
+++ b/decisions/src/main/java/gorseladder/starts/ColdBudget.java
@@ -3,84 +3,101 @@
 import gorseladder.RouterApi.Rules;
 
 /**
- * The calls that a worker which has just started may get of this dispatcher. They are saved up in parts of a call, and
- * first drawn by chance, so that many dispatchers together stay below what the rule lets a cold worker take.
+ * Token bucket for the calls that this dispatcher may send to a worker that started recently. The bucket is filled with
+ * fractions of a call and starts at a random fraction, so that many dispatchers together stay below the limit that the
+ * rule sets for a cold worker.
  *
- * <p>What a warm worker takes is learned from calls served, which overload does not inflate. It is at least one call at
- * a time for all dispatchers together, by the usual time of a call or by the worker's last answer where that took
- * longer; nothing is saved by this least while a call is out there.
+ * <p>The capacity of a warm worker is learned from calls served, which overload does not inflate. It is assumed to be
+ * at least one call at a time for all dispatchers together, by the typical latency or by the last answer of the worker
+ * if that took longer. While a call is in flight there, this minimum adds no tokens.
  *
- * <p>Guards against heavy calls after light ones, and a worker that is slower than the others: its budget went by calls
- * a tenth as long. It could harm where a cold worker's answers are long for another reason: it warms up by fewer calls.
+ * <p>The last answer is used because heavy calls after light ones, or a worker slower than the others, once got a
+ * budget based on calls a tenth as long. The drawback: a cold worker with long answers for another reason warms up with
+ * fewer calls.
  *
  * <p>Not thread safe. Times are microseconds.
  */
 public final class ColdBudget {
-  /** Part of what the rule lets a cold worker take that is used; the rest is for chance and hot homes. */
-  private static final double MARGIN = 0.4;
+  /** Part of the limit for a cold worker that is used; the rest allows for randomness and for busy home workers. */
+  private static final double USED_FRACTION = 0.4;
 
-  private static final double SECOND = 1e6;
+  private static final double MICROS_PER_SECOND = 1e6;
 
   private double tokens;
-  private long savedAt;
-  /** What its last answer without a load took since it started; 0 where there was none. */
+  private long refilledAt;
+  /** Latency of the last answer without a load since the start; 0 if there was none. */
   private double lastAnswer;
 
   /**
-   * What is known of calls.
+   * How fast the fleet serves calls.
    *
-   * @param servedPerWorker calls a second that this dispatcher has served by a worker of the fleet, on the mean
-   * @param typicalLatency the usual time of a call
-   * @param dispatchers how many of them share the workers
+   * @param servedPerWorker mean calls per second and worker served for this dispatcher
+   * @param typicalLatency usual time of a call
+   * @param dispatchers number of dispatchers that share the workers
    */
   public record ServiceRate(double servedPerWorker, double typicalLatency, int dispatchers) {}
 
-  /** The worker has started anew. */
-  public void restart(double chance, long now) {
-    tokens = chance;
-    savedAt = now;
+  /**
+   * Resets the budget after a start of the worker.
+   *
+   * @param initialTokens random fraction of a call, 0 to 1
+   */
+  public void restart(double initialTokens, long now) {
+    tokens = initialTokens;
+    refilledAt = now;
     lastAnswer = 0;
   }
 
-  /** The part of its capacity that a worker has at least, by its birth (0 for long ago) and the told ramp. */
+  /**
+   * The part of its capacity that a worker has at least; it rises linearly from the configured minimum to 1 over the
+   * configured time.
+   *
+   * @param born when the worker started; 0 for long ago
+   */
   public static double warmth(Rules rules, long born, long at) {
     double age = Math.max(0, at - born) / Math.max(1.0, rules.coldFor());
     return born == 0 || age >= 1 ? 1 : rules.coldFrom() + (1 - rules.coldFrom()) * age;
   }
 
   /**
-   * True where a call may go to the worker now.
+   * Returns whether a call may be sent to the worker now.
    *
-   * @param out calls of this dispatcher that are out there
+   * @param born when the worker started; 0 for long ago
+   * @param inFlight calls of this dispatcher that the worker has now
    */
-  public boolean hasRoom(Rules rules, long born, int out, ServiceRate serviceRate, long now) {
+  public boolean hasRoom(Rules rules, long born, int inFlight, ServiceRate serviceRate, long now) {
     double warmth = warmth(rules, born, now);
     if (warmth >= 1) {
       return true;
     }
-    double oneByOne =
-        SECOND / Math.max(serviceRate.typicalLatency(), lastAnswer) / serviceRate.dispatchers();
-    double rate = Math.max(serviceRate.servedPerWorker(), out > 0 ? 0 : oneByOne);
-    double used = rate * MARGIN * rules.overloadMultiple();
-    double most = Math.max(1, used * warmth * rules.overloadFor() / SECOND);
-    // Looked at seldom, so the warmth in between counts and not the one reached by now.
-    double meanWarmth = (warmth + warmth(rules, born, savedAt)) / 2;
-    tokens = Math.min(most, tokens + (now - savedAt) / SECOND * used * meanWarmth);
-    savedAt = now;
+    double oneAtATimeRate = MICROS_PER_SECOND
+        / Math.max(serviceRate.typicalLatency(), lastAnswer)
+        / serviceRate.dispatchers();
+    double rate = Math.max(serviceRate.servedPerWorker(), inFlight > 0 ? 0 : oneAtATimeRate);
+    double usedRate = rate * USED_FRACTION * rules.overloadMultiple();
+    double maxTokens = Math.max(1, usedRate * warmth * rules.overloadFor() / MICROS_PER_SECOND);
+    // Refilled rarely, so the mean warmth since the last refill counts and not the current one.
+    double meanWarmth = (warmth + warmth(rules, born, refilledAt)) / 2;
+    tokens = Math.min(
+        maxTokens, tokens + (now - refilledAt) / MICROS_PER_SECOND * usedRate * meanWarmth);
+    refilledAt = now;
     return tokens >= 1;
   }
 
-  /** A call goes to the worker while it is cold. */
+  /** Takes a token for a call that is sent to the cold worker. */
   public void spend() {
     tokens--;
   }
 
-  /** It has served a call without a load; to be told after a last {@link #hasRoom} for the time it was out. */
+  /**
+   * Records that the worker served a call without a load. Call {@link #hasRoom} first, to add the tokens for the time
+   * in which the call was in flight.
+   */
   public void answered(double latency) {
     lastAnswer = latency;
   }
 
-  /** Calls that are saved up. */
+  /** Number of calls that may be sent, with fractions. */
   public double tokens() {
     return tokens;
   }
--- a/decisions/src/test/java/gorseladder/starts/StartTimesTest.java
+++ b/decisions/src/test/java/gorseladder/starts/StartTimesTest.java
@@ -15,7 +15,7 @@
 
   private final StartTimes starts = new StartTimes();
 
-  /** The clocks after so many seconds, the wall clock stepped by so much. */
+  /** The clocks after a number of seconds, with the wall clock stepped by {@code step}. */
   private static ClockReading at(long seconds, long step) {
     return new ClockReading(HOUR + seconds * SECOND, EPOCH + seconds * SECOND + step);
   }
@@ -35,7 +35,7 @@
     assertEquals(0, new StartTimes().startedAt("o", -1, at(8, 0), StartTimes.ALWAYS_LISTED));
   }
 
-  /** Both clocks are stepped together, or only this process's one, before the worker starts or after it. */
+  /** A step of both wall clocks, or only of the one of this process, before or after the worker starts. */
   @ParameterizedTest
   @ValueSource(longs = {HOUR, -HOUR, 5 * SECOND, -5 * SECOND})
   void aStepMakesNoWorkerOlder(long step) {
@@ -45,7 +45,7 @@
   }
 
   /**
-   * The other machine's clock was stepped, this one's never: what was not there a moment ago has not run for an hour.
+   * With only the clock of the other machine stepped, a worker cannot be older than its absence from the list allows.
    */
   @ParameterizedTest
   @ValueSource(longs = {HOUR, -HOUR})
@@ -53,7 +53,7 @@
     assertEquals(0, age(stamp(9, step), at(10, 0), at(9, 0).monotonic()));
   }
 
-  /** After a time without news a worker may well be older than the last look. */
+  /** If the last list without the worker is old, the worker may be almost as old. */
   @Test
   void aWorkerToldLateKeepsItsAge() {
     assertEquals(25 * SECOND, age(stamp(5, 0), at(30, 0), at(4, 0).monotonic()));
@@ -67,7 +67,7 @@
                 StartTimes.ALWAYS_LISTED));
   }
 
-  /** One start a stamp, also over a step and a short absence; a new stamp is a new start. */
+  /** A stamp keeps its start over a clock step and a short absence; a new stamp is a new start. */
   @Test
   void aStartStaysAndANewStampIsANewOne() {
     long first = starts.startedAt("w", stamp(5, 0), at(6, 0), at(4, 0).monotonic());
