--- a/decisions/src/main/java/gorseladder/threads/ConnectionWait.java
+++ b/decisions/src/main/java/gorseladder/threads/ConnectionWait.java
@@ -1,31 +1,33 @@
 package gorseladder.threads;
 
 /**
- * Decides how long an attempt waits for what its connection needs of this machine and what the machine does not have at
- * present: a thread, a descriptor, an address.
+ * Decides how long an attempt waits for a resource that its connection needs and this machine lacks at present: a
+ * thread, a descriptor or an address.
  *
- * <p>Guards against calls that are refused unsent within milliseconds, attempt after attempt, while connections that
- * carry nothing hold what they need and give it up a moment later. It could harm a call that another worker, to which a
- * connection stands, would have served at once: so an attempt waits for a part of its time only and is then decided
- * anew.
+ * <p>Prevents calls from being refused unsent within milliseconds, attempt after attempt, while idle connections hold
+ * the resource and release it a moment later. Another worker with an open connection might serve the call at once, so
+ * an attempt waits only for a part of its time and is then given up, so that the call is routed again.
  *
  * <p>Pure functions; any thread. Times are microseconds.
  */
 public final class ConnectionWait {
-  /** Between two looks; about what it takes until the thread of a connection that was closed is free. */
-  private static final long LOOK = 10_000;
-  /** An attempt waits for at most this part of the time that it has left. */
-  private static final double PART = 1.0 / 3;
+  /** About the time until the thread of a closed connection is free. */
+  private static final long RETRY_INTERVAL_MICROS = 10_000;
+
+  /** Maximum wait as a part of the remaining time of the attempt. */
+  private static final double MAX_WAIT_FRACTION = 1.0 / 3;
 
   private ConnectionWait() {}
 
   /**
-   * After what time to look again; -1 where the attempt is to be given up, so that another worker may get its call.
+   * The time until the next try; -1 if the attempt is to be given up, so that another worker may get its call.
    *
-   * @param waited for how long it has waited
-   * @param left how much time it has left
+   * @param waited how long the attempt has waited
+   * @param remaining how much time the attempt has left
    */
-  public static long retryDelay(long waited, long left) {
-    return waited + LOOK <= left * PART ? LOOK : -1;
+  public static long retryDelay(long waited, long remaining) {
+    return waited + RETRY_INTERVAL_MICROS <= remaining * MAX_WAIT_FRACTION
+        ? RETRY_INTERVAL_MICROS
+        : -1;
   }
 }
--- a/decisions/src/test/java/gorseladder/threads/ConnectionWaitTest.java
+++ b/decisions/src/test/java/gorseladder/threads/ConnectionWaitTest.java
@@ -6,35 +6,35 @@
 import org.junit.jupiter.api.Test;
 
 class ConnectionWaitTest {
-  private static long waits(long time) {
+  private static long totalWait(long timeLeft) {
     long waited = 0;
-    for (long look = ConnectionWait.retryDelay(0, time);
-        look > 0;
-        look = ConnectionWait.retryDelay(waited, time - waited)) {
-      waited += look;
+    for (long delay = ConnectionWait.retryDelay(0, timeLeft);
+        delay > 0;
+        delay = ConnectionWait.retryDelay(waited, timeLeft - waited)) {
+      waited += delay;
     }
     return waited;
   }
 
   @Test
   void anAttemptWaitsForAPartOfItsTimeOnly() {
-    assertEquals(250_000, waits(1_000_000));
-    assertEquals(20_000, waits(100_000));
+    assertEquals(250_000, totalWait(1_000_000));
+    assertEquals(20_000, totalWait(100_000));
   }
 
   @Test
   void whatHasHardlyAnyTimeIsDecidedAnewAtOnce() {
-    assertEquals(0, waits(20_000));
-    assertEquals(0, waits(0));
-    assertEquals(0, waits(-1));
+    assertEquals(0, totalWait(20_000));
+    assertEquals(0, totalWait(0));
+    assertEquals(0, totalWait(-1));
   }
 
   @Test
   void fourAttemptsInARowLeaveTimeForTheLast() {
-    long left = 1_000_000;
+    long remaining = 1_000_000;
     for (int attempt = 0; attempt < 4; attempt++) {
-      left -= waits(left);
+      remaining -= totalWait(remaining);
     }
-    assertTrue(left > 250_000, "left " + left);
+    assertTrue(remaining > 250_000, "left " + remaining);
   }
 }
--- a/decisions/src/test/java/gorseladder/threads/ThreadSharingTest.java
+++ b/decisions/src/test/java/gorseladder/threads/ThreadSharingTest.java
@@ -12,19 +12,19 @@
 
   @Test
   void whatIsNotNeededGoesFirstThenWhatWasIdleLongest() {
-    Holder busyOfLate = new Holder(5_000, false);
+    Holder recentlyUsed = new Holder(5_000, false);
     Holder idle = new Holder(150_000, false);
-    Holder idlest = new Holder(900_000, false);
+    Holder longestIdle = new Holder(900_000, false);
     Holder spare = new Holder(1_000, true);
-    assertEquals(2, ThreadSharing.pick(List.of(busyOfLate, idle, idlest), SHORT_WAIT));
-    assertEquals(1, ThreadSharing.pick(List.of(idlest, spare), SHORT_WAIT));
+    assertEquals(2, ThreadSharing.pick(List.of(recentlyUsed, idle, longestIdle), SHORT_WAIT));
+    assertEquals(1, ThreadSharing.pick(List.of(longestIdle, spare), SHORT_WAIT));
   }
 
   @Test
   void whatWasUsedJustNowKeepsItsThreadUnlessSomebodyHasWaitedForLong() {
-    List<Holder> usedOfLate = List.of(new Holder(5_000, false), new Holder(40_000, false));
-    assertEquals(-1, ThreadSharing.pick(usedOfLate, SHORT_WAIT));
-    assertEquals(1, ThreadSharing.pick(usedOfLate, LONG_WAIT));
+    List<Holder> recentlyUsed = List.of(new Holder(5_000, false), new Holder(40_000, false));
+    assertEquals(-1, ThreadSharing.pick(recentlyUsed, SHORT_WAIT));
+    assertEquals(1, ThreadSharing.pick(recentlyUsed, LONG_WAIT));
     assertEquals(-1, ThreadSharing.pick(List.of(new Holder(5_000, false)), LONG_WAIT));
     assertEquals(-1, ThreadSharing.pick(List.of(), LONG_WAIT));
   }
--- a/soak/src/main/java/gorseladder/soak/PlantedFault.java
+++ b/soak/src/main/java/gorseladder/soak/PlantedFault.java
@@ -104,8 +104,8 @@
   THREADS_NOT_SHARED(
       SoakRule.FINAL_ANSWER,
       "decisions/src/main/java/gorseladder/threads/ThreadSharing.java",
-      "boolean may = holder.spare() || holder.idle() >= least;",
-      "boolean may = false;",
+      "boolean eligible = holder.spare() || holder.idle() >= minIdle;",
+      "boolean eligible = false;",
       Trouble.CROWD_WITHOUT_THREADS),
   SEEN_BY_ITSELF(
       SoakRule.LOG,
