--- a/decisions/src/main/java/gorseladder/answers/FinalReasons.java
+++ b/decisions/src/main/java/gorseladder/answers/FinalReasons.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * Names the reason of a final answer that the router gave, from the outcomes of the attempts made. The router alone
- * decides between refusing and failing; this only says why in the shared vocabulary. Pure functions; any thread.
+ * Derives the {@link Reason} of a final answer from the outcomes of the attempts made. The router alone decides whether
+ * a call is refused or fails. Pure functions; any thread.
  */
 public final class FinalReasons {
   private FinalReasons() {}
 
-  /** The reason of a refusal; the last attempt says most about what stood in the way. */
+  /** The reason of a refusal; it follows the last attempt, which says most about the obstacle. */
   public static Reason ofRefusal(List<Outcome> outcomes) {
     if (outcomes.isEmpty()) {
       return Reason.REFUSED_UNSENT;
@@ -26,7 +26,7 @@
     };
   }
 
-  /** The reason of a failure; an attempt still out (null) means that time ran out. */
+  /** The reason of a failure; an attempt still in flight (null) means that time ran out. */
   public static Reason ofFailure(List<Outcome> outcomes) {
     Outcome worst = null;
     for (Outcome o : outcomes) {
--- a/decisions/src/main/java/gorseladder/answers/Reason.java
+++ b/decisions/src/main/java/gorseladder/answers/Reason.java
@@ -1,8 +1,8 @@
 package gorseladder.answers;
 
 /**
- * Why a call ended: the one vocabulary that logs, metrics and answers share. The status is the HTTP status of the
- * answer (RFC 9110 section 15, RFC 6585 for 429 and 431).
+ * Why a call ended, as named in logs, metrics and answers. The status is the HTTP status of the answer (RFC 9110
+ * section 15, RFC 6585 for 429 and 431).
  */
 public enum Reason {
   SERVED(Kind.SERVED, 200, "served by a runner"),
@@ -43,7 +43,7 @@
   LEDGER_UNAVAILABLE(Kind.REJECTED, 503, "the message ledger cannot be written"),
   WRONG_VERSION(Kind.REJECTED, 505, "an HTTP version other than 1.0 and 1.1");
 
-  /** The sort of an end. Only SERVED, REFUSED and FAILED are final answers of calls taken. */
+  /** Category of a reason. Only SERVED, REFUSED and FAILED are final answers to accepted calls. */
   public enum Kind {
     SERVED,
     REFUSED,
@@ -62,12 +62,12 @@
     this.text = text;
   }
 
-  /** The word in logs, metrics and problem details. */
+  /** The name of the reason in logs, metrics and problem details. */
   public String word() {
     return name().toLowerCase(java.util.Locale.ROOT);
   }
 
-  /** True where the answer invites the client to come back: only where a new try is surely harmless. */
+  /** Whether the answer invites the client to retry; only if a retry is certainly harmless. */
   public boolean invitesRetry() {
     return kind == Kind.REFUSED
         || this == BUSY
--- a/decisions/src/main/java/gorseladder/answers/RetryAdvice.java
+++ b/decisions/src/main/java/gorseladder/answers/RetryAdvice.java
@@ -3,35 +3,40 @@
 import java.util.Random;
 
 /**
- * Decides the {@code Retry-After} of a refusal. The more of the calls are being refused, the longer the wait, and
- * chance spreads the returns, so that clients turned away together do not come back together. It could harm where a
- * long refusal streak ended just now: the advice stays long for about {@link #MEMORY} answers.
+ * Decides the {@code Retry-After} of a refusal. The time grows with the share of refusals and is random, so that
+ * clients refused together do not return together. It stays long for about {@link #AVERAGED_ANSWERS} answers after a
+ * long series of refusals.
  *
- * <p>Not thread safe. Times are microseconds; the header has whole seconds (RFC 9110 section 10.2.3), so the least is
- * 1.
+ * <p>Not thread safe. Times are microseconds; the header is in whole seconds (RFC 9110 section 10.2.3), so the minimum
+ * is 1.
  */
 public final class RetryAdvice {
-  /** Answers over which the refused share is felt. */
-  private static final double MEMORY = 50;
+  /** Number of answers over which the share of refusals is averaged. */
+  private static final double AVERAGED_ANSWERS = 50;
 
-  private final long most;
+  private final long maxRetryAfter;
   private final Random random;
   private double refusedShare;
 
-  /** Advice of at most the told time; below a second the header can only say 1. */
-  public RetryAdvice(long most, long seed) {
-    this.most = most;
+  /**
+   * Creates advice that has seen no refusals.
+   *
+   * @param maxRetryAfter longest time to advise; below a second the header can only say 1
+   * @param seed seed for spreading the times
+   */
+  public RetryAdvice(long maxRetryAfter, long seed) {
+    this.maxRetryAfter = maxRetryAfter;
     this.random = new Random(seed);
   }
 
-  /** A call ended with a final answer. */
+  /** Records the final answer to a call. */
   public void record(boolean refused) {
-    refusedShare += ((refused ? 1 : 0) - refusedShare) / MEMORY;
+    refusedShare += ((refused ? 1 : 0) - refusedShare) / AVERAGED_ANSWERS;
   }
 
-  /** Whole seconds, 1 or more. */
+  /** The value of the header in seconds, 1 or more. */
   public int seconds() {
-    double wait = most / 1e6 * refusedShare * (0.5 + random.nextDouble());
-    return (int) Math.max(1, Math.min(Math.ceil(most / 1e6), Math.round(wait)));
+    double wait = maxRetryAfter / 1e6 * refusedShare * (0.5 + random.nextDouble());
+    return (int) Math.max(1, Math.min(Math.ceil(maxRetryAfter / 1e6), Math.round(wait)));
   }
 }
