--- a/decisions/src/main/java/gorseladder/follow/FeedAttempts.java
+++ b/decisions/src/main/java/gorseladder/follow/FeedAttempts.java
@@ -4,113 +4,116 @@
 import java.util.List;
 
 /**
- * Decides when a follower of a feed of changes asks for it anew, beside the connections it has, and which of these it
- * lets go.
+ * Decides when a follower of a feed of changes opens another connection to it, and which of its connections it closes.
  *
- * <p>A connection that says nothing may be dead, or slow. Guards against both at once: a feed that is silent for
- * {@link FollowPace#SILENCE_MICROS} is asked again on another connection while the old one may still answer, so that silence
- * is noticed in time and slowness only costs time; the first connection that tells something ends the others. After a
- * move a connection to the old address stays until the new address tells something, or until room is needed. The
- * patience with one connection is what {@link #MAX_CONNECTIONS} of them in turn allow, and doubles after {@link #DOUBLE_TIMEOUT_AFTER}
- * vain ones. It could harm a feed that is slow because it is crowded: it is asked up to {@link #MAX_CONNECTIONS} times at once.
+ * <p>A connection without input may be dead or slow. A feed that is silent for {@link FollowPace#SILENCE_MICROS} is
+ * therefore asked on another connection while the old one may still answer: a dead one is noticed in time, and a slow
+ * one only costs time. The first connection that receives a line closes the others. After a change of the address, a
+ * connection to the old address stays until the new address sends a line or until its place is needed. So each
+ * connection has {@link #MAX_CONNECTIONS} times the silence to send a line, and twice as long after {@link
+ * #DOUBLE_TIMEOUT_AFTER} connections without success. The drawback: a feed that is slow because of too many followers
+ * gets up to {@link #MAX_CONNECTIONS} connections from each.
  *
- * <p>Not thread safe. Times are microseconds on one clock that only goes forward.
+ * <p>Not thread safe. Times are microseconds on a monotonic clock.
  */
 public final class FeedAttempts {
-  /** Connections at a time. */
+  /** Maximum number of concurrent connections. */
   public static final int MAX_CONNECTIONS = 3;
-  /** Vain connections in a row after which each gets twice the time. */
+  /** Number of consecutive connections without success after which each next one gets twice the time. */
   static final int DOUBLE_TIMEOUT_AFTER = 6;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
 
   private static final class Attempt {
     private final long number;
-    private final int move;
-    private final long begunAt;
-    private long toldAt = NEVER;
+    private final int addressVersion;
+    private final long startedAt;
+    private long heardAt = NEVER;
 
-    private Attempt(long number, int move, long begunAt) {
+    private Attempt(long number, int addressVersion, long startedAt) {
       this.number = number;
-      this.move = move;
-      this.begunAt = begunAt;
+      this.addressVersion = addressVersion;
+      this.startedAt = startedAt;
     }
 
-    private boolean tells(long now) {
-      return toldAt + FollowPace.SILENCE_MICROS > now;
+    private boolean isAlive(long now) {
+      return heardAt + FollowPace.SILENCE_MICROS > now;
     }
   }
 
-  /** A connection that begins, and the one that makes room for it, 0 for none. */
+  /** The numbers of a new connection and of the one closed to make room for it, 0 for none. */
   public record Started(long number, long evicted) {}
 
-  private final FollowPace pace;
+  private final FollowPace backoff;
   private final List<Attempt> attempts = new ArrayList<>();
   private long lastNumber;
-  private int move;
+  private int addressVersion;
   private long pausedUntil;
-  private int vain;
+  private int unsuccessful;
 
-  /** No connection yet; chance follows the seed. */
+  /**
+   * Creates a follower without connections.
+   *
+   * @param seed seed of the random pauses
+   */
   public FeedAttempts(long seed) {
-    pace = new FollowPace(seed);
+    backoff = new FollowPace(seed);
   }
 
-  /**
-   * When the next connection is to begin, which may be in the past; to be asked again after each of the other calls.
-   */
+  /** When to open the next connection, which may be in the past. Every call of another method may change it. */
   public long nextAt(long now) {
     long newest = NEVER;
-    long toldAt = NEVER;
+    long heardAt = NEVER;
     for (Attempt attempt : attempts) {
-      if (attempt.move == move) {
-        newest = Math.max(newest, attempt.begunAt);
-        toldAt = Math.max(toldAt, attempt.toldAt);
+      if (attempt.addressVersion == addressVersion) {
+        newest = Math.max(newest, attempt.startedAt);
+        heardAt = Math.max(heardAt, attempt.heardAt);
       }
     }
     if (newest == NEVER) {
       return pausedUntil;
     }
-    long patience =
-        vain > DOUBLE_TIMEOUT_AFTER ? 2 * FollowPace.SILENCE_MICROS : FollowPace.SILENCE_MICROS;
-    return Math.max(newest + patience, toldAt + FollowPace.SILENCE_MICROS);
+    long patience = unsuccessful > DOUBLE_TIMEOUT_AFTER
+        ? 2 * FollowPace.SILENCE_MICROS
+        : FollowPace.SILENCE_MICROS;
+    return Math.max(newest + patience, heardAt + FollowPace.SILENCE_MICROS);
   }
 
-  /** A connection begins now. */
+  /** Records that a connection is opened now. */
   public Started begin(long now) {
     Attempt evicted = null;
     if (attempts.size() >= MAX_CONNECTIONS) {
       evicted = attempts.stream()
-          .min((a, b) -> a.tells(now) == b.tells(now)
-              ? Long.compare(a.begunAt, b.begunAt)
-              : Boolean.compare(a.tells(now), b.tells(now)))
+          .min((a, b) -> a.isAlive(now) == b.isAlive(now)
+              ? Long.compare(a.startedAt, b.startedAt)
+              : Boolean.compare(a.isAlive(now), b.isAlive(now)))
           .orElseThrow();
       attempts.remove(evicted);
     }
-    attempts.add(new Attempt(++lastNumber, move, now));
-    vain++;
+    attempts.add(new Attempt(++lastNumber, addressVersion, now));
+    unsuccessful++;
     return new Started(lastNumber, evicted == null ? 0 : evicted.number);
   }
 
-  /** True for a connection that has neither ended nor been let go. */
+  /** Returns whether a connection has neither ended nor been closed in favor of another one. */
   public boolean isOpen(long number) {
     return attempts.stream().anyMatch(a -> a.number == number);
   }
 
   /**
-   * A whole line came on a connection.
+   * Records that a complete line arrived on a connection.
    *
-   * @param seq the number it tells
-   * @param last the last number known before; a line that tells less is no sign of life
-   * @return connections to be let go now
+   * @param seq sequence number of the line
+   * @param last last sequence number known before; a line with a lower one is no sign of life
+   * @return connections to close now
    */
   public List<Long> lineReceived(long number, long seq, long last, long now) {
     List<Long> others = new ArrayList<>();
     for (Attempt attempt : List.copyOf(attempts)) {
       if (attempt.number == number && seq >= last) {
-        attempt.toldAt = now;
-        if (attempt.move == move) {
-          vain = 0;
+        attempt.heardAt = now;
+        if (attempt.addressVersion == addressVersion) {
+          unsuccessful = 0;
           attempts.removeIf(other -> other != attempt && others.add(other.number));
         }
       }
@@ -118,17 +121,21 @@
     return others;
   }
 
-  /** A connection has ended by itself, or it is of no further use; {@code news} where it told something new. */
-  public void ended(long number, boolean news, long now) {
+  /**
+   * Records that a connection ended by itself or is of no further use.
+   *
+   * @param receivedNew whether it received a new change
+   */
+  public void ended(long number, boolean receivedNew, long now) {
     if (attempts.removeIf(a -> a.number == number)) {
-      pausedUntil = now + pace.pause(news);
+      pausedUntil = now + backoff.pause(receivedNew);
     }
   }
 
-  /** The feed is at another address now, and is asked there at once. */
+  /** Records that the feed has a new address, which is asked at once. */
   public void addressChanged() {
-    move++;
-    vain = 0;
+    addressVersion++;
+    unsuccessful = 0;
     pausedUntil = 0;
   }
 }
--- a/decisions/src/test/java/gorseladder/follow/FeedAttemptsTest.java
+++ b/decisions/src/test/java/gorseladder/follow/FeedAttemptsTest.java
@@ -12,7 +12,7 @@
 
   private final FeedAttempts attempts = new FeedAttempts(1);
 
-  /** A whole line that tells what is known, or more, is a sign of life; one that tells less is none. */
+  /** A line with the last known sequence number or a higher one is a sign of life; one with a lower number is not. */
   @Test
   void aFeedIsSilentWhenNoLineTellsAnythingNew() {
     long first = attempts.begin(1_000).number();
@@ -25,7 +25,7 @@
     assertEquals(1_600_000 + SILENCE, attempts.nextAt(1_600_000));
   }
 
-  /** Known from outside: an answer that comes after 2.6 s was never waited for. */
+  /** An answer after 2.6 s must still be accepted, although another connection was opened in the meantime. */
   @Test
   void aSlowFeedIsAskedBesideAndNotInsteadUntilOneTells() {
     long first = attempts.begin(0).number();
@@ -37,25 +37,25 @@
 
   @Test
   void roomIsMadeByTheOldestThatTellsNothing() {
-    long telling = attempts.begin(0).number();
+    long alive = attempts.begin(0).number();
     long second = attempts.begin(SILENCE).number();
     attempts.begin(2 * SILENCE);
     attempts.addressChanged();
-    attempts.lineReceived(telling, 7, 7, 3 * SILENCE - 1);
+    attempts.lineReceived(alive, 7, 7, 3 * SILENCE - 1);
     assertEquals(second, attempts.begin(3 * SILENCE).evicted());
-    assertTrue(attempts.isOpen(telling));
+    assertTrue(attempts.isOpen(alive));
   }
 
   @Test
   void aMoveAsksAtOnceAndKeepsTheOldFeedUntilTheNewOneTells() {
-    long old = attempts.begin(0).number();
-    attempts.lineReceived(old, 7, 7, 100);
+    long oldAddress = attempts.begin(0).number();
+    attempts.lineReceived(oldAddress, 7, 7, 100);
     attempts.addressChanged();
     assertTrue(attempts.nextAt(200) <= 200);
-    long next = attempts.begin(200).number();
-    attempts.lineReceived(old, 8, 7, 300);
-    assertTrue(attempts.isOpen(next));
-    assertEquals(List.of(old), attempts.lineReceived(next, 8, 8, 400));
+    long newAddress = attempts.begin(200).number();
+    attempts.lineReceived(oldAddress, 8, 7, 300);
+    assertTrue(attempts.isOpen(newAddress));
+    assertEquals(List.of(oldAddress), attempts.lineReceived(newAddress, 8, 8, 400));
   }
 
   @Test
