--- a/decisions/src/main/java/gorseladder/starts/ColdBudget.java
+++ b/decisions/src/main/java/gorseladder/starts/ColdBudget.java
@@ -55,8 +55,10 @@
    * @param born when the worker started; 0 for long ago
    */
   public static double warmth(Rules rules, long born, long at) {
-    double age = Math.max(0, at - born) / Math.max(1.0, rules.coldFor());
-    return born == 0 || age >= 1 ? 1 : rules.coldFrom() + (1 - rules.coldFrom()) * age;
+    double age = Math.max(0, at - born) / Math.max(1.0, rules.rampDuration());
+    return born == 0 || age >= 1
+        ? 1
+        : rules.initialCapacity() + (1 - rules.initialCapacity()) * age;
   }
 
   /**
@@ -75,7 +77,7 @@
         / serviceRate.dispatchers();
     double rate = Math.max(serviceRate.servedPerWorker(), inFlight > 0 ? 0 : oneAtATimeRate);
     double usedRate = rate * USED_FRACTION * rules.overloadMultiple();
-    double maxTokens = Math.max(1, usedRate * warmth * rules.overloadFor() / MICROS_PER_SECOND);
+    double maxTokens = Math.max(1, usedRate * warmth * rules.overloadWindow() / MICROS_PER_SECOND);
     // Refilled rarely, so the mean warmth since the last refill counts and not the current one.
     double meanWarmth = (warmth + warmth(rules, born, refilledAt)) / 2;
     tokens = Math.min(
--- a/decisions/src/test/java/gorseladder/RulesTest.java
+++ b/decisions/src/test/java/gorseladder/RulesTest.java
@@ -60,9 +60,13 @@
     for (String name : names) {
       list.add(TestSites.entry(name, Phase.RUNNING, name.equals("cold") ? 1 : 0));
     }
-    later(1, new Workers(ListKind.SAVED, list));
-    later(6000 * MS, new Workers(ListKind.DELTA, List.of(TestSites.entry("a", Phase.DRAINING, 0))));
-    later(9000 * MS, new Workers(ListKind.DELTA, List.of(TestSites.entry("b", Phase.GONE, 0))));
+    later(1, new WorkerListUpdate(ListKind.SAVED, list));
+    later(
+        6000 * MS,
+        new WorkerListUpdate(ListKind.DELTA, List.of(TestSites.entry("a", Phase.DRAINING, 0))));
+    later(
+        9000 * MS,
+        new WorkerListUpdate(ListKind.DELTA, List.of(TestSites.entry("b", Phase.GONE, 0))));
     for (long id = 1; id <= 1500; id++) {
       String kind = settings.classes().get(random.nextInt(3)).name();
       later(
@@ -105,7 +109,7 @@
       call.deadline = now + r.timeLeft();
       calls.put(r.id(), call);
       taken.addLast(now);
-    } else if (event instanceof Workers w) {
+    } else if (event instanceof WorkerListUpdate w) {
       w.entries().stream()
           .filter(e -> e.phase() != Phase.RUNNING)
           .forEach(e -> stopped.add(e.worker()));
@@ -125,8 +129,8 @@
           a.outcome(),
           call.over,
           a.latency(),
-          a.note(),
-          a.crowd(),
+          a.copyStatus(),
+          a.concurrency(),
           a.report());
     }
     return event;
@@ -145,7 +149,7 @@
       assertTrue(call.request.requestClass().equals("safe") || !ran, "refused what may have run");
       end(call);
     } else if (action instanceof SetTimer t) {
-      later(Math.max(1, t.in()), new TimerDue(t.token()));
+      later(Math.max(1, t.delay()), new TimerDue(t.token()));
     }
   }
 
@@ -186,7 +190,7 @@
       in = call.deadline - now + 2 * MS;
       outcome = Outcome.TIMEOUT;
     }
-    Note note = Note.values()[random.nextInt(Note.values().length)];
+    CopyStatus note = CopyStatus.values()[random.nextInt(CopyStatus.values().length)];
     later(
         in,
         new Answer(
@@ -195,10 +199,10 @@
 
   private void checkCold() {
     coldSends.addLast(now);
-    coldSends.removeIf(t -> t <= now - settings.rules().overloadFor());
-    double ramp = settings.rules().coldFrom()
-        + (1 - settings.rules().coldFrom()) * now / settings.rules().coldFor();
-    double fair = 1500 / 15.0 / 5 * settings.rules().overloadFor() / 1e6;
+    coldSends.removeIf(t -> t <= now - settings.rules().overloadWindow());
+    double ramp = settings.rules().initialCapacity()
+        + (1 - settings.rules().initialCapacity()) * now / settings.rules().rampDuration();
+    double fair = 1500 / 15.0 / 5 * settings.rules().overloadWindow() / 1e6;
     double budget = Math.min(1, ramp) * settings.rules().overloadMultiple() * fair;
     assertTrue(coldSends.size() <= Math.max(1, budget), "cold worker pushed: " + coldSends.size());
   }
@@ -219,7 +223,7 @@
     loads.addLast(now);
     loads.removeIf(t -> t <= now - settings.rules().loadWindow());
     taken.removeIf(t -> t <= now - settings.rules().loadWindow());
-    double most = settings.rules().loadsFree() + settings.rules().loadShare() * taken.size();
+    double most = settings.rules().freeLoads() + settings.rules().loadsPerCall() * taken.size();
     assertTrue(loads.size() <= most, "load ration passed");
   }
 }
--- a/edge/src/main/java/gorseladder/edge/core/Intake.java
+++ b/edge/src/main/java/gorseladder/edge/core/Intake.java
@@ -133,7 +133,7 @@
    * disk.
    */
   public boolean remembers(String message) {
-    return live.containsKey(message) || ledger.knows(message);
+    return live.containsKey(message) || ledger.isMessageIndexed(message);
   }
 
   /** Judges a delivery whose signature holds. */
@@ -269,7 +269,7 @@
         out,
         entry.mayHaveRun(),
         entry.leftAt(),
-        Arrays.equals(entry.content(), content));
+        Arrays.equals(entry.contentDigest(), content));
   }
 
   /** A joined or repeated delivery's own signature is remembered too; whoever replays it later gets 409. */
@@ -277,7 +277,7 @@
       throws LedgerException {
     if (decision.action() != Repeats.Action.REPLAYED) {
       ledger.putRequest(d.request(), d.requestKeepUntil());
-      ledger.soon();
+      ledger.flushSoon();
     }
     if (decision.action() == Repeats.Action.JOIN) {
       out.join();
@@ -307,7 +307,7 @@
    */
   public void awaitRecord(TakenCall call, long until) {
     if (!Repeats.recordBeforeAnswer(call.facts().requestClass().effect())) {
-      ledger.soon();
+      ledger.flushSoon();
       return;
     }
     try {
--- a/edge/src/main/java/gorseladder/edge/runners/Runners.java
+++ b/edge/src/main/java/gorseladder/edge/runners/Runners.java
@@ -1,8 +1,8 @@
 package gorseladder.edge.runners;
 
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Effect;
 import gorseladder.RouterApi.Loaded;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.Phase;
 import gorseladder.attempts.AttemptOutcomes;
@@ -21,7 +21,7 @@
 import gorseladder.runtime.Clock;
 import gorseladder.runtime.HttpConnection;
 import gorseladder.runtime.LocalShortage;
-import gorseladder.runtime.MessageBytes;
+import gorseladder.runtime.MessageMemory;
 import gorseladder.runtime.NoRoomException;
 import gorseladder.runtime.ThreadCache;
 import gorseladder.runtime.Watchdog;
@@ -179,7 +179,7 @@
     private final String worker;
     private final long began = Clock.micros();
     private final long until;
-    private final MessageBytes memory = unfinished.memory();
+    private final MessageMemory memory = unfinished.memory();
     private Progress progress = Progress.WAITING;
     private HttpConnection connection;
     private boolean cancelled;
@@ -274,24 +274,25 @@
       progress = Progress.RESPONDING;
       byte[] body = connection.readBody(BodyParser.forResponse(head, limits), until);
       if (!unfinished.finish(memory)) {
-        memory.requireOpen();
+        memory.requireNotEnded();
       }
       answered(head, body);
     }
 
     /** Writes the request where the last look allows it; false where it does not. */
     private boolean writeRequest() throws IOException {
-      memory.take(HttpConnection.BUFFER + (long) REQUEST_COST * call.facts().body().length);
+      memory.take(
+          HttpConnection.BUFFER_BYTES + (long) REQUEST_COST * call.facts().body().length);
       byte[] message = message();
-      memory.keepOnly(message.length);
+      memory.shrinkTo(message.length);
       boolean left = write(message);
-      memory.keepOnly(0);
+      memory.shrinkTo(0);
       return left;
     }
 
     private boolean write(byte[] message) throws IOException {
       try {
-        if (!call.departs(() -> leave(message))) {
+        if (!call.sendAtomically(() -> leave(message))) {
           // Without the call's lock: who hears of it has locks of its own.
           end(AttemptOutcomes.endingOfDenied(lastLook));
           return false;
@@ -322,13 +323,13 @@
       Verdict verdict;
       synchronized (gate) {
         long now = Clock.micros();
-        Call.LastLook look = new Call.LastLook(
+        Call.SendConditions look = new Call.SendConditions(
             isCancelled() ? now : until,
             !gate.callMayLeave(worker),
-            gate.restartedSince(worker, call.attempt(number).decidedWith()),
+            gate.restartedSince(worker, call.attempt(number).listUpdatesAtDecision()),
             0,
             settings.mayDuplicate());
-        verdict = call.leave(number, look, now);
+        verdict = call.trySend(number, look, now);
         leftAt = now;
       }
       if (!verdict.allowed()) {
@@ -360,7 +361,7 @@
           facts.requestClass().effect(),
           facts.requestClass().repeatWindow(),
           settings.mayDuplicate(),
-          call.others(number));
+          call.otherSentAttempts(number));
       rules.written(facts.message(), written);
     }
 
@@ -450,7 +451,7 @@
         all.remove(number);
         return all.isEmpty() ? null : all;
       });
-      Note note = head == null ? Note.NONE : note(head.get(Oip.COPY));
+      CopyStatus note = head == null ? CopyStatus.NONE : note(head.get(Oip.COPY));
       Map<String, Double> load =
           head == null ? Map.of() : LoadReport.parse(head.get(LoadReport.HEADER));
       hearer.attemptEnded(new AttemptEnd<>(
@@ -458,15 +459,15 @@
     }
   }
 
-  private static Note note(String copy) {
+  private static CopyStatus note(String copy) {
     return copy == null
-        ? Note.NONE
+        ? CopyStatus.NONE
         : switch (copy) {
-          case "found" -> Note.WARM;
-          case "began" -> Note.BEGAN;
-          case "awaited" -> Note.WAITED;
-          case "load-failed" -> Note.LOAD_FAILED;
-          default -> Note.NONE;
+          case "found" -> CopyStatus.WARM;
+          case "began" -> CopyStatus.BEGAN;
+          case "awaited" -> CopyStatus.WAITED;
+          case "load-failed" -> CopyStatus.LOAD_FAILED;
+          default -> CopyStatus.NONE;
         };
   }
 
@@ -479,7 +480,7 @@
     Progress progress = Progress.CONNECTING;
     long until = began + settings.order();
     InetSocketAddress address = addresses.apply(worker);
-    MessageBytes memory = unfinished.memory();
+    MessageMemory memory = unfinished.memory();
     try (HttpConnection connection =
         address == null ? null : HttpConnection.open(address, settings.connect() / 1000, limits)) {
       boolean open;
@@ -540,7 +541,7 @@
       if (ConnectionChoice.mayReuse(
               effect, age, settings.connectionIdle(), settings.unsafeConnectionIdle())
           && !newest.connection().peerGone()
-          && !newest.connection().hasUnreadBytes()) {
+          && !newest.connection().hasBufferedBytes()) {
         return newest.connection();
       }
       boolean onlyTooOldForThis = effect == Effect.UNSAFE
@@ -564,7 +565,7 @@
     ArrayDeque<Kept> kept = idle.computeIfAbsent(worker, w -> new ArrayDeque<>());
     synchronized (kept) {
       if (head.keepsConnection()
-          && !connection.hasUnreadBytes()
+          && !connection.hasBufferedBytes()
           && ConnectionChoice.mayKeep(effect, kept.size())) {
         keep(kept, new Kept(connection, Clock.micros()));
         return;
--- a/node/src/main/java/gorseladder/node/RouterWarmUp.java
+++ b/node/src/main/java/gorseladder/node/RouterWarmUp.java
@@ -3,21 +3,21 @@
 import gorseladder.Router;
 import gorseladder.RouterApi.Action;
 import gorseladder.RouterApi.Answer;
+import gorseladder.RouterApi.AnswerDue;
 import gorseladder.RouterApi.ClientGone;
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.ListKind;
 import gorseladder.RouterApi.Load;
 import gorseladder.RouterApi.Loaded;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.Request;
 import gorseladder.RouterApi.RequestClass;
 import gorseladder.RouterApi.Send;
 import gorseladder.RouterApi.SetTimer;
 import gorseladder.RouterApi.Settings;
-import gorseladder.RouterApi.TimeUp;
 import gorseladder.RouterApi.TimerDue;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import java.util.ArrayDeque;
 import java.util.List;
 import java.util.Map;
@@ -34,7 +34,7 @@
 
   private static final long LATENCY = 20_000;
   private static final Outcome[] OUTCOMES = Outcome.values();
-  private static final Note[] NOTES = Note.values();
+  private static final CopyStatus[] NOTES = CopyStatus.values();
 
   private final Router router;
   private final Settings settings;
@@ -46,7 +46,7 @@
   RouterWarmUp(Settings settings, List<WorkerEntry> workers) {
     this.settings = settings;
     router = new Router(settings, 1);
-    router.on(now, new Workers(ListKind.SAVED, workers), this::note);
+    router.on(now, new WorkerListUpdate(ListKind.SAVED, workers), this::note);
   }
 
   private void note(Action action) {
@@ -82,7 +82,7 @@
     runTimers();
     endLoads();
     answerAll(number);
-    router.on(now, number % 2 == 0 ? new ClientGone(number) : new TimeUp(number), this::note);
+    router.on(now, number % 2 == 0 ? new ClientGone(number) : new AnswerDue(number), this::note);
     sent.clear();
   }
 
--- a/node/src/main/java/gorseladder/node/WarmUp.java
+++ b/node/src/main/java/gorseladder/node/WarmUp.java
@@ -3,9 +3,9 @@
 import gorseladder.RouterApi.ListKind;
 import gorseladder.RouterApi.Phase;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
-import gorseladder.core.PauseClock;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.core.RuleLog;
+import gorseladder.core.StallDetector;
 import gorseladder.runtime.Clock;
 import gorseladder.runtime.InMemoryChannel;
 import gorseladder.runtime.ThreadCache;
@@ -56,7 +56,7 @@
   private int answered;
 
   private WarmUp(
-      NodeConfig config, Watchdog watchdog, PauseClock pauses, ThreadCache threads, long most) {
+      NodeConfig config, Watchdog watchdog, StallDetector pauses, ThreadCache threads, long most) {
     until = Clock.micros() + most;
     this.config = config;
     this.threads = threads;
@@ -75,9 +75,9 @@
    */
   static int run(
       NodeConfig config,
-      Workers list,
+      WorkerListUpdate list,
       Watchdog watchdog,
-      PauseClock pauses,
+      StallDetector pauses,
       ThreadCache threads,
       long most) {
     SET_UP.forEach(WarmUp::setUp);
@@ -98,7 +98,7 @@
   }
 
   /** Calls that are decided among all workers. */
-  private void decide(Workers list) {
+  private void decide(WorkerListUpdate list) {
     RouterWarmUp router = new RouterWarmUp(config.router(), list.entries());
     for (int number = 1; number <= CALLS && Clock.micros() < until; number++) {
       router.play(number);
@@ -113,7 +113,7 @@
     }
   }
 
-  private void play(Workers list) {
+  private void play(WorkerListUpdate list) {
     if (!threads.execute(this::serve)) {
       return;
     }
@@ -148,7 +148,7 @@
       WorkerEntry worker = workers.get(turn / phases.length % workers.size());
       tell(
           ListKind.DELTA,
-          List.of(entry(worker, phases[(turn + 1) % phases.length], worker.born())));
+          List.of(entry(worker, phases[(turn + 1) % phases.length], worker.startedAt())));
       path.core().peerMessage(0, "sick " + worker.worker());
     }
   }
@@ -162,7 +162,7 @@
     for (WorkerEntry entry : entries) {
       path.links().told(entry, nowhere, 1, Clock.micros());
     }
-    path.core().listNews(new Workers(kind, entries));
+    path.core().workerListChanged(new WorkerListUpdate(kind, entries));
   }
 
   /** The steps of an orderly stop, as far as they need no listener. */
@@ -170,7 +170,7 @@
     path.links().check();
     path.front().check();
     path.front().owes();
-    path.core().giveUpAll();
+    path.core().refuseAll();
     path.front().drain();
   }
 
--- a/node/src/main/java/gorseladder/node/runners/AttemptRequest.java
+++ b/node/src/main/java/gorseladder/node/runners/AttemptRequest.java
@@ -1,7 +1,7 @@
 package gorseladder.node.runners;
 
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Effect;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.core.Call;
 import gorseladder.core.Core.AttemptEnd;
@@ -55,13 +55,13 @@
   @Override
   Verdict mayLeave(long now) {
     SendGate gate = links.gate();
-    Call.LastLook look = new Call.LastLook(
+    Call.SendConditions look = new Call.SendConditions(
         until,
         !gate.callMayLeave(worker()),
-        gate.restartedSince(worker(), call.attempt(number).decidedWith()),
+        gate.restartedSince(worker(), call.attempt(number).listUpdatesAtDecision()),
         Math.max(call.seenFrom(), links.clientsSeenFrom(now)),
         links.mayDuplicate());
-    return call.leave(number, look, now);
+    return call.trySend(number, look, now);
   }
 
   @Override
@@ -104,7 +104,7 @@
                 effect(),
                 call.facts().requestClass().repeatWindow(),
                 links.mayDuplicate(),
-                call.others(number)));
+                call.otherSentAttempts(number)));
   }
 
   @Override
@@ -120,9 +120,9 @@
   @Override
   void report(Outcome outcome, Answer answer) {
     boolean heard = answer != null;
-    Note note = heard && links.tellsNote()
+    CopyStatus note = heard && links.tellsNote()
         ? PlatformAnswers.note(answer.fields().get("remark"))
-        : Note.NONE;
+        : CopyStatus.NONE;
     int crowd = heard
         ? PlatformAnswers.crowd(outcome, links.tellsCrowd() ? answer.fields().get("depth") : null)
         : -1;
--- a/scale/src/main/java/gorseladder/scale/HollowDispatcher.java
+++ b/scale/src/main/java/gorseladder/scale/HollowDispatcher.java
@@ -3,8 +3,8 @@
 import gorseladder.Router;
 import gorseladder.RouterApi.Action;
 import gorseladder.RouterApi.Answer;
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.ListKind;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.Request;
 import gorseladder.RouterApi.Send;
@@ -13,7 +13,7 @@
 import gorseladder.RouterApi.TellPeers;
 import gorseladder.RouterApi.TimerDue;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.platform.PlatformList;
 import gorseladder.runtime.Clock;
 import gorseladder.starts.StartTimes;
@@ -65,7 +65,9 @@
             target, (uid, stamp) -> starts.startedAt(uid, stamp, clocks, StartTimes.ALWAYS_LISTED)))
         .toList();
     router.on(
-        now, new Workers(change.all() ? ListKind.FULL : ListKind.DELTA, entries), this::carryOut);
+        now,
+        new WorkerListUpdate(change.all() ? ListKind.FULL : ListKind.DELTA, entries),
+        this::carryOut);
   }
 
   /** Takes a call; returns the worker it went to first, null where it waits. */
@@ -109,7 +111,7 @@
             Outcome.OK,
             true,
             now - attempt.sentAt(),
-            Note.WARM,
+            CopyStatus.WARM,
             0,
             Map.of()),
         this::carryOut);
@@ -122,7 +124,7 @@
       contacted.add(send.worker());
       firstWorker = firstWorker == null ? send.worker() : firstWorker;
     } else if (action instanceof SetTimer timer && timer.token().equals(SWEEP)) {
-      sweepAt = now + timer.in();
+      sweepAt = now + timer.delay();
     } else if (action instanceof TellPeers) {
       messagesOut++;
     }
--- a/soak/src/main/java/gorseladder/soak/PlantedFault.java
+++ b/soak/src/main/java/gorseladder/soak/PlantedFault.java
@@ -48,7 +48,7 @@
   LEAVING_CLIENTS_IGNORED(
       SoakRule.CLIENT_GONE,
       "node/src/main/java/gorseladder/node/front/FastCgiFront.java",
-      "call.finish(FinalAnswer.silent(Reason.GONE), Clock.micros());\n    core.clientGone(call);",
+      "call.finish(FinalAnswer.withoutRetryAdvice(Reason.GONE), Clock.micros());\n    core.clientGone(call);",
       "",
       Trouble.LEAVE,
       Trouble.PAUSE),
@@ -92,7 +92,7 @@
   CLIENT_BYTES_UNBOUNDED(
       SoakRule.LOG,
       "runtime/src/main/java/gorseladder/runtime/ByteBudget.java",
-      "if (used.addAndGet(bytes) <= most) {",
+      "if (used.addAndGet(bytes) <= limit) {",
       "if (used.addAndGet(bytes) > 0) {",
       Trouble.CROWD),
   STOP_ENDS_TOO_LATE(
