--- a/store/src/test/java/gorseladder/store/LedgerClockTest.java
+++ b/store/src/test/java/gorseladder/store/LedgerClockTest.java
@@ -17,7 +17,8 @@
   Path folder;
 
   /**
-   * A restart with the wall clock an hour ahead, or back, changes nothing; after a boot of the machine it begins anew.
+   * A restart with the wall clock stepped by an hour in either direction keeps the ledger's time; a new boot of the
+   * machine resets it.
    */
   @Test
   void stepsOfTheWallClockDoNotReachItOverARestart() {
--- a/store/src/test/java/gorseladder/store/LedgerTest.java
+++ b/store/src/test/java/gorseladder/store/LedgerTest.java
@@ -82,10 +82,7 @@
     }
   }
 
-  /**
-   * A copy of the folder at any moment after a wait is what a kill at that moment leaves; segments are small, so many
-   * are met.
-   */
+  /** A copy of the folder after an await stands for a kill at that moment. Segments are small, so there are many. */
   @Test
   void whatWasAwaitedIsInTheFilesAtOnce() throws IOException {
     Random random = new Random(3);
@@ -107,9 +104,7 @@
     }
   }
 
-  /**
-   * Cut off at any byte of the last file: each frame that is whole is there, none that is not, and it is written on.
-   */
+  /** Truncating the last file at any byte keeps exactly the complete frames, and the ledger accepts new records. */
   @Test
   void aKillAtAnyByteLosesAtMostTheLastFrame() throws IOException {
     List<Long> ends = new ArrayList<>();
@@ -138,8 +133,8 @@
   }
 
   /**
-   * Requests of one second share the time at which they may be forgotten. Keyed by time alone, each stepped past all of
-   * that second to a time of its own, which cost the square of their number and kept them too long.
+   * Many requests share one expiry time. An index keyed by time alone had to probe for a free time for each of them,
+   * which took quadratic time and kept the requests too long.
    */
   @Test
   void recordsOfOneTimeAreAllForgottenAtThatTimeAndNotBefore() throws IOException {
@@ -161,10 +156,7 @@
     }
   }
 
-  /**
-   * Files go when all in them has expired, and what stands in later ones stays; the count of openings outlives its
-   * file.
-   */
+  /** A file is deleted once all of its records have expired; later records and the open count are kept. */
   @Test
   void expiredSegmentsGoWhole() throws IOException {
     long second = 1_000_000;
@@ -193,11 +185,11 @@
     }
   }
 
-  /** The file of a former format keeps its records and their times, also where a crash makes it be taken over twice. */
+  /** The import of a legacy file keeps records and expiry times, even if a crash causes a second import. */
   @Test
   void theFormerFormatsAreTakenOver() throws IOException {
-    Path former = dir.resolve("ledger.mv");
-    try (MVStore store = new MVStore.Builder().fileName(former.toString()).open()) {
+    Path legacyFile = dir.resolve("ledger.mv");
+    try (MVStore store = new MVStore.Builder().fileName(legacyFile.toString()).open()) {
       store.<String, String>openMap("about").put("format", "2");
       store.<String, String>openMap("about").put("boots", "7");
       store
@@ -205,16 +197,16 @@
           .put("a", entry(Stage.LEAVING, 50).toBytes());
       store.<String, Long>openMap("requests").put("r", 60L);
     }
-    byte[] bytes = Files.readAllBytes(former);
+    byte[] bytes = Files.readAllBytes(legacyFile);
     for (int opening = 0; opening < 2; opening++) {
-      Files.write(former, bytes);
+      Files.write(legacyFile, bytes);
       try (Ledger ledger = open(folder())) {
         assertEquals(8 + opening, ledger.openCount());
         assertEquals(Stage.LEAVING, ledger.get("a").stage());
         ledger.expireUntil(49);
         assertTrue(ledger.containsRequest("r"));
       }
-      assertFalse(Files.exists(former));
+      assertFalse(Files.exists(legacyFile));
     }
     try (Ledger ledger = open(folder())) {
       ledger.expireUntil(55);
@@ -223,7 +215,7 @@
       ledger.expireUntil(60);
       assertFalse(ledger.containsRequest("r"));
     }
-    Files.write(former, new byte[9000]);
+    Files.write(legacyFile, new byte[9000]);
     assertThrows(LedgerException.class, () -> open(folder()));
   }
 
@@ -247,7 +239,7 @@
     }
   }
 
-  /** Bytes turned over anywhere in the first of two files, or in the last before its last frame. */
+  /** Corrupts bytes anywhere in the first of two files, or in the last one before its last frame. */
   @Test
   void aDamagedFileIsRefusedWithAWayOutAndLeftAlone() throws IOException {
     try (Ledger ledger = Ledger.open(folder(), false, 1000, 20_000, LedgerFiles.DEFAULT)) {
@@ -257,7 +249,7 @@
     }
     List<Path> files = segments(folder());
     assertEquals(2, files.size());
-    int tried = 0;
+    int damagedCopies = 0;
     for (Path file : files) {
       byte[] good = Files.readAllBytes(file);
       for (int at = 0; at < good.length - 200; at += 397) {
@@ -265,17 +257,18 @@
         for (int i = at; i < at + 64; i++) {
           bad[i] ^= 0x5a;
         }
-        Path copy = dir.resolve("bad" + tried++);
+        Path copy = dir.resolve("bad" + damagedCopies++);
         copy(folder(), copy);
         Files.write(copy.resolve(file.getFileName()), bad);
-        String said = assertThrows(LedgerException.class, () -> open(copy)).getMessage();
+        String error = assertThrows(LedgerException.class, () -> open(copy)).getMessage();
         assertTrue(
-            said.contains(file.getFileName() + " is damaged at byte ") && said.contains("Way out"),
-            said);
+            error.contains(file.getFileName() + " is damaged at byte ")
+                && error.contains("Way out"),
+            error);
         assertArrayEquals(bad, Files.readAllBytes(copy.resolve(file.getFileName())));
       }
     }
-    assertTrue(tried > 40, "tried " + tried);
+    assertTrue(damagedCopies > 40, "tried " + damagedCopies);
   }
 
   @Test
@@ -330,16 +323,16 @@
         LedgerException.class, () -> Ledger.open(dir.resolve("new"), false, 10, 1000, disk));
   }
 
-  /** Thousands of draws of records put, awaited, forgotten and opened anew, beside a plain map. */
+  /** Compares random puts, awaits, expiries and reopens with a map. */
   @Test
   void remembersWhatAMapRemembers() throws IOException {
     Random random = new Random(8);
-    Map<String, LedgerEntry> plain = new HashMap<>();
+    Map<String, LedgerEntry> expected = new HashMap<>();
     long now = 0;
     Ledger ledger = Ledger.open(folder(), false, 100_000, 3_000, LedgerFiles.DEFAULT);
     for (int step = 0; step < 20_000; step++) {
       String name = "m" + random.nextInt(300);
-      LedgerEntry old = plain.get(name);
+      LedgerEntry old = expected.get(name);
       assertEquals(old != null && old.keepUntil() > now ? old : null, ledger.get(name));
       if (random.nextInt(3) > 0) {
         long until =
@@ -354,7 +347,7 @@
             "w",
             200,
             null);
-        plain.put(name, next);
+        expected.put(name, next);
         long ticket = ledger.put(name, next);
         if (random.nextInt(10) == 0) {
           ledger.await(ticket);
@@ -371,11 +364,11 @@
     ledger.close();
   }
 
-  /** A disk whose writes, syncs and removals fail while it is told so; a failing write leaves a half behind. */
-  private static final class Disk implements LedgerFiles {
+  /** Fails writes, syncs and deletions on request; a failed write leaves half of its bytes in the file. */
+  private static final class FailingFiles implements LedgerFiles {
     private volatile boolean writesFail;
     private volatile boolean syncsFail;
-    private volatile boolean removalsFail;
+    private volatile boolean deletesFail;
 
     @Override
     public void write(FileChannel to, ByteBuffer bytes) throws IOException {
@@ -387,16 +380,16 @@
     }
 
     @Override
-    public void force(FileChannel written) throws IOException {
+    public void force(FileChannel channel) throws IOException {
       if (syncsFail) {
         throw new IOException("Input/output error");
       }
-      written.force(false);
+      channel.force(false);
     }
 
     @Override
     public void remove(Path file) throws IOException {
-      if (removalsFail) {
+      if (deletesFail) {
         throw new IOException("Input/output error");
       }
       Files.deleteIfExists(file);
@@ -410,14 +403,11 @@
     assertTrue(ledger.hasRoom(), "the disk has room again");
   }
 
-  /**
-   * While writes or syncs fail nothing new is taken and no one is promised anything; then what was put is written after
-   * all.
-   */
+  /** While writes or syncs fail, hasRoom is false and awaits throw; afterwards the pending records are written. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void aDiskThatFailsForAWhileLosesNothing(boolean writes) throws Exception {
-    Disk disk = new Disk();
+    FailingFiles disk = new FailingFiles();
     try (Ledger ledger = Ledger.open(folder(), true, 100_000, 1_000, disk)) {
       for (int i = 0; i < 20; i++) {
         ledger.await(ledger.put("before" + i, entry(Stage.LEAVING, 1_000)));
@@ -452,22 +442,22 @@
     }
   }
 
-  /** A file that cannot be removed yet is of no consequence for what is written. */
+  /** A failed deletion of an expired file does not affect writes and is retried. */
   @Test
   void aFileThatCannotBeRemovedStopsNothing() throws Exception {
-    Disk disk = new Disk();
+    FailingFiles disk = new FailingFiles();
     try (Ledger ledger = Ledger.open(folder(), false, 100_000, 1_000, disk)) {
       for (int i = 0; i < 60; i++) {
         ledger.await(ledger.put("k" + i, entry(Stage.LEAVING, 50)));
       }
       int files = segments(folder()).size();
-      disk.removalsFail = true;
+      disk.deletesFail = true;
       ledger.expireUntil(100);
       ledger.await(ledger.put("a", entry(Stage.LEAVING, 1_000)));
       ledger.await(ledger.put("b", entry(Stage.LEAVING, 1_000)));
       assertTrue(ledger.hasRoom());
       assertNull(ledger.get("k1"));
-      disk.removalsFail = false;
+      disk.deletesFail = false;
       for (int i = 0; i < 300 && segments(folder()).size() >= files; i++) {
         ledger.expireUntil(101 + i);
         Thread.sleep(10);
