--- a/store/src/main/java/gorseladder/store/history/History.java
+++ b/store/src/main/java/gorseladder/store/history/History.java
@@ -17,53 +17,61 @@
 import java.util.stream.Stream;
 
 /**
- * What happened, kept on disk: an append-only log of rows in segments with checksums. A crash at any byte loses at most
- * what was not forced, and never a row before it. Rows are numbered without a gap, so that a reader who remembers its
- * last number reads each row once. Old whole segments are compacted into hours, and the oldest dropped past a bound on
- * bytes.
+ * Call statistics on disk: an append-only log of rows in segment files with checksums. A crash at any point loses at
+ * most rows that were not forced, and no row before them. Rows are numbered without gaps, so that a reader who keeps
+ * its position reads each row once. Segments that only hold old rows are compacted to one row per hour and key, and the
+ * oldest segments are deleted when the total size exceeds a limit.
  *
- * <p>Thread safe; one process a directory.
+ * <p>Thread-safe; only one process may open a directory.
  */
 public final class History implements Closeable {
-  private static final String SUFFIX = ".history";
-  private static final int HOUR = 60;
+  private static final String SEGMENT_SUFFIX = ".history";
+  private static final int MINUTES_PER_HOUR = 60;
 
   /**
-   * Bounds.
+   * Size and age limits.
    *
-   * @param segmentBytes size at which a new segment begins
-   * @param compactAfterMinutes rows wholly older than this are compacted into hours
-   * @param maxBytes size of all segments at the most; the oldest are dropped
+   * @param segmentBytes size at which a new segment starts, at least 1024
+   * @param compactAfterMinutes age at which segments are compacted to hours, at least 60
+   * @param maxBytes maximum size of all segments, at least four segments
    */
   public record Bounds(long segmentBytes, long compactAfterMinutes, long maxBytes) {
-    /** For reading a history whose edge is stopped. */
+    /** For commands that read the history of a stopped edge. */
     public static final Bounds DEFAULT = new Bounds(4 << 20, 20_160, 256 << 20);
 
     public Bounds {
-      if (segmentBytes < 1_024 || compactAfterMinutes < HOUR || maxBytes < 4 * segmentBytes) {
-        throw new IllegalArgumentException("impossible bounds of a history");
+      if (segmentBytes < 1_024
+          || compactAfterMinutes < MINUTES_PER_HOUR
+          || maxBytes < 4 * segmentBytes) {
+        throw new IllegalArgumentException(
+            "history bounds too small: segmentBytes, compactAfterMinutes or maxBytes");
       }
     }
   }
 
-  /** One segment in memory: where it is and which numbers it stands for. */
-  private record Part(
-      Path file, long first, long covers, long bytes, long lastMinute, boolean coarse) {
-    long end() {
-      return first + covers;
+  /** A segment file and the row numbers it covers. */
+  private record SegmentInfo(
+      Path file,
+      long firstNumber,
+      long numberCount,
+      long bytes,
+      long lastMinute,
+      boolean compacted) {
+    long endNumber() {
+      return firstNumber + numberCount;
     }
   }
 
   /**
-   * What a reader gets: rows that follow its number.
+   * Result of a read.
    *
-   * @param from the number the rows really begin at; lower than asked where a compacted segment had to be read whole
-   *     (forget what was read from that number on), higher where older rows were dropped
-   * @param next the number to ask for next time
+   * @param from number of the first row; lower than requested if a compacted segment had to be read as a whole (the
+   *     reader discards earlier rows from that number on), higher if older rows were deleted
+   * @param next number to request next
    */
   public record Batch(long from, long next, List<HistoryRow> rows) {}
 
-  /** Writes bytes to a file; tests give one that fails. */
+  /** Writes all bytes to a file; tests replace it to inject failures. */
   interface Sink {
     void write(FileChannel to, ByteBuffer bytes) throws IOException;
   }
@@ -71,19 +79,19 @@
   private final Path directory;
   private final Bounds bounds;
   private final Sink sink;
-  private final TreeMap<Long, Part> parts = new TreeMap<>();
+  private final TreeMap<Long, SegmentInfo> closedSegments = new TreeMap<>();
   private String identity;
-  /** The segment that is written; null where a new one could not be begun yet. */
-  private FileChannel channel;
+  /** Channel of the active segment; null if starting a new segment failed. */
+  private FileChannel activeChannel;
 
-  /** Bytes of a row that was not written whole may stand behind the last good one. */
-  private boolean torn;
+  /** True if an incomplete record may follow the last complete one. */
+  private boolean partialRecord;
 
-  private Path file;
-  private long first;
-  private long next;
-  private long bytes;
-  private long lastMinute;
+  private Path activeFile;
+  private long activeFirstNumber;
+  private long nextNumber;
+  private long activeBytes;
+  private long activeLastMinute;
 
   private History(Path directory, Bounds bounds, Sink sink) {
     this.directory = directory;
@@ -91,7 +99,7 @@
     this.sink = sink;
   }
 
-  /** Opens a directory, cutting off a tail that was not written whole and dropping a compaction that was cut short. */
+  /** Opens a directory, truncates an incomplete last record and deletes files of an unfinished compaction. */
   public static History open(Path directory, Bounds bounds) throws IOException {
     return open(directory, bounds, History::writeAll);
   }
@@ -102,7 +110,7 @@
     }
   }
 
-  /** As above, with a way to write that tests choose. */
+  /** Opens a directory with the given sink, which tests replace. */
   static History open(Path directory, Bounds bounds, Sink sink) throws IOException {
     History history = new History(directory, bounds, sink);
     Files.createDirectories(directory);
@@ -110,8 +118,8 @@
     return history;
   }
 
-  private Path name(long number) {
-    return directory.resolve(String.format("%020d%s", number, SUFFIX));
+  private Path segmentFile(long number) {
+    return directory.resolve(String.format("%020d%s", number, SEGMENT_SUFFIX));
   }
 
   private void recover() throws IOException {
@@ -127,7 +135,7 @@
     identity = Files.readString(identityFile);
     List<Path> files;
     try (Stream<Path> all = Files.list(directory)) {
-      files = all.filter(f -> f.toString().endsWith(SUFFIX)).sorted().toList();
+      files = all.filter(f -> f.toString().endsWith(SEGMENT_SUFFIX)).sorted().toList();
     }
     for (Path f : files) {
       Segment.Content content = Segment.read(f);
@@ -137,218 +145,248 @@
         break;
       }
       if (last) {
-        cut(f, content.goodBytes());
+        truncate(f, content.validBytes());
       }
-      if (content == null || content.first() < next || content.goodBytes() != Files.size(f)) {
+      if (content == null
+          || content.firstNumber() < nextNumber
+          || content.validBytes() != Files.size(f)) {
         throw new IOException(
             "history segment " + f + " is damaged; move it away to go on without its rows");
       }
-      add(f, content);
+      register(f, content);
     }
-    begin();
+    startSegment();
   }
 
-  /** A record that a crash left half written must not look like damage at the next opening. */
-  private static void cut(Path f, long goodBytes) throws IOException {
-    try (FileChannel torn = FileChannel.open(f, StandardOpenOption.WRITE)) {
-      torn.truncate(goodBytes);
+  /** Truncates a record that a crash left incomplete, which would look like damage at a later opening. */
+  private static void truncate(Path f, long validBytes) throws IOException {
+    try (FileChannel channel = FileChannel.open(f, StandardOpenOption.WRITE)) {
+      channel.truncate(validBytes);
     }
   }
 
-  private void add(Path f, Segment.Content content) {
+  private void register(Path f, Segment.Content content) {
     long latest = content.rows().stream()
         .mapToLong(r -> r.startMinute() + r.minutes() - 1)
         .max()
         .orElse(0);
-    boolean coarse = content.covers() != content.rows().size()
-        || content.rows().stream().allMatch(r -> r.minutes() >= HOUR);
-    parts.put(
-        content.first(),
-        new Part(f, content.first(), content.covers(), content.goodBytes(), latest, coarse));
-    next = content.first() + content.covers();
+    boolean compacted = content.numberCount() != content.rows().size()
+        || content.rows().stream().allMatch(r -> r.minutes() >= MINUTES_PER_HOUR);
+    closedSegments.put(
+        content.firstNumber(),
+        new SegmentInfo(
+            f,
+            content.firstNumber(),
+            content.numberCount(),
+            content.validBytes(),
+            latest,
+            compacted));
+    nextNumber = content.firstNumber() + content.numberCount();
   }
 
-  /** Begins a new segment; the one before is whole and not written any more. */
-  private void begin() throws IOException {
-    Path fresh = name(next);
+  /** Starts a new segment; the previous one is no longer written. */
+  private void startSegment() throws IOException {
+    Path fresh = segmentFile(nextNumber);
     FileChannel opened = FileChannel.open(
         fresh,
         StandardOpenOption.CREATE,
         StandardOpenOption.WRITE,
         StandardOpenOption.TRUNCATE_EXISTING);
     try {
-      sink.write(opened, ByteBuffer.wrap(Segment.head(next, 0)));
+      sink.write(opened, ByteBuffer.wrap(Segment.header(nextNumber, 0)));
     } catch (IOException e) {
       opened.close();
       throw e;
     }
-    channel = opened;
-    file = fresh;
-    first = next;
-    torn = false;
-    bytes = Segment.HEAD;
-    lastMinute = 0;
-    parts.remove(first);
+    activeChannel = opened;
+    activeFile = fresh;
+    activeFirstNumber = nextNumber;
+    partialRecord = false;
+    activeBytes = Segment.HEADER_BYTES;
+    activeLastMinute = 0;
+    closedSegments.remove(activeFirstNumber);
   }
 
   /**
-   * Appends rows; they survive a kill of the process, and a power cut once {@link #force()} returned. Returns the next
-   * number.
+   * Appends rows, which survive a kill of the process, and a power loss after {@link #force()}.
    *
-   * @throws IOException where a row cannot be written; those before it were, it and those behind it were not
+   * @return the next row number
+   * @throws IOException if a row cannot be written; the rows before it were written, it and later ones were not
    */
   public synchronized long append(List<HistoryRow> rows) throws IOException {
     for (HistoryRow row : rows) {
       ByteBuffer record = ByteBuffer.wrap(Segment.record(row));
       int length = record.remaining();
       write(record);
-      bytes += length;
-      next++;
-      lastMinute = Math.max(lastMinute, row.startMinute() + row.minutes() - 1);
-      if (bytes >= bounds.segmentBytes()) {
-        roll();
+      activeBytes += length;
+      nextNumber++;
+      activeLastMinute = Math.max(activeLastMinute, row.startMinute() + row.minutes() - 1);
+      if (activeBytes >= bounds.segmentBytes()) {
+        rollSegment();
       }
     }
-    return next;
+    return nextNumber;
   }
 
-  /** Writes a record behind the last good one; what a write that failed left there goes first. */
+  /** Writes a record after the last complete one, and first removes what a failed write left there. */
   private void write(ByteBuffer record) throws IOException {
-    if (channel == null) {
-      begin();
+    if (activeChannel == null) {
+      startSegment();
     }
-    if (torn) {
-      channel.truncate(bytes);
-      channel.position(bytes);
+    if (partialRecord) {
+      activeChannel.truncate(activeBytes);
+      activeChannel.position(activeBytes);
     }
-    torn = true;
-    sink.write(channel, record);
-    torn = false;
+    partialRecord = true;
+    sink.write(activeChannel, record);
+    partialRecord = false;
   }
 
   /**
-   * Ends a segment. Where the next one cannot be begun now, the next row tries again: this one is written in any case.
+   * Closes the active segment and starts a new one. Failures are ignored since the current row is already written; the
+   * next write retries.
    */
-  private void roll() {
-    parts.put(first, new Part(file, first, next - first, bytes, lastMinute, false));
-    try (FileChannel whole = channel) {
-      channel = null;
+  private void rollSegment() {
+    closedSegments.put(
+        activeFirstNumber,
+        new SegmentInfo(
+            activeFile,
+            activeFirstNumber,
+            nextNumber - activeFirstNumber,
+            activeBytes,
+            activeLastMinute,
+            false));
+    try (FileChannel whole = activeChannel) {
+      activeChannel = null;
       whole.force(false);
-      begin();
+      startSegment();
     } catch (IOException e) {
-      // The row after this one tells, where it still fails.
+      // The next append reports the failure if it persists.
     }
   }
 
-  /** Writes through to disk. */
+  /** Forces appended rows to disk. */
   public synchronized void force() throws IOException {
-    if (channel != null) {
-      channel.force(false);
+    if (activeChannel != null) {
+      activeChannel.force(false);
     }
   }
 
-  /** Names this history: a reader that remembers numbers of another one begins anew. */
+  /** Random id of this history; a reader whose position belongs to another history starts again from 0. */
   public String identity() {
     return identity;
   }
 
-  /** The number that the next row will get. */
+  /** Number of the next row. */
   public synchronized long nextNumber() {
-    return next;
+    return nextNumber;
   }
 
-  /** Rows from a number on, at most about so many; 0 begins at the oldest. */
-  public synchronized Batch read(long from, int most) throws IOException {
+  /**
+   * Reads rows.
+   *
+   * @param from number of the first row; 0 for the oldest
+   * @param maxRows number of rows after which no further segment is read
+   */
+  public synchronized Batch read(long from, int maxRows) throws IOException {
     List<HistoryRow> rows = new ArrayList<>();
-    long begins = -1;
+    long firstRead = -1;
     long at = from;
-    List<Part> all = new ArrayList<>(parts.values());
-    if (channel != null) {
-      all.add(new Part(file, first, next - first, bytes, lastMinute, false));
+    List<SegmentInfo> all = new ArrayList<>(closedSegments.values());
+    if (activeChannel != null) {
+      all.add(new SegmentInfo(
+          activeFile,
+          activeFirstNumber,
+          nextNumber - activeFirstNumber,
+          activeBytes,
+          activeLastMinute,
+          false));
     }
-    for (Part part : all) {
-      if (part.end() <= from || rows.size() >= most) {
+    for (SegmentInfo segment : all) {
+      if (segment.endNumber() <= from || rows.size() >= maxRows) {
         continue;
       }
-      Segment.Content content = Segment.read(part.file());
-      long start = part.coarse() ? part.first() : Math.max(part.first(), at);
+      Segment.Content content = Segment.read(segment.file());
+      long start =
+          segment.compacted() ? segment.firstNumber() : Math.max(segment.firstNumber(), at);
       rows.addAll(
-          part.coarse()
+          segment.compacted()
               ? content.rows()
               : content
                   .rows()
-                  .subList((int) (start - part.first()), content.rows().size()));
-      begins = begins < 0 ? start : begins;
-      at = part.end();
+                  .subList((int) (start - segment.firstNumber()), content.rows().size()));
+      firstRead = firstRead < 0 ? start : firstRead;
+      at = segment.endNumber();
     }
-    return new Batch(begins < 0 ? Math.max(from, next) : begins, Math.max(at, from), rows);
+    return new Batch(
+        firstRead < 0 ? Math.max(from, nextNumber) : firstRead, Math.max(at, from), rows);
   }
 
-  /**
-   * Compacts whole segments whose rows are all old enough, and drops the oldest past the bound; called now and then.
-   */
+  /** Compacts closed segments whose rows are all old enough and deletes the oldest segments above the size limit. */
   public synchronized void compact(long nowMinute) throws IOException {
-    for (Part part : List.copyOf(parts.values())) {
-      if (!part.coarse() && part.lastMinute() + bounds.compactAfterMinutes() < nowMinute) {
-        coarsen(part);
+    for (SegmentInfo segment : List.copyOf(closedSegments.values())) {
+      if (!segment.compacted() && segment.lastMinute() + bounds.compactAfterMinutes() < nowMinute) {
+        compactSegment(segment);
       }
     }
-    long total = (channel == null ? 0 : bytes)
-        + parts.values().stream().mapToLong(Part::bytes).sum();
-    while (total > bounds.maxBytes() && !parts.isEmpty()) {
-      Part oldest = parts.pollFirstEntry().getValue();
+    long total = (activeChannel == null ? 0 : activeBytes)
+        + closedSegments.values().stream().mapToLong(SegmentInfo::bytes).sum();
+    while (total > bounds.maxBytes() && !closedSegments.isEmpty()) {
+      SegmentInfo oldest = closedSegments.pollFirstEntry().getValue();
       Files.deleteIfExists(oldest.file());
       total -= oldest.bytes();
     }
   }
 
-  private void coarsen(Part part) throws IOException {
+  private void compactSegment(SegmentInfo segment) throws IOException {
     Map<List<Object>, HistoryRow> hours = new LinkedHashMap<>();
-    for (HistoryRow row : Segment.read(part.file()).rows()) {
-      long hour = row.startMinute() / HOUR * HOUR;
-      int length = Math.max(HOUR, row.minutes());
+    for (HistoryRow row : Segment.read(segment.file()).rows()) {
+      long hour = row.startMinute() / MINUTES_PER_HOUR * MINUTES_PER_HOUR;
+      int length = Math.max(MINUTES_PER_HOUR, row.minutes());
       hours.merge(
-          List.of(hour, row.key()), row.over(hour, length), (a, b) -> a.plus(b, hour, length));
+          List.of(hour, row.key()),
+          row.withPeriod(hour, length),
+          (a, b) -> a.plus(b, hour, length));
     }
-    Path fresh = part.file().resolveSibling(part.file().getFileName() + ".new");
+    Path fresh = segment.file().resolveSibling(segment.file().getFileName() + ".new");
     try (FileChannel out = FileChannel.open(
         fresh,
         StandardOpenOption.CREATE,
         StandardOpenOption.WRITE,
         StandardOpenOption.TRUNCATE_EXISTING)) {
-      out.write(ByteBuffer.wrap(Segment.head(part.first(), part.covers())));
+      out.write(ByteBuffer.wrap(Segment.header(segment.firstNumber(), segment.numberCount())));
       for (HistoryRow row : hours.values()) {
         out.write(ByteBuffer.wrap(Segment.record(row)));
       }
       out.force(true);
     }
     Files.move(
-        fresh, part.file(), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
-    parts.put(
-        part.first(),
-        new Part(
-            part.file(),
-            part.first(),
-            part.covers(),
-            Files.size(part.file()),
-            part.lastMinute(),
+        fresh, segment.file(), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+    closedSegments.put(
+        segment.firstNumber(),
+        new SegmentInfo(
+            segment.file(),
+            segment.firstNumber(),
+            segment.numberCount(),
+            Files.size(segment.file()),
+            segment.lastMinute(),
             true));
   }
 
-  /** Bytes on disk. */
+  /** Size of all segments on disk. */
   public synchronized long sizeBytes() {
-    return (channel == null ? 0 : bytes)
-        + parts.values().stream().mapToLong(Part::bytes).sum();
+    return (activeChannel == null ? 0 : activeBytes)
+        + closedSegments.values().stream().mapToLong(SegmentInfo::bytes).sum();
   }
 
   @Override
   public synchronized void close() throws IOException {
-    if (channel == null) {
+    if (activeChannel == null) {
       return;
     }
-    try (FileChannel last = channel) {
-      if (torn) {
-        last.truncate(bytes);
+    try (FileChannel last = activeChannel) {
+      if (partialRecord) {
+        last.truncate(activeBytes);
       }
       last.force(false);
     }
--- a/store/src/main/java/gorseladder/store/history/HistoryRow.java
+++ b/store/src/main/java/gorseladder/store/history/HistoryRow.java
@@ -5,12 +5,18 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * What happened to the calls of one function, class and tenant in a stretch of time. Rows of one key add up.
+ * Call counts of one function, class and tenant in a period. Rows with the same key add up.
  *
- * @param startMinute the first minute, since 1970
- * @param minutes how many minutes it covers, 1 or more
- * @param calls taken; {@code found}, {@code began} and {@code awaited} say what their served attempts met
- * @param loads copies loaded and {@code loadMicros} the time they took in all
+ * @param startMinute first minute of the period, in minutes since 1970
+ * @param minutes length of the period, at least 1
+ * @param calls calls that got their final answer
+ * @param found served attempts that found a loaded copy
+ * @param began served attempts that started the load of a copy
+ * @param awaited served attempts that waited for a load in progress
+ * @param refused calls that were refused or rejected
+ * @param failed calls whose final reason is a failure
+ * @param loads copies loaded
+ * @param loadMicros total duration of these loads
  */
 public record HistoryRow(
     long startMinute,
@@ -28,39 +34,40 @@
     long loadMicros) {
   public HistoryRow {
     if (minutes < 1 || startMinute < 0) {
-      throw new IllegalArgumentException("a row covers at least one minute since 1970");
+      throw new IllegalArgumentException(
+          "a history row covers at least one minute and starts in 1970 or later");
     }
   }
 
-  /** What makes two rows count the same thing. */
+  /** Rows with equal keys count the same calls and can be added up. */
   record Key(String function, String requestClass, String tenant) {}
 
   Key key() {
     return new Key(function, requestClass, tenant);
   }
 
-  /** The sum of two rows of one key, as a row over the given stretch. */
-  HistoryRow plus(HistoryRow o, long start, int length) {
+  /** Returns the sum of two rows with the same key, for the given period. */
+  HistoryRow plus(HistoryRow other, long newStartMinute, int newMinutes) {
     return new HistoryRow(
-        start,
-        length,
+        newStartMinute,
+        newMinutes,
         function,
         requestClass,
         tenant,
-        calls + o.calls,
-        found + o.found,
-        began + o.began,
-        awaited + o.awaited,
-        refused + o.refused,
-        failed + o.failed,
-        loads + o.loads,
-        loadMicros + o.loadMicros);
+        calls + other.calls,
+        found + other.found,
+        began + other.began,
+        awaited + other.awaited,
+        refused + other.refused,
+        failed + other.failed,
+        loads + other.loads,
+        loadMicros + other.loadMicros);
   }
 
-  HistoryRow over(long start, int length) {
+  HistoryRow withPeriod(long newStartMinute, int newMinutes) {
     return new HistoryRow(
-        start,
-        length,
+        newStartMinute,
+        newMinutes,
         function,
         requestClass,
         tenant,
@@ -74,7 +81,7 @@
         loadMicros);
   }
 
-  /** The row in its form on disk, without length and checksum. */
+  /** Encodes the row as on disk, without length and checksum. */
   public byte[] toBytes() {
     byte[][] texts = {
       function.getBytes(StandardCharsets.UTF_8),
@@ -95,9 +102,9 @@
   }
 
   /**
-   * The row of its form on disk.
+   * Decodes a row.
    *
-   * @throws IllegalArgumentException where it is none
+   * @throws IllegalArgumentException if the bytes are not a row
    */
   public static HistoryRow of(byte[] bytes) {
     try {
@@ -125,7 +132,7 @@
           in.getLong(),
           in.getLong());
     } catch (BufferUnderflowException e) {
-      throw new IllegalArgumentException("a row that ends early", e);
+      throw new IllegalArgumentException("the history row is incomplete", e);
     }
   }
 }
--- a/store/src/main/java/gorseladder/store/history/Segment.java
+++ b/store/src/main/java/gorseladder/store/history/Segment.java
@@ -9,24 +9,30 @@
 import java.util.List;
 
 /**
- * The form of a segment file: a head of 32 bytes (mark, format, first sequence number, how many numbers it covers,
- * checksum), then records of length, checksum and row. A file that is still written covers as many numbers as it has
- * whole records; one that was compacted says in its head how many it stands for.
+ * Format of a segment file: a header of 32 bytes (magic, format, first row number, count of row numbers, checksum),
+ * followed by records of length, checksum and row. The header of a compacted file holds the count of row numbers it
+ * covers; in other files that count is 0 and the file covers as many numbers as it has complete records.
  */
 final class Segment {
-  static final int HEAD = 32;
-  private static final int MARK = 0x474c4853;
+  static final int HEADER_BYTES = 32;
+  private static final int MAGIC = 0x474c4853;
   private static final int FORMAT = 1;
-  private static final int MOST_RECORD = 1 << 20;
+  private static final int MAX_RECORD_BYTES = 1 << 20;
 
   private Segment() {}
 
-  /** What a file holds: its rows, where the last whole record ends, and the numbers it stands for. */
-  record Content(long first, long covers, List<HistoryRow> rows, long goodBytes) {}
+  /**
+   * Content of a segment file.
+   *
+   * @param firstNumber number of the first row
+   * @param numberCount count of row numbers that the file covers
+   * @param validBytes offset of the end of the last complete record
+   */
+  record Content(long firstNumber, long numberCount, List<HistoryRow> rows, long validBytes) {}
 
-  static byte[] head(long first, long covers) {
-    ByteBuffer out = ByteBuffer.allocate(HEAD);
-    out.putInt(MARK).putInt(FORMAT).putLong(first).putLong(covers).putInt(0);
+  static byte[] header(long firstNumber, long numberCount) {
+    ByteBuffer out = ByteBuffer.allocate(HEADER_BYTES);
+    out.putInt(MAGIC).putInt(FORMAT).putLong(firstNumber).putLong(numberCount).putInt(0);
     out.putInt(28, Digests.crc32c(out.array(), 0, 28));
     return out.array();
   }
@@ -39,14 +45,15 @@
   }
 
   /**
-   * Reads a file up to its last whole record.
+   * Reads a file up to its last complete record.
    *
-   * @return null where not even its head is whole
+   * @return null if the header is incomplete or invalid
+   * @throws IOException if the file cannot be read or has another format
    */
   static Content read(Path file) throws IOException {
     ByteBuffer in = ByteBuffer.wrap(Files.readAllBytes(file));
-    if (in.capacity() < HEAD
-        || in.getInt(0) != MARK
+    if (in.capacity() < HEADER_BYTES
+        || in.getInt(0) != MAGIC
         || in.getInt(28) != Digests.crc32c(in.array(), 0, 28)) {
       return null;
     }
@@ -54,15 +61,15 @@
       throw new IOException(
           file + " has format " + in.getInt(4) + " and this program reads " + FORMAT);
     }
-    long first = in.getLong(8);
-    long covers = in.getLong(16);
-    in.position(HEAD);
+    long firstNumber = in.getLong(8);
+    long numberCount = in.getLong(16);
+    in.position(HEADER_BYTES);
     List<HistoryRow> rows = new ArrayList<>();
-    int good = HEAD;
+    int validBytes = HEADER_BYTES;
     while (in.remaining() >= 8) {
       int length = in.getInt();
       int crc = in.getInt();
-      if (length < 0 || length > MOST_RECORD || length > in.remaining()) {
+      if (length < 0 || length > MAX_RECORD_BYTES || length > in.remaining()) {
         break;
       }
       byte[] bytes = new byte[length];
@@ -71,8 +78,8 @@
         break;
       }
       rows.add(HistoryRow.of(bytes));
-      good = in.position();
+      validBytes = in.position();
     }
-    return new Content(first, covers > 0 ? covers : rows.size(), rows, good);
+    return new Content(firstNumber, numberCount > 0 ? numberCount : rows.size(), rows, validBytes);
   }
 }
--- a/store/src/test/java/gorseladder/store/history/HistoryTest.java
+++ b/store/src/test/java/gorseladder/store/history/HistoryTest.java
@@ -35,32 +35,32 @@
     return rows.stream().mapToLong(HistoryRow::calls).sum();
   }
 
-  /** The log cut at every byte: what was whole before the cut is there, in order, and the log goes on. */
+  /** Truncating the log at any byte keeps all complete rows in order, and the log accepts new rows. */
   @Test
   void aCrashAtAnyByteLosesOnlyItsTail() throws IOException {
-    Path one = dir.resolve("one");
+    Path original = dir.resolve("one");
     List<HistoryRow> all = new ArrayList<>();
-    try (History history = History.open(one, new History.Bounds(100_000, 120, 1 << 20))) {
+    try (History history = History.open(original, new History.Bounds(100_000, 120, 1 << 20))) {
       for (int minute = 0; minute < 5; minute++) {
         all.addAll(rows(minute));
         history.append(rows(minute));
       }
     }
-    Path file = files(one).get(0);
+    Path file = files(original).get(0);
     byte[] whole = Files.readAllBytes(file);
-    int recordBytes = (whole.length - Segment.HEAD) / all.size();
+    int recordBytes = (whole.length - Segment.HEADER_BYTES) / all.size();
     for (int cut = 0; cut <= whole.length; cut++) {
       Path copy = dir.resolve("cut" + cut);
       Files.createDirectories(copy);
       Files.write(copy.resolve(file.getFileName()), java.util.Arrays.copyOf(whole, cut));
-      int expected = Math.max(0, (cut - Segment.HEAD) / recordBytes);
-      for (int open = 0; open < 2; open++) {
+      int expected = Math.max(0, (cut - Segment.HEADER_BYTES) / recordBytes);
+      for (int opening = 0; opening < 2; opening++) {
         try (History history = History.open(copy, BOUNDS)) {
           assertEquals(
               all.subList(0, expected),
               history.read(0, 1000).rows().subList(0, expected),
               "cut at " + cut);
-          assertEquals(expected + open, history.nextNumber());
+          assertEquals(expected + opening, history.nextNumber());
           history.append(List.of(row(99, 9, 9)));
         }
       }
@@ -80,30 +80,30 @@
         history.append(rows(minute));
       }
     }
-    Path victim = files(dir).get(1);
-    byte[] bytes = Files.readAllBytes(victim);
+    Path damaged = files(dir).get(1);
+    byte[] bytes = Files.readAllBytes(damaged);
     bytes[bytes.length / 2] ^= 1;
-    Files.write(victim, bytes);
-    String why =
+    Files.write(damaged, bytes);
+    String error =
         assertThrows(IOException.class, () -> History.open(dir, BOUNDS)).getMessage();
-    assertTrue(why.contains(victim.toString()) && why.contains("move it away"), why);
-    Files.move(victim, dir.resolve("away"));
+    assertTrue(error.contains(damaged.toString()) && error.contains("move it away"), error);
+    Files.move(damaged, dir.resolve("away"));
     try (History history = History.open(dir, BOUNDS)) {
       assertEquals(200, history.nextNumber(), "numbers are not given twice");
     }
   }
 
-  /** A reader that follows while segments roll, are compacted and the process restarts counts every call once. */
+  /** A reader counts every call once while segments roll, are compacted and the history is reopened. */
   @Test
   void aReaderCountsEachCallOnceThroughRollsCompactionsAndRestarts() throws IOException {
     Random random = new Random(5);
-    long truth = 0;
+    long expectedCalls = 0;
     TreeMap<Long, List<HistoryRow>> read = new TreeMap<>();
     long cursor = 0;
     History history = History.open(dir, BOUNDS);
     String identity = history.identity();
     for (int minute = 0; minute < 1_500; minute++) {
-      truth += calls(rows(minute));
+      expectedCalls += calls(rows(minute));
       history.append(rows(minute));
       if (random.nextInt(40) == 0) {
         history.compact(minute);
@@ -117,23 +117,23 @@
       }
     }
     follow(history, cursor, read);
-    assertEquals(truth, read.values().stream().mapToLong(HistoryTest::calls).sum());
+    assertEquals(
+        expectedCalls, read.values().stream().mapToLong(HistoryTest::calls).sum());
     assertEquals(identity, history.identity());
     List<HistoryRow> all = history.read(0, Integer.MAX_VALUE).rows();
-    assertEquals(truth, calls(all));
+    assertEquals(expectedCalls, calls(all));
     assertTrue(all.size() < 1_500, all.size() + " rows of 3000 after compaction");
     assertTrue(all.stream().anyMatch(r -> r.minutes() == 60));
     history.close();
   }
 
-  /** Remembers batches by the number they begin at; a batch that begins lower replaces what was read from there on. */
+  /** Keeps batches by their first row number; a batch that starts lower replaces everything read from there on. */
   private static long follow(History history, long cursor, TreeMap<Long, List<HistoryRow>> read)
       throws IOException {
     long at = cursor;
     while (at < history.nextNumber()) {
       History.Batch batch = history.read(at, 10);
-      // What a compacted segment stands for may reach back into batches read before: those are
-      // read again whole.
+      // A compacted segment may overlap batches read before: they are dropped and read again.
       Long covering = read.floorKey(batch.from());
       if (covering != null && batch.from() < at) {
         read.tailMap(covering, true).clear();
@@ -171,8 +171,7 @@
   }
 
   /**
-   * A disk that is full for a while, within a segment and where a new one begins: what was appended before and after is
-   * there.
+   * A disk that is temporarily full, within a segment and at the start of one, loses only the rows whose append failed.
    */
   @Test
   void aDiskThatIsFullForAWhileSpoilsNoRow() throws IOException {
