--- a/structures/src/main/java/gorseladder/structures/DigestTable.java
+++ b/structures/src/main/java/gorseladder/structures/DigestTable.java
@@ -3,66 +3,66 @@
 import java.util.Arrays;
 
 /**
- * A table from 128-bit digests to numbers from 0 on, in flat arrays: 20 bytes a slot and no object an entry, where a
- * map of boxed keys takes several times that. Linear probing, at most five eighths full. Nothing is removed: a table is
- * dropped whole. Digests must be evenly spread, as those of a keyed hash are; a sender who could choose them could make
- * a lookup long.
+ * Hash table from 128-bit digests to non-negative ints, in flat arrays: 20 bytes per slot and no object per entry, a
+ * fraction of a map with boxed keys. Linear probing with a load factor of at most 5/8; entries are never removed.
+ * Digests must be uniformly distributed, such as those of a keyed hash: a sender who could choose them could make
+ * lookups slow.
  *
- * <p>Not thread safe.
+ * <p>Not thread-safe.
  */
 public final class DigestTable {
-  private static final int SMALLEST = 64;
-  private static final int FREE = -1;
+  private static final int INITIAL_SLOTS = 64;
+  private static final int EMPTY = -1;
 
-  private long[] high = new long[SMALLEST];
-  private long[] low = new long[SMALLEST];
-  private int[] values = filled(SMALLEST);
+  private long[] high = new long[INITIAL_SLOTS];
+  private long[] low = new long[INITIAL_SLOTS];
+  private int[] values = emptyValues(INITIAL_SLOTS);
   private int size;
 
-  private static int[] filled(int slots) {
+  private static int[] emptyValues(int slots) {
     int[] values = new int[slots];
-    Arrays.fill(values, FREE);
+    Arrays.fill(values, EMPTY);
     return values;
   }
 
-  /** Digests held. */
+  /** Number of digests. */
   public int size() {
     return size;
   }
 
-  /** The number of a digest, or -1 where it has none. */
+  /** Returns the value of a digest, or -1 if there is none. */
   public int get(long first, long second) {
     return values[slot(first, second)];
   }
 
   /**
-   * Sets the number of a digest.
+   * Sets the value of a digest.
    *
    * @param value 0 or more
-   * @return true where the digest was not there before
+   * @return true if the digest is new
    */
   public boolean put(long first, long second, int value) {
     if (value < 0) {
-      throw new IllegalArgumentException("a value below 0: " + value);
+      throw new IllegalArgumentException("negative value: " + value);
     }
-    int at = slot(first, second);
-    boolean fresh = values[at] == FREE;
-    high[at] = first;
-    low[at] = second;
-    values[at] = value;
-    if (fresh && ++size > values.length / 8 * 5) {
+    int slot = slot(first, second);
+    boolean isNew = values[slot] == EMPTY;
+    high[slot] = first;
+    low[slot] = second;
+    values[slot] = value;
+    if (isNew && ++size > values.length / 8 * 5) {
       grow();
     }
-    return fresh;
+    return isNew;
   }
 
   private int slot(long first, long second) {
     int mask = values.length - 1;
-    int at = (int) (first ^ first >>> 32) & mask;
-    while (values[at] != FREE && (high[at] != first || low[at] != second)) {
-      at = at + 1 & mask;
+    int slot = (int) (first ^ first >>> 32) & mask;
+    while (values[slot] != EMPTY && (high[slot] != first || low[slot] != second)) {
+      slot = slot + 1 & mask;
     }
-    return at;
+    return slot;
   }
 
   private void grow() {
@@ -71,13 +71,13 @@
     int[] oldValues = values;
     high = new long[oldValues.length * 2];
     low = new long[oldValues.length * 2];
-    values = filled(oldValues.length * 2);
+    values = emptyValues(oldValues.length * 2);
     for (int i = 0; i < oldValues.length; i++) {
-      if (oldValues[i] != FREE) {
-        int at = slot(oldHigh[i], oldLow[i]);
-        high[at] = oldHigh[i];
-        low[at] = oldLow[i];
-        values[at] = oldValues[i];
+      if (oldValues[i] != EMPTY) {
+        int slot = slot(oldHigh[i], oldLow[i]);
+        high[slot] = oldHigh[i];
+        low[slot] = oldLow[i];
+        values[slot] = oldValues[i];
       }
     }
   }
--- a/structures/src/test/java/gorseladder/structures/DigestTableTest.java
+++ b/structures/src/test/java/gorseladder/structures/DigestTableTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 class DigestTableTest {
-  /** Few values of each half, so that slots collide and halves agree; beside the plain map. */
+  /** Compares with a map. The halves take few values, so that slots collide and digests share a half. */
   @Test
   void holdsWhatAMapHoldsWhereSlotsCollide() {
     Random random = new Random(4);
--- a/structures/src/test/java/gorseladder/structures/TimerWheelTest.java
+++ b/structures/src/test/java/gorseladder/structures/TimerWheelTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class TimerWheelTest {
-  /** Against a plain map of due times: nothing early, nothing late by more than a tick, nothing lost or doubled. */
+  /** Compares with a map of due times: no timer is early, more than a tick late, lost or fired twice. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void agreesWithAPlainMap(long seed) {
@@ -79,7 +79,7 @@
     }
   }
 
-  /** A thread that sleeps until {@code nextDue} wakes for timers only, not for the borders of slots on the way. */
+  /** A thread that sleeps until {@code nextDue} wakes up only for timers, not at slot boundaries. */
   @Test
   void nothingIsToDoBeforeTheNextTimer() {
     Random random = new Random(6);
