--- a/benchhost/src/main/java/gorseladder/simhost/Wire.java
+++ b/benchhost/src/main/java/gorseladder/simhost/Wire.java
@@ -43,7 +43,7 @@
       "NOT_FOUND",
       Outcome.MISS);
   private static final Map<String, String> REPORT_NAMES = Map.of("rif", "inFlight", "q", "queued");
-  private static final RouterApi.Note[] NOTES = RouterApi.Note.values();
+  private static final RouterApi.CopyStatus[] NOTES = RouterApi.CopyStatus.values();
 
   private Wire() {}
 
@@ -148,7 +148,7 @@
     for (Map<String, Object> e : list(m, "items", false)) {
       entries.add(PlatformList.ofSimulator(e));
     }
-    return new RouterApi.Workers(kind, entries);
+    return new RouterApi.WorkerListUpdate(kind, entries);
   }
 
   private static Map<String, Double> report(Map<String, Object> m) {
@@ -188,7 +188,7 @@
       out.writeNumberField("opId", a.id());
     } else if (action instanceof RouterApi.SetTimer a) {
       head(out, "arm", who);
-      millis(out, "inMs", a.in());
+      millis(out, "inMs", a.delay());
       out.writeStringField("token", a.token());
     } else if (action instanceof RouterApi.TellPeers a) {
       head(out, "announce", who);
@@ -199,7 +199,7 @@
       out.writeStringField("runner", a.worker());
       out.writeStringField("targetFn", a.function());
       out.writeNumberField("howMany", a.copies());
-    } else if (action instanceof RouterApi.WatchList) {
+    } else if (action instanceof RouterApi.SubscribeWorkerList) {
       head(out, "streamChanges", who);
       out.writeBooleanField("enable", true);
     } else if (action instanceof RouterApi.Log a) {
--- a/core/src/test/java/gorseladder/core/CoreTest.java
+++ b/core/src/test/java/gorseladder/core/CoreTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import gorseladder.RouterApi.CopyStatus;
 import gorseladder.RouterApi.Effect;
 import gorseladder.RouterApi.Group;
 import gorseladder.RouterApi.Limits;
-import gorseladder.RouterApi.Note;
 import gorseladder.RouterApi.Outcome;
 import gorseladder.RouterApi.RequestClass;
 import gorseladder.RouterApi.Rules;
@@ -52,13 +52,13 @@
     public void watchList() {}
 
     @Override
-    public void pausing() {
-      writers.release();
+    public void beforeIdle() {
+      writers.releaseHeld();
     }
 
     @Override
     public void flush() {
-      writers.release();
+      writers.releaseHeld();
     }
   }
 
@@ -68,9 +68,9 @@
     CountDownLatch written = new CountDownLatch(1);
     try (writers;
         Core<Call> core = new Core<>(settings(), 1, new Released(), 100, true, null, STACK)) {
-      core.collect(
+      core.collectReport(
           Map.of(),
-          first -> core.collect(Map.of(), second -> {
+          first -> core.collectReport(Map.of(), second -> {
             writers.execute(written::countDown);
             keepBusy(core);
           }));
@@ -83,7 +83,7 @@
   /** Each message puts the next one before it is done with. */
   private void keepBusy(Core<Call> core) {
     if (!stopped) {
-      core.collect(Map.of(), next -> keepBusy(core));
+      core.collectReport(Map.of(), next -> keepBusy(core));
     }
   }
 
@@ -96,7 +96,7 @@
     CountDownLatch held = new CountDownLatch(1);
     try (writers;
         Core<Call> core = new Core<>(settings(), 1, new Released(), 100, true, null, STACK)) {
-      core.collect(Map.of(), first -> await(held));
+      core.collectReport(Map.of(), first -> await(held));
       assertFalse(core.offer(call(0, 0)), "its time is over");
       assertTrue(core.offer(call(1, 20 * SECOND)), "nothing waits before it");
       assertTrue(core.offer(call(2, 20 * SECOND)), "nothing has waited for long");
@@ -117,7 +117,7 @@
     CountDownLatch held = new CountDownLatch(1);
     try (writers;
         Core<Call> core = new Core<>(settings(), 1, new Released(), 100, true, null, STACK)) {
-      core.collect(Map.of(), first -> await(held));
+      core.collectReport(Map.of(), first -> await(held));
       Call inTime = call(1, SECOND);
       Call late = call(2, -SECOND);
       core.answerServed(served(inTime));
@@ -130,8 +130,8 @@
   }
 
   private static AttemptEnd<Call> served(Call call) {
-    call.begin("r", Clock.micros(), 1);
-    return new AttemptEnd<>(call, 0, Outcome.OK, new byte[] {1}, Note.NONE, 0, Map.of());
+    call.addAttempt("r", Clock.micros(), 1);
+    return new AttemptEnd<>(call, 0, Outcome.OK, new byte[] {1}, CopyStatus.NONE, 0, Map.of());
   }
 
   /** Guards against a core that wakes at the deadline of each call though the call ended long before. */
@@ -145,7 +145,7 @@
     AtomicInteger pauses = new AtomicInteger();
     Released counting = new Released() {
       @Override
-      public void pausing() {
+      public void beforeIdle() {
         pauses.incrementAndGet();
       }
     };
@@ -157,7 +157,7 @@
         Thread.sleep(1);
       }
       taken.forEach(call -> leave(core, call));
-      core.collect(Map.of(), gone -> left.countDown());
+      core.collectReport(Map.of(), gone -> left.countDown());
       assertTrue(left.await(5, TimeUnit.SECONDS), "the clients did not leave in 5 s");
       int before = pauses.get();
       Thread.sleep((SECOND + calls * DEADLINES_APART) / 1_000);
@@ -167,7 +167,7 @@
   }
 
   private static void leave(Core<Call> core, Call call) {
-    call.finish(FinalAnswer.silent(Reason.GONE), Clock.micros());
+    call.finish(FinalAnswer.withoutRetryAdvice(Reason.GONE), Clock.micros());
     core.clientGone(call);
   }
 
@@ -185,7 +185,7 @@
         new Call.Facts("m" + id, SAFE, "", "f", new byte[0], 1, 1, 0, false, now, now + time);
     return new Call(id, facts) {
       @Override
-      protected void answered(FinalAnswer end) {}
+      protected void onFinalAnswer(FinalAnswer end) {}
     };
   }
 
--- a/edge/src/main/java/gorseladder/edge/core/TakenCall.java
+++ b/edge/src/main/java/gorseladder/edge/core/TakenCall.java
@@ -4,7 +4,7 @@
 import gorseladder.core.Call;
 import gorseladder.core.FinalAnswer;
 import gorseladder.runtime.Clock;
-import gorseladder.runtime.MessageBytes;
+import gorseladder.runtime.MessageMemory;
 import gorseladder.store.Ledger;
 import gorseladder.store.LedgerEntry;
 import gorseladder.store.LedgerEntry.Stage;
@@ -37,7 +37,7 @@
   /** Clients that wait for the answer, or have it and are being written to. */
   private int readers = 1;
 
-  private final List<MessageBytes> answers = new ArrayList<>(1);
+  private final List<MessageMemory> answers = new ArrayList<>(1);
 
   /**
    * A call just taken.
@@ -81,7 +81,7 @@
    * @param now the ledger's time
    */
   public synchronized long recordLeaving(long now) throws LedgerException {
-    if (over()) {
+    if (isFinished()) {
       return 0;
     }
     if (leavingTicket == 0) {
@@ -94,25 +94,25 @@
   }
 
   @Override
-  protected void leaving() {
+  protected void beforeSend() {
     pass.sent();
   }
 
   @Override
-  protected void record(FinalAnswer end) {
+  protected void recordFinalAnswer(FinalAnswer end) {
     boolean served = end.reason().kind == Reason.Kind.SERVED;
-    record(end, served, served ? end.body() : null, ranBefore || someMayHaveRun());
+    record(end, served, served ? end.body() : null, ranBefore || anyMayHaveRun());
   }
 
   @Override
-  protected void answered(FinalAnswer end) {
+  protected void onFinalAnswer(FinalAnswer end) {
     pass.gone();
     onEnd.accept(this);
     releaseAnswers();
   }
 
   /** Has the memory of an attempt's answer taken until the call has ended and no client reads its answer any more. */
-  public void keep(MessageBytes answer) {
+  public void keep(MessageMemory answer) {
     synchronized (this) {
       answers.add(answer);
     }
@@ -129,8 +129,8 @@
 
   private void releaseAnswers() {
     synchronized (this) {
-      if (over() && readers == 0) {
-        answers.forEach(MessageBytes::end);
+      if (isFinished() && readers == 0) {
+        answers.forEach(MessageMemory::end);
         answers.clear();
       }
     }
@@ -138,7 +138,7 @@
 
   /** A served answer that came after the call had ended otherwise: kept for the sender's next try. */
   @Override
-  protected synchronized void servedLate(byte[] body) {
+  protected synchronized void onServedResult(byte[] body) {
     FinalAnswer end = answer();
     // On the core's thread: a look at the ledger's tables, not at its files.
     if (end != null
--- a/node/src/main/java/gorseladder/node/changelog/ListedRunners.java
+++ b/node/src/main/java/gorseladder/node/changelog/ListedRunners.java
@@ -3,14 +3,14 @@
 import gorseladder.RouterApi.ListKind;
 import gorseladder.RouterApi.Phase;
 import gorseladder.RouterApi.WorkerEntry;
-import gorseladder.RouterApi.Workers;
+import gorseladder.RouterApi.WorkerListUpdate;
 import gorseladder.node.NodeConfig;
 import gorseladder.platform.BadInput;
 import gorseladder.platform.Fields;
 import gorseladder.platform.PlatformList;
 import gorseladder.runtime.Clock;
 import gorseladder.starts.StartTimes;
-import gorseladder.starts.StartTimes.Reading;
+import gorseladder.starts.StartTimes.ClockReading;
 import gorseladder.wire.changelog.ChangeLine;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -40,7 +40,7 @@
    * @param workers the same as news of the list
    * @param unreadable why entries were passed over, or read in part
    */
-  record Change(List<Listed> told, Workers workers, List<String> unreadable) {}
+  record Change(List<Listed> told, WorkerListUpdate workers, List<String> unreadable) {}
 
   private final StartTimes starts = new StartTimes();
   private final Map<String, Listed> known = new HashMap<>();
@@ -50,8 +50,8 @@
     starts.observe(clocks());
   }
 
-  private static Reading clocks() {
-    return new Reading(Clock.micros(), Clock.wallMicros());
+  private static ClockReading clocks() {
+    return new ClockReading(Clock.micros(), Clock.wallMicros());
   }
 
   /** The phase of a runner; null where nothing is known of it. */
@@ -66,8 +66,9 @@
     return new Change(all, workers(ListKind.SAVED, all), List.of());
   }
 
-  private static Workers workers(ListKind kind, List<Listed> listed) {
-    return new Workers(kind, new ArrayList<>(listed.stream().map(Listed::entry).toList()));
+  private static WorkerListUpdate workers(ListKind kind, List<Listed> listed) {
+    return new WorkerListUpdate(
+        kind, new ArrayList<>(listed.stream().map(Listed::entry).toList()));
   }
 
   /**
@@ -77,7 +78,7 @@
    *     {@link StartTimes#ALWAYS_LISTED}
    */
   Change apply(ChangeLine.Fleet fleet, long absentAt) {
-    Reading now = clocks();
+    ClockReading now = clocks();
     List<Listed> told = new ArrayList<>();
     List<String> unreadable = new ArrayList<>();
     Set<String> named = new HashSet<>();
@@ -120,7 +121,7 @@
     }
   }
 
-  private Listed read(Map<String, Object> target, Reading now, long absentAt) {
+  private Listed read(Map<String, Object> target, ClockReading now, long absentAt) {
     WorkerEntry entry = PlatformList.ofChangeLog(
         target, (uid, stamp) -> starts.startedAt(uid, stamp, now, absentAt));
     return new Listed(entry, NodeConfig.address(Fields.text(target, "endpoint"), "endpoint"));
@@ -150,7 +151,8 @@
     }
     WorkerEntry e = before.entry();
     return new Listed(
-        new WorkerEntry(uid, e.zone(), e.cell(), phase, e.weight(), e.born()), before.address());
+        new WorkerEntry(uid, e.zone(), e.cell(), phase, e.weight(), e.startedAt()),
+        before.address());
   }
 
   private void forget(String uid) {
