--- a/node/src/main/java/gorseladder/node/runners/RunnerRequest.java
+++ b/node/src/main/java/gorseladder/node/runners/RunnerRequest.java
@@ -2,9 +2,9 @@
 
 import gorseladder.RouterApi.Effect;
 import gorseladder.RouterApi.Outcome;
+import gorseladder.attempts.AttemptOutcomes;
 import gorseladder.attempts.AttemptOutcomes.Ending;
 import gorseladder.attempts.AttemptOutcomes.Progress;
-import gorseladder.attempts.AttemptOutcomes;
 import gorseladder.attempts.ConnectionChoice;
 import gorseladder.node.NodeCall;
 import gorseladder.permits.Verdict;
