--- a/store/src/main/java/gorseladder/store/LedgerSegment.java
+++ b/store/src/main/java/gorseladder/store/LedgerSegment.java
@@ -60,8 +60,8 @@
 
   /**
    * Writes a frame at an offset and creates the file if needed. The first bytes of the buffer are reserved for the
-   * frame header. On reopening, bytes from the offset on are truncated: they come from a failed write that nobody was
-   * told is durable.
+   * frame header. On reopening, bytes from the offset on are truncated: they come from a failed write that was never
+   * acknowledged.
    *
    * @throws IOException if the frame was not written completely; the caller may write it again at the same offset
    */
@@ -133,8 +133,8 @@
   /**
    * Reads all records and sets {@link #endOffset}.
    *
-   * <p>A kill during a write leaves an incomplete last frame, which nobody was told is durable: it is truncated if this
-   * is the last file. It counts as damage if an intact frame or another file follows it.
+   * <p>A kill during a write leaves an incomplete last frame, which was never acknowledged: it is truncated if this is
+   * the last file. It counts as damage if an intact frame or another file follows it.
    *
    * @param last true for the newest file, to which further frames are appended
    */
