--- a/decisions/src/main/java/gorseladder/ahead/PlanExecutor.java
+++ b/decisions/src/main/java/gorseladder/ahead/PlanExecutor.java
@@ -148,8 +148,8 @@
         holds.remove(new CopyKey(item.worker(), item.function()));
       } else if (now >= item.from() && shouldPropose(hold, now)) {
         hold.proposeAfter = now + RETRY_MICROS;
-        due.add(
-            new PlannedLoad(item.worker(), item.function(), item.copies(), item.lanes(), item.loadTime()));
+        due.add(new PlannedLoad(
+            item.worker(), item.function(), item.copies(), item.lanes(), item.loadTime()));
       }
     }
     return due;
--- a/decisions/src/main/java/gorseladder/placement/BenefitModel.java
+++ b/decisions/src/main/java/gorseladder/placement/BenefitModel.java
@@ -70,9 +70,9 @@
         Math.max(0, d.occurrenceFactor() * neededRate * holdSeconds - useProbability);
     double agedOutProbability = Math.exp(-d.occurrenceFactor() * neededRate * keepAliveSeconds);
     double waitingCalls = Math.min(d.lanes(), neededRate * d.loadSeconds());
-    double sparedLoads = Math.exp(-previousNeededRate * keepAliveSeconds) * useProbability
+    double savedLoads = Math.exp(-previousNeededRate * keepAliveSeconds) * useProbability
         + agedOutProbability * laterCalls;
-    double gain = sparedLoads * d.loadSeconds() * (1 + waitingCalls / 2);
+    double gain = savedLoads * d.loadSeconds() * (1 + waitingCalls / 2);
     double heldSeconds = d.loadSeconds()
         + LEAD_KEEP_ALIVES * keepAliveSeconds
         + agedOutProbability * holdSeconds
--- a/planner/src/main/java/gorseladder/planner/Planner.java
+++ b/planner/src/main/java/gorseladder/planner/Planner.java
@@ -37,7 +37,7 @@
 
 /**
  * Stores what edges report and makes plans for them. {@link PlanMaker} decides the content of a plan; this class
- * decides when a plan is made, from which data and for which edges. Thread safe: one thread at a time does anything.
+ * decides when a plan is made, from which data and for which edges. Thread safe; its methods run one at a time.
  *
  * <p>A slot is observed once it has been over for a while and no active edge has rows left to send, so that a planner
  * that was down first reads what it missed. Rows that arrive even later are stored and count at the next start.
--- a/planner/src/main/java/gorseladder/planner/PlannerStore.java
+++ b/planner/src/main/java/gorseladder/planner/PlannerStore.java
@@ -80,7 +80,7 @@
       throw new IOException(
           "planner store " + file + " cannot be used: "
               + String.valueOf(e.getMessage()).lines().findFirst().orElse("")
-              + ". Way out: move it away; the edges then tell their history anew, the account begins anew.",
+              + ". Way out: move it away; the edges then send their history again, and the accounting starts empty.",
           e);
     }
   }
