--- a/edge/src/main/java/gorseladder/edge/plans/PlannerLink.java
+++ b/edge/src/main/java/gorseladder/edge/plans/PlannerLink.java
@@ -145,9 +145,9 @@
     for (HistoryRow row : batch.rows()) {
       ask.addRow(ByteString.copyFrom(row.toBytes()));
     }
-    untold = collected.seen();
+    untold = collected.functionStats();
     collected
-        .seen()
+        .functionStats()
         .forEach((f, s) -> ask.addSeen(gorseladder.config.exchange.Seen.newBuilder()
             .setFunction(f)
             .setCalls(s.calls())
--- a/runtime/src/main/java/gorseladder/runtime/HttpServer.java
+++ b/runtime/src/main/java/gorseladder/runtime/HttpServer.java
@@ -17,67 +17,67 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Accepts connections and gives each a thread of its own with a small stack. Where no thread can be had a connection
- * waits for one; those on which something can be read come first, and the handler is asked to end one that can be
- * spared for them.
+ * Accepts connections and serves each on a thread of its own with a small stack. If the system has no thread, a
+ * connection waits for one; connections with data to read are served first, and for them the handler is asked to
+ * reclaim a thread from an idle connection.
  *
- * <p>Any thread.
+ * <p>Thread safe.
  */
 public final class HttpServer implements Closeable {
   private static final Logger LOG = LoggerFactory.getLogger(HttpServer.class);
 
-  private static final long MOST_JOIN_MILLIS = 2_000;
-  /** Before the system is asked again for what it did not have. */
-  private static final long PAUSE_MILLIS = 20;
+  private static final long MAX_JOIN_MILLIS = 2_000;
+  /** Pause before a failed request for a system resource is repeated. */
+  private static final long RETRY_PAUSE_MILLIS = 20;
 
-  /** After the end of accepting, so often what waits for a thread is looked at; with the pause about a second. */
-  private static final int LAST_TRIES = 50;
+  /** Tries to serve waiting connections after accepting has ended; with the pause about one second. */
+  private static final int MAX_FINAL_TRIES = 50;
 
   /**
-   * Of calls to accept that fail one after the other so many are made without a pause. Guards against a queue of
-   * connections that grows faster than one is accepted after each pause, where many calls fail: clients that waited
-   * behind a crowd were answered after their time. It costs a few vain calls.
+   * Consecutive failed calls to accept that are made without a pause. With a pause after each failure, the queue of
+   * connections would grow faster than they are accepted, and clients behind a crowd were answered after their deadline.
+   * The cost is a few useless calls.
    */
-  private static final int TRIES_AT_ONCE = 10;
+  private static final int MAX_TRIES_WITHOUT_PAUSE = 10;
 
-  /** Threads that stand ready where no others are given. */
-  private static final int READY_THREADS = 4;
+  /** Idle threads kept if no thread cache is given. */
+  private static final int MIN_IDLE_THREADS = 4;
 
-  /** What is done with connections. */
+  /** Serves the connections. */
   public interface Handler {
-    /** Serves one, on a thread of its own; it is closed when this returns. */
+    /** Serves a connection on a thread of its own; the connection is closed when this method returns. */
     void serve(SocketChannel connection) throws IOException;
 
     /**
-     * The same.
+     * Serves a connection on a thread of its own; the connection is closed when this method returns.
      *
-     * @param earliest the earliest time at which what can be read now may have come ({@link Clock#micros()}): the
-     *     connection may have waited to be accepted, or for its thread
+     * @param earliestArrival the earliest time at which the data that can be read now may have arrived
+     *     ({@link Clock#micros()}), since the connection may have waited to be accepted or for its thread
      */
-    default void serve(SocketChannel connection, long earliest) throws IOException {
+    default void serve(SocketChannel connection, long earliestArrival) throws IOException {
       serve(connection);
     }
 
     /**
-     * A connection was accepted; false turns it away. On the accepting thread and for one connection at a time, so that
-     * what is counted here cannot be passed by many at once. Must not block.
+     * Decides whether an accepted connection is kept; false closes it. Called on the accepting thread for one connection
+     * at a time, so that concurrent connections cannot exceed a limit that is checked here. Must not block.
      *
-     * @param waitedSince since when the connection may have waited to be accepted, with what was sent on it
+     * @param waitedSince since when the connection, and data sent on it, may have waited to be accepted
      */
     default boolean admit(SocketChannel connection, long waitedSince) {
       return true;
     }
 
-    /** A connection that was admitted ends unserved: the system has no thread for it. */
+    /** Called when an admitted connection is closed without being served, because the system has no thread for it. */
     default void unserved(SocketChannel connection) {}
 
     /**
-     * A connection on which something can be read waits for a thread: ends one that has a thread and can be spared.
-     * Must not block.
+     * Closes an idle connection, if possible, so that its thread can serve a waiting connection with data to read. Must
+     * not block.
      *
-     * @param waited for how long it has waited, in microseconds
+     * @param waited how long that connection has waited, in microseconds
      */
-    default void spareThread(long waited) {}
+    default void reclaimThread(long waited) {}
   }
 
   private final ServerSocketChannel server;
@@ -86,43 +86,43 @@
   private final ThreadCache threads;
   private final boolean ownsThreads;
   private final Set<SocketChannel> open = ConcurrentHashMap.newKeySet();
-  /** Connections accepted for which there was no thread yet; the accepting thread's own. */
-  private final ArrayDeque<Unstarted> unstarted = new ArrayDeque<>();
+  /** Accepted connections that wait for a thread; used by the accepting thread only. */
+  private final ArrayDeque<WaitingConnection> waitingConnections = new ArrayDeque<>();
 
   private final Thread acceptor;
   private final CountDownLatch addressFree = new CountDownLatch(1);
   private volatile boolean stopped;
-  /** Connections wait for a thread. */
+  /** Whether connections wait for a thread. */
   private volatile boolean waiting;
-  /** Since when accepting fails; 0 while it does not. The accepting thread's own. */
-  private long failingSince;
-  /** Connections accepted so far; the accepting thread's own. */
+  /** Since when accepting fails, 0 while it succeeds; used by the accepting thread only. */
+  private long acceptFailsSince;
+  /** Connections accepted so far; used by the accepting thread only. */
   private long accepted;
 
-  /** A connection that has no thread yet. */
-  private static final class Unstarted {
+  /** A connection that waits for a thread. */
+  private static final class WaitingConnection {
     private final SocketChannel connection;
-    private long lookedAt;
-    private boolean asked;
+    private long earliestArrival;
+    private boolean hasData;
 
-    /** One on which nothing can have come before that time. */
-    private Unstarted(SocketChannel connection, long waitedSince) {
+    /** A connection on which no data can have arrived before {@code waitedSince}. */
+    private WaitingConnection(SocketChannel connection, long waitedSince) {
       this.connection = connection;
-      this.lookedAt = waitedSince;
+      this.earliestArrival = waitedSince;
     }
 
-    /** True once something can be read on it. */
-    private boolean hasAsked() {
-      if (!asked) {
-        asked = UnreadBytes.on(connection);
-        lookedAt = asked ? lookedAt : Clock.micros();
+    /** Whether the connection has data to read. */
+    private boolean hasData() {
+      if (!hasData) {
+        hasData = UnreadBytes.on(connection);
+        earliestArrival = hasData ? earliestArrival : Clock.micros();
       }
-      return asked;
+      return hasData;
     }
 
-    /** The earliest time at which what can be read on it may have come: when it was last looked at in vain. */
-    private long earliest() {
-      return lookedAt;
+    /** The earliest time at which its data may have arrived: the last check that found none. */
+    private long earliestArrival() {
+      return earliestArrival;
     }
   }
 
@@ -131,24 +131,25 @@
       Selector selector,
       String name,
       int stackBytes,
-      ThreadCache given,
+      ThreadCache sharedThreads,
       Handler handler) {
     this.server = server;
     this.selector = selector;
     this.handler = handler;
-    this.ownsThreads = given == null;
-    this.threads = given == null ? new ThreadCache(name, READY_THREADS, stackBytes) : given;
+    this.ownsThreads = sharedThreads == null;
+    this.threads =
+        sharedThreads == null ? new ThreadCache(name, MIN_IDLE_THREADS, stackBytes) : sharedThreads;
     threads.whenFree(this::wakeIfWaiting);
     this.acceptor = Threads.start(name + "-accept", stackBytes, this::accept);
   }
 
-  /** Listens, with threads of its own; the port may be 0. */
+  /** Listens with threads of its own; the port may be 0. */
   public static HttpServer listen(
       InetSocketAddress at, String name, int stackBytes, Handler handler) throws IOException {
     return listen(at, name, stackBytes, null, handler);
   }
 
-  /** Listens, with threads that serve others too; null for threads of its own. The port may be 0. */
+  /** Listens with shared threads, or with threads of its own if {@code threads} is null; the port may be 0. */
   public static HttpServer listen(
       InetSocketAddress at, String name, int stackBytes, ThreadCache threads, Handler handler)
       throws IOException {
@@ -166,7 +167,7 @@
     }
   }
 
-  /** Where it listens. */
+  /** The address on which the server listens. */
   public InetSocketAddress address() {
     try {
       return (InetSocketAddress) server.getLocalAddress();
@@ -175,7 +176,7 @@
     }
   }
 
-  /** Connections that are open. */
+  /** Number of open connections. */
   public int connections() {
     return open.size();
   }
@@ -185,20 +186,20 @@
       try (selector;
           server) {
         while (!stopped) {
-          Threads.guarded("listener", this::await);
+          Threads.guarded("listener", this::awaitConnections);
           Threads.guarded("listener", this::startWaiting);
           acceptAll();
         }
-        // What the system had accepted before the listener goes belongs to clients that may have
-        // asked already; also where accepting fails just now.
+        // Connections in the backlog may already carry requests, so they are accepted before the
+        // listener is closed, even if accepting fails at the moment.
         acceptAll();
-        for (int tries = 0; failingSince > 0 && tries < LAST_TRIES; tries++) {
+        for (int tries = 0; acceptFailsSince > 0 && tries < MAX_FINAL_TRIES; tries++) {
           pause();
           acceptAll();
         }
       }
       addressFree.countDown();
-      serveLast();
+      serveRemaining();
     } catch (IOException e) {
       LOG.error("accepting ended", e);
     } finally {
@@ -206,23 +207,23 @@
     }
   }
 
-  /** Nothing new comes: serves what waits for a thread and asked something, and ends the others. */
-  private void serveLast() throws IOException {
-    for (int tries = 0; !unstarted.isEmpty() && tries < LAST_TRIES; tries++) {
-      for (int left = unstarted.size(); left > 0; left--) {
-        Unstarted waits = unstarted.pollFirst();
-        if (waits.hasAsked()) {
-          unstarted.addLast(waits);
+  /** After accepting has ended: serves waiting connections that have data, and closes the others. */
+  private void serveRemaining() throws IOException {
+    for (int tries = 0; !waitingConnections.isEmpty() && tries < MAX_FINAL_TRIES; tries++) {
+      for (int left = waitingConnections.size(); left > 0; left--) {
+        WaitingConnection candidate = waitingConnections.pollFirst();
+        if (candidate.hasData()) {
+          waitingConnections.addLast(candidate);
         } else {
-          endUnserved(waits.connection);
+          endUnserved(candidate.connection);
         }
       }
       startWaiting();
       pause();
     }
-    for (Unstarted waits : unstarted) {
+    for (WaitingConnection candidate : waitingConnections) {
       LOG.error("no thread for a connection before the end");
-      endUnserved(waits.connection);
+      endUnserved(candidate.connection);
     }
   }
 
@@ -232,10 +233,10 @@
     connection.close();
   }
 
-  /** Waits until there is something to accept. */
-  private void await() {
+  /** Waits for a connection to accept, or for the next try if connections wait for a thread. */
+  private void awaitConnections() {
     try {
-      selector.select(unstarted.isEmpty() ? 0 : PAUSE_MILLIS);
+      selector.select(waitingConnections.isEmpty() ? 0 : RETRY_PAUSE_MILLIS);
       selector.selectedKeys().clear();
     } catch (IOException | RuntimeException e) {
       LOG.warn("waiting for connections failed: {}", e.toString());
@@ -243,12 +244,9 @@
     }
   }
 
-  /**
-   * Accepts all that the system holds ready. What fails here is over in a moment: the listener stands as long as the
-   * program.
-   */
+  /** Accepts all connections in the backlog. Failures are transient and do not end the listener. */
   private void acceptAll() {
-    for (int failures = 0; failures < TRIES_AT_ONCE; failures++) {
+    for (int failures = 0; failures < MAX_TRIES_WITHOUT_PAUSE; failures++) {
       long before = accepted;
       if (acceptUntilNone()) {
         return;
@@ -258,10 +256,10 @@
     pause();
   }
 
-  /** Accepts until none waits; false where a call failed, and then more may wait. */
+  /** Accepts until the backlog is empty; returns false if a call failed, in which case more may wait. */
   private boolean acceptUntilNone() {
-    // All that waits now may have waited since accepting began to fail.
-    long waitedSince = failingSince > 0 ? failingSince : Clock.micros();
+    // Every connection in the backlog may have waited since accepting began to fail.
+    long waitedSince = acceptFailsSince > 0 ? acceptFailsSince : Clock.micros();
     try {
       for (SocketChannel connection = server.accept();
           connection != null;
@@ -269,68 +267,69 @@
         accepted++;
         if (handler.admit(connection, waitedSince)) {
           open.add(connection);
-          start(new Unstarted(connection, waitedSince));
+          start(new WaitingConnection(connection, waitedSince));
         } else {
           connection.close();
         }
       }
-      failingSince = 0;
+      acceptFailsSince = 0;
       return true;
     } catch (IOException | RuntimeException | Error e) {
-      if (failingSince == 0) {
+      if (acceptFailsSince == 0) {
         LOG.warn("accept failed: {}", e.toString());
-        failingSince = waitedSince;
+        acceptFailsSince = waitedSince;
       }
       return false;
     }
   }
 
   /**
-   * Gives a connection its thread. Where there is none for a moment the connection waits for one: on it a client may
-   * have asked already.
+   * Gives a connection its thread. If there is none at the moment, the connection waits, since it may already carry a
+   * request.
    */
-  private void start(Unstarted starts) {
-    if (!given(starts)) {
-      unstarted.addLast(starts);
+  private void start(WaitingConnection candidate) {
+    if (!tryGiveThread(candidate)) {
+      waitingConnections.addLast(candidate);
       waiting = true;
     }
   }
 
   /**
-   * Gives it a thread, where there is one for it. A silent connection gets none of the last: a crowd of them would take
-   * what clients that ask, and connections that carry their calls, need.
+   * Gives a connection a thread, if one is available. A connection without data gets none of the last idle threads:
+   * many such connections would take the threads that clients with requests, and connections to runners, need.
    */
-  private boolean given(Unstarted starts) {
-    boolean asked = starts.hasAsked();
-    long earliest = starts.earliest();
-    Runnable serving = () -> serve(starts.connection, earliest);
-    return asked ? threads.execute(serving) : threads.executeIfSpare(serving);
+  private boolean tryGiveThread(WaitingConnection candidate) {
+    boolean hasData = candidate.hasData();
+    long earliestArrival = candidate.earliestArrival();
+    Runnable serving = () -> serve(candidate.connection, earliestArrival);
+    return hasData ? threads.execute(serving) : threads.executeIfSpare(serving);
   }
 
-  /** Gives threads to connections that wait for one: those first on which something can be read. */
+  /** Gives threads to waiting connections, first to those that have data. */
   private void startWaiting() {
-    unstarted.removeIf(waits -> !waits.connection.isOpen() && open.remove(waits.connection));
-    if (!unstarted.isEmpty()) {
+    waitingConnections.removeIf(
+        candidate -> !candidate.connection.isOpen() && open.remove(candidate.connection));
+    if (!waitingConnections.isEmpty()) {
       startWaiting(true);
       startWaiting(false);
     }
-    waiting = !unstarted.isEmpty();
+    waiting = !waitingConnections.isEmpty();
   }
 
-  private void startWaiting(boolean thatAsked) {
-    for (int left = unstarted.size(); left > 0; left--) {
-      Unstarted waits = unstarted.pollFirst();
-      boolean turn = waits.hasAsked() || !thatAsked;
-      if (!turn || !given(waits)) {
-        unstarted.addLast(waits);
-        if (turn && thatAsked) {
-          handler.spareThread(Clock.micros() - waits.earliest());
+  private void startWaiting(boolean withDataOnly) {
+    for (int left = waitingConnections.size(); left > 0; left--) {
+      WaitingConnection candidate = waitingConnections.pollFirst();
+      boolean eligible = candidate.hasData() || !withDataOnly;
+      if (!eligible || !tryGiveThread(candidate)) {
+        waitingConnections.addLast(candidate);
+        if (eligible && withDataOnly) {
+          handler.reclaimThread(Clock.micros() - candidate.earliestArrival());
         }
       }
     }
   }
 
-  /** A thread has become free: the accepting thread may give it to a connection that waits. */
+  /** Called when a thread becomes free, so that the accepting thread can give it to a waiting connection. */
   private void wakeIfWaiting() {
     if (waiting) {
       selector.wakeup();
@@ -339,15 +338,15 @@
 
   private void pause() {
     try {
-      Thread.sleep(PAUSE_MILLIS);
+      Thread.sleep(RETRY_PAUSE_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private void serve(SocketChannel connection, long earliest) {
+  private void serve(SocketChannel connection, long earliestArrival) {
     try (connection) {
-      handler.serve(connection, earliest);
+      handler.serve(connection, earliestArrival);
     } catch (IOException e) {
       LOG.debug("connection ended: {}", e.toString());
     } finally {
@@ -355,13 +354,13 @@
     }
   }
 
-  /** Stops accepting once all that the system holds is accepted; open connections go on. Then the address is free. */
+  /** Accepts the backlog, then stops accepting and frees the address; open connections continue. */
   public void stopAccepting() {
     stopped = true;
     selector.wakeup();
     try {
-      if (!addressFree.await(MOST_JOIN_MILLIS, TimeUnit.MILLISECONDS)) {
-        LOG.warn("accepting has not ended after {} ms", MOST_JOIN_MILLIS);
+      if (!addressFree.await(MAX_JOIN_MILLIS, TimeUnit.MILLISECONDS)) {
+        LOG.warn("accepting has not ended after {} ms", MAX_JOIN_MILLIS);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
