--- a/core/src/main/java/gorseladder/core/Call.java
+++ b/core/src/main/java/gorseladder/core/Call.java
@@ -74,7 +74,7 @@
       return listUpdatesAtDecision;
     }
 
-    private boolean isOut() {
+    private boolean isInProgress() {
       return sentAt > 0 && outcome == null;
     }
 
@@ -156,7 +156,7 @@
             mayFollowEarlierAttempts(number, conditions.mayDuplicate(), now)),
         now);
     if (verdict.allowed()) {
-      attempts.forEach(earlier -> earlier.overlapped |= earlier.isOut());
+      attempts.forEach(earlier -> earlier.overlapped |= earlier.isInProgress());
       attempts.get(number).sentAt = now;
       beforeSend();
     }
@@ -184,7 +184,7 @@
       if (earlier == attempts.get(number)) {
         continue;
       }
-      if (earlier.isOut() && !mayDuplicate) {
+      if (earlier.isInProgress() && !mayDuplicate) {
         return Verdict.ATTEMPT_OUT;
       }
       Verdict verdict = Permits.mayRepeatAfter(
--- a/core/src/main/java/gorseladder/core/Core.java
+++ b/core/src/main/java/gorseladder/core/Core.java
@@ -75,7 +75,7 @@
     void tellPeers(String text);
 
     /** Subscribes to the worker list. */
-    void watchList();
+    void subscribeWorkerList();
 
     /** The core is about to wait: a gathered batch may be sent. */
     default void beforeIdle() {}
@@ -120,7 +120,7 @@
   /** A call that has no final answer yet, or has attempts in progress. */
   private static final class ActiveCall<C extends Call> {
     private final C call;
-    private int attemptsOut;
+    private int attemptsInProgress;
     /** Timer of the call's deadline; null before the router has set it. */
     private TimerWheel.Node<String> deadline;
 
@@ -172,13 +172,13 @@
   private final Runnable handle = this::handle;
   private final Runnable beforeIdle;
   private final Runnable flush;
-  private final Consumer<String> timerDue = token -> tell(new TimerDue(token));
-  private final Consumer<Action> carryOut = this::carryOut;
+  private final Consumer<String> timerDue = token -> process(new TimerDue(token));
+  private final Consumer<Action> execute = this::execute;
   /** The message that {@link #handle()} processes next. */
   private Message<C> current;
 
   /** The call that the router is being told about; null during other events. */
-  private ActiveCall<C> accepting;
+  private ActiveCall<C> newCall;
 
   private long flushedAt;
   private long workerListUpdateCount;
@@ -335,12 +335,12 @@
     } else if (message instanceof Ended<C> m) {
       ended(m.end());
     } else if (message instanceof ClientLeft<C> m) {
-      tell(new ClientGone(m.call().id()));
+      process(new ClientGone(m.call().id()));
       release(m.call());
     } else if (message instanceof RouterEvent<C> m) {
       forwardToPlans(m.event());
       workerListUpdateCount += m.event() instanceof WorkerListUpdate ? 1 : 0;
-      tell(m.event());
+      process(m.event());
     } else if (message instanceof RefuseAll<C>) {
       refusingAll = true;
       calls.values().stream()
@@ -348,7 +348,7 @@
           .filter(call -> !call.isFinished())
           .map(Call::id)
           .toList()
-          .forEach(id -> tell(new AnswerDue(id)));
+          .forEach(id -> process(new AnswerDue(id)));
     } else if (message instanceof Planned<C> m) {
       PlanExecutor.Verdict verdict = planExecutor.offer(m.plan(), now);
       planCheckAt = planExecutor.hasPendingHolds() ? now : Long.MAX_VALUE;
@@ -399,16 +399,16 @@
     }
     for (PlannedLoad hold : planExecutor.due(now)) {
       applyingHold = true;
-      tell(hold);
+      process(hold);
       applyingHold = false;
     }
     planCheckAt = planExecutor.hasPendingHolds() ? now + PLAN_CHECK_MICROS : Long.MAX_VALUE;
   }
 
   /** An error of the router must not end the thread: it is logged and the other calls continue. */
-  private void tell(Event event) {
+  private void process(Event event) {
     try {
-      router.on(now, event, carryOut);
+      router.on(now, event, execute);
     } catch (RuntimeException | Error e) {
       LOG.error("the router failed at {}", event.getClass().getSimpleName(), e);
     }
@@ -436,12 +436,12 @@
       return;
     }
     Call.Facts f = call.facts();
-    accepting = new ActiveCall<>(call);
-    calls.put(call.id(), accepting);
+    newCall = new ActiveCall<>(call);
+    calls.put(call.id(), newCall);
     if (planExecutor != null) {
       functionStats.callAccepted(f.function(), f.memoryMb(), f.lanes());
     }
-    tell(new Request(
+    process(new Request(
         call.id(),
         f.requestClass().name(),
         f.tenant(),
@@ -452,7 +452,7 @@
         f.lanes(),
         f.loadTime(),
         f.repeat()));
-    accepting = null;
+    newCall = null;
   }
 
   private void ended(AttemptEnd<C> end) {
@@ -474,9 +474,9 @@
     }
     ActiveCall<C> active = calls.get(call.id());
     if (active != null) {
-      active.attemptsOut--;
+      active.attemptsInProgress--;
     }
-    tell(new Answer(
+    process(new Answer(
         call.id(),
         end.attempt(),
         attempt.worker(),
@@ -519,7 +519,7 @@
       return;
     }
     ActiveCall<C> active = calls.get(call.id());
-    if (active != null && active.attemptsOut == 0) {
+    if (active != null && active.attemptsInProgress == 0) {
       calls.remove(call.id());
       if (active.deadline != null) {
         timers.cancel(active.deadline);
@@ -527,18 +527,18 @@
     }
   }
 
-  private void carryOut(Action action) {
+  private void execute(Action action) {
     if (action instanceof Send a) {
       ActiveCall<C> active = calls.get(a.id());
       C call = active.call;
       int number = call.addAttempt(a.worker(), now, workerListUpdateCount);
-      active.attemptsOut++;
+      active.attemptsInProgress++;
       logStartingWorker(call, a.worker());
       outbound.send(call, number, a.worker(), a.timeout());
     } else if (action instanceof SetTimer a) {
       TimerWheel.Node<String> timer = timers.schedule(now + a.delay(), a.token());
-      if (accepting != null && a.isDeadline()) {
-        accepting.deadline = timer;
+      if (newCall != null && a.isDeadline()) {
+        newCall.deadline = timer;
       }
     } else if (action instanceof Refuse a) {
       C call = calls.get(a.id()).call;
@@ -558,7 +558,7 @@
     } else if (action instanceof TellPeers a) {
       outbound.tellPeers(a.text());
     } else if (action instanceof SubscribeWorkerList) {
-      outbound.watchList();
+      outbound.subscribeWorkerList();
     } else if (action instanceof Log a) {
       LOG.info("{}", a.text());
     }
--- a/core/src/test/java/gorseladder/core/CoreTest.java
+++ b/core/src/test/java/gorseladder/core/CoreTest.java
@@ -49,7 +49,7 @@
     public void tellPeers(String text) {}
 
     @Override
-    public void watchList() {}
+    public void subscribeWorkerList() {}
 
     @Override
     public void beforeIdle() {
--- a/edge/src/main/java/gorseladder/edge/Edge.java
+++ b/edge/src/main/java/gorseladder/edge/Edge.java
@@ -259,7 +259,7 @@
     }
 
     @Override
-    public void watchList() {
+    public void subscribeWorkerList() {
       // The list is followed from the start on and never given up.
     }
   }
--- a/node/src/main/java/gorseladder/node/CallPath.java
+++ b/node/src/main/java/gorseladder/node/CallPath.java
@@ -125,7 +125,7 @@
     }
 
     @Override
-    public void watchList() {
+    public void subscribeWorkerList() {
       // The change log is followed from the start on and never given up.
     }
   }
--- a/node/src/test/java/gorseladder/node/front/FrontConnectionTest.java
+++ b/node/src/test/java/gorseladder/node/front/FrontConnectionTest.java
@@ -95,7 +95,7 @@
           public void tellPeers(String text) {}
 
           @Override
-          public void watchList() {}
+          public void subscribeWorkerList() {}
 
           @Override
           public void beforeIdle() {
--- a/node/src/test/java/gorseladder/node/runners/ThreadShortageTest.java
+++ b/node/src/test/java/gorseladder/node/runners/ThreadShortageTest.java
@@ -123,7 +123,7 @@
           public void tellPeers(String text) {}
 
           @Override
-          public void watchList() {}
+          public void subscribeWorkerList() {}
         },
         100,
         false,
--- a/runtime/src/main/java/gorseladder/runtime/Counts.java
+++ b/runtime/src/main/java/gorseladder/runtime/Counts.java
@@ -8,14 +8,14 @@
  * {@code other}. Thread safe.
  */
 public final class Counts {
-  private static final int MAX_WORDS = 64;
+  private static final int MAX_LABELS = 64;
 
   private final Map<String, Long> counts = new TreeMap<>();
 
   /** Increments the counter of a label. */
-  public synchronized void count(String word) {
+  public synchronized void count(String label) {
     counts.merge(
-        counts.size() < MAX_WORDS || counts.containsKey(word) ? word : "other", 1L, Long::sum);
+        counts.size() < MAX_LABELS || counts.containsKey(label) ? label : "other", 1L, Long::sum);
   }
 
   /** The counters, sorted by label, for the log. */
--- a/runtime/src/main/java/gorseladder/runtime/Outbox.java
+++ b/runtime/src/main/java/gorseladder/runtime/Outbox.java
@@ -57,7 +57,7 @@
   /** Bytes of these that the peer has certainly read. */
   private long read;
 
-  private boolean busy;
+  private boolean writerActive;
   private boolean closed;
   private boolean closeWhenEmpty;
   private Runnable whenIdle;
@@ -139,7 +139,7 @@
     boolean now;
     synchronized (this) {
       closeWhenEmpty = true;
-      now = !busy && !closed && channel != null && items.isEmpty();
+      now = !writerActive && !closed && channel != null && items.isEmpty();
       closed |= now;
     }
     if (!now) {
@@ -155,7 +155,7 @@
 
   /** Whether nothing is queued or being written. */
   public synchronized boolean idle() {
-    return items.isEmpty() && !busy;
+    return items.isEmpty() && !writerActive;
   }
 
   /**
@@ -164,7 +164,7 @@
    */
   public void whenIdle(Runnable task) {
     synchronized (this) {
-      if (!items.isEmpty() || busy) {
+      if (!items.isEmpty() || writerActive) {
         whenIdle = task;
         return;
       }
@@ -183,7 +183,7 @@
       if (!hasWork()) {
         return;
       }
-      busy = true;
+      writerActive = true;
       onCallerThread = hasRoomFor(bytes);
     }
     if (onCallerThread) {
@@ -199,14 +199,14 @@
       if (!hasWork()) {
         return;
       }
-      busy = true;
+      writerActive = true;
     }
     pool.execute(writing);
   }
 
   /** Whether a thread has to start writing; the lock is held. */
   private boolean hasWork() {
-    return !busy && channel != null && !closed && (!items.isEmpty() || closeWhenEmpty);
+    return !writerActive && channel != null && !closed && (!items.isEmpty() || closeWhenEmpty);
   }
 
   /** Whether this many more bytes can be written without waiting for the peer; the lock is held. */
@@ -244,7 +244,7 @@
         }
         now = takeItems();
         if (now.isEmpty()) {
-          busy = false;
+          writerActive = false;
           last = closeWhenEmpty && !closed;
           closed |= closeWhenEmpty;
           idle = whenIdle;
@@ -327,7 +327,7 @@
   private void fail(IOException cause) {
     synchronized (this) {
       closed = true;
-      busy = false;
+      writerActive = false;
       items.clear();
     }
     writingSince = 0;
--- a/testbed/src/test/java/gorseladder/testbed/LastLookTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/LastLookTest.java
@@ -100,7 +100,7 @@
             public void tellPeers(String text) {}
 
             @Override
-            public void watchList() {}
+            public void subscribeWorkerList() {}
           },
           10,
           false,
