--- a/decisions/src/main/java/gorseladder/admission/Admission.java
+++ b/decisions/src/main/java/gorseladder/admission/Admission.java
@@ -8,9 +8,9 @@
 /**
  * Decides which calls an edge accepts under overload, before they cost anything. The queue of calls that are accepted
  * and not yet sent for the first time is bounded by waiting time: it holds as many calls as were recently sent within a
- * part of the aim of the caller's class. Calls beyond that are refused only if there is a standing queue, measured by
- * the shortest wait of the calls recently sent (as in CoDel, RFC 8289 section 3), so that calls waiting for the load of
- * one function cause no refusals of others.
+ * part of the latency target of the caller's class. Calls beyond that are refused only if there is a standing queue,
+ * measured by the shortest wait of the calls recently sent (as in CoDel, RFC 8289 section 3), so that calls waiting for
+ * the load of one function cause no refusals of others.
  *
  * <p>If there is not room for all, calls worth more go before calls worth less, tenants within their share before
  * tenants above it, and new calls before retries of recently refused ones. Each kind keeps a part of the room, so none
@@ -26,7 +26,7 @@
  * of clocks and input; not thread safe. Times are microseconds on one clock.
  */
 public final class Admission {
-  /** Longest useful wait before the first send, as a part of the aim. */
+  /** Longest useful wait before the first send, as a part of the latency target. */
   private static final double MAX_WAIT_FRACTION = 0.5;
 
   /** Part of the longest useful wait that the shortest wait must exceed to count as a standing queue. */
@@ -72,10 +72,11 @@
    * A call that asks for admission.
    *
    * @param worth worth of its class relative to the highest one, 0 to 1; 1 if the class is not known yet
-   * @param aim aim of its class; the longest of all if the class is not known yet
+   * @param latencyTarget latency target of its class; the longest of all if the class is not known yet
    * @param waited how long it waited to be read
    */
-  public record Arrival(long message, String tenant, double worth, long aim, long waited) {}
+  public record Arrival(
+      long message, String tenant, double worth, long latencyTarget, long waited) {}
 
   private record WaitingCall(String tenant, long since) {}
 
@@ -141,7 +142,7 @@
     if (queued < settings.maxCalls() * ALWAYS_ADMITTED_FRACTION) {
       return true;
     }
-    double maxWait = MAX_WAIT_FRACTION * call.aim();
+    double maxWait = MAX_WAIT_FRACTION * call.latencyTarget();
     if (call.waited() > maxWait) {
       // Too little of its time is left; another call makes better use of the capacity.
       return false;
--- a/decisions/src/main/java/gorseladder/starts/ColdBudget.java
+++ b/decisions/src/main/java/gorseladder/starts/ColdBudget.java
@@ -52,11 +52,11 @@
    * The part of its capacity that a worker has at least; it rises linearly from the configured minimum to 1 over the
    * configured time.
    *
-   * @param born when the worker started; 0 for long ago
+   * @param startedAt when the worker started; 0 for long ago
    */
-  public static double warmth(Rules rules, long born, long at) {
-    double age = Math.max(0, at - born) / Math.max(1.0, rules.rampDuration());
-    return born == 0 || age >= 1
+  public static double warmth(Rules rules, long startedAt, long at) {
+    double age = Math.max(0, at - startedAt) / Math.max(1.0, rules.rampDuration());
+    return startedAt == 0 || age >= 1
         ? 1
         : rules.initialCapacity() + (1 - rules.initialCapacity()) * age;
   }
@@ -64,11 +64,12 @@
   /**
    * Returns whether a call may be sent to the worker now.
    *
-   * @param born when the worker started; 0 for long ago
+   * @param startedAt when the worker started; 0 for long ago
    * @param inFlight calls of this dispatcher that the worker has now
    */
-  public boolean hasRoom(Rules rules, long born, int inFlight, ServiceRate serviceRate, long now) {
-    double warmth = warmth(rules, born, now);
+  public boolean hasRoom(
+      Rules rules, long startedAt, int inFlight, ServiceRate serviceRate, long now) {
+    double warmth = warmth(rules, startedAt, now);
     if (warmth >= 1) {
       return true;
     }
@@ -79,7 +80,7 @@
     double usedRate = rate * USED_FRACTION * rules.overloadMultiple();
     double maxTokens = Math.max(1, usedRate * warmth * rules.overloadWindow() / MICROS_PER_SECOND);
     // Refilled rarely, so the mean warmth since the last refill counts and not the current one.
-    double meanWarmth = (warmth + warmth(rules, born, refilledAt)) / 2;
+    double meanWarmth = (warmth + warmth(rules, startedAt, refilledAt)) / 2;
     tokens = Math.min(
         maxTokens, tokens + (now - refilledAt) / MICROS_PER_SECOND * usedRate * meanWarmth);
     refilledAt = now;
--- a/decisions/src/main/java/gorseladder/starts/StartTimes.java
+++ b/decisions/src/main/java/gorseladder/starts/StartTimes.java
@@ -8,7 +8,7 @@
 import java.util.function.Predicate;
 
 /**
- * Converts the wall-clock start time of a worker, as told by the list, to the monotonic clock of this process.
+ * Converts the wall-clock start time of a worker, as given in the worker list, to the monotonic clock of this process.
  *
  * <p>The start time was read from one wall clock and is compared with another, and either may be stepped by seconds or
  * by an hour, so the difference of two readings is not reliable as an age. Prevents a worker that just started from
--- a/decisions/src/test/java/gorseladder/admission/AdmissionTest.java
+++ b/decisions/src/test/java/gorseladder/admission/AdmissionTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 class AdmissionTest {
-  private static final long AIM = 1_000_000;
+  private static final long LATENCY_TARGET = 1_000_000;
 
   /** Simulates a server that handles calls in order, where each refusal costs time, and clients that retry as told. */
   private static final class Simulation {
@@ -79,7 +79,7 @@
           if (admission != null) {
             admission.sent(w.id(), now);
           }
-          if (now - w.since() <= AIM) {
+          if (now - w.since() <= LATENCY_TARGET) {
             goodBySecond.merge((int) (now / 1_000_000), 1, Integer::sum);
             goodByTenant.merge(w.tenant(), 1, Integer::sum);
             goodByWorth.merge(w.worth(), 1, Integer::sum);
@@ -91,7 +91,8 @@
     private long arrive(ClientCall c, long now, int retries) {
       boolean admitted = queue.size() < bound
           && (admission == null
-              || admission.mayEnter(new Arrival(c.message(), c.tenant(), c.worth(), AIM, 0), now));
+              || admission.mayEnter(
+                  new Arrival(c.message(), c.tenant(), c.worth(), LATENCY_TARGET, 0), now));
       if (admitted) {
         long id = ++messages;
         queue.add(new Waiting(id, c.message(), c.tenant(), c.worth(), c.at()));
@@ -208,7 +209,7 @@
     // 200 calls arrive and 100 are sent a second, the oldest first, so a queue builds up.
     for (long i = 0; i < 800; i++) {
       now += 5_000;
-      if (admission.mayEnter(new Arrival(i, "a", 1, AIM, 0), now)) {
+      if (admission.mayEnter(new Arrival(i, "a", 1, LATENCY_TARGET, 0), now)) {
         admission.entered(i, "a", now);
         waitingIds.add(i);
       }
@@ -217,7 +218,7 @@
       }
     }
     long next = 1_000;
-    for (; admission.mayEnter(new Arrival(next, "a", 1, AIM, 0), now); next++) {
+    for (; admission.mayEnter(new Arrival(next, "a", 1, LATENCY_TARGET, 0), now); next++) {
       admission.entered(next, "a", now);
       waitingIds.add(next);
     }
@@ -226,9 +227,9 @@
     for (int i = 0; i < 8; i++) {
       admission.endedUnsent(waitingIds.poll());
     }
-    assertFalse(admission.mayEnter(new Arrival(next, "a", 1, AIM, 0), now));
+    assertFalse(admission.mayEnter(new Arrival(next, "a", 1, LATENCY_TARGET, 0), now));
     assertTrue(
-        admission.mayEnter(new Arrival(9_999, "a", 1, AIM, 0), now),
+        admission.mayEnter(new Arrival(9_999, "a", 1, LATENCY_TARGET, 0), now),
         "waiting " + admission.waiting() + " full " + full);
   }
 
@@ -239,7 +240,7 @@
     long now = 1_000_000;
     for (long i = 0; i < 500; i++) {
       now += 5_000;
-      assertTrue(admission.mayEnter(new Arrival(i, "a", 1, AIM, 0), now), "call " + i);
+      assertTrue(admission.mayEnter(new Arrival(i, "a", 1, LATENCY_TARGET, 0), now), "call " + i);
       admission.entered(i, "a", now);
       if (i % 2 == 0) {
         admission.sent(i, now + 1_000);
@@ -257,7 +258,7 @@
     int entered = 0;
     for (long i = 0; i < 2_000; i++) {
       now += 5_000;
-      if (admission.mayEnter(new Arrival(i, "a", 1, AIM, 0), now)) {
+      if (admission.mayEnter(new Arrival(i, "a", 1, LATENCY_TARGET, 0), now)) {
         admission.entered(i, "a", now);
         entered++;
       }
@@ -265,16 +266,19 @@
     assertTrue(entered > 90 && entered < 160, "entered " + entered);
   }
 
-  /** A request that waited more than half its aim to be read is refused, unless hardly any calls wait. */
+  /** A request that waited more than half its latency target to be read is refused, unless hardly any calls wait. */
   @Test
   void aHopelessCallIsRefused() {
     Admission admission = admission(Map.of());
-    assertTrue(admission.mayEnter(new Arrival(1, "a", 1, AIM, AIM), 1_000_000));
+    assertTrue(
+        admission.mayEnter(new Arrival(1, "a", 1, LATENCY_TARGET, LATENCY_TARGET), 1_000_000));
     for (long i = 0; i < 20; i++) {
       admission.entered(i, "a", 1_000_000);
     }
-    assertFalse(admission.mayEnter(new Arrival(1, "a", 1, AIM, AIM * 6 / 10), 1_000_000));
-    assertTrue(admission.mayEnter(new Arrival(1, "a", 1, AIM, AIM * 4 / 10), 1_000_000));
+    assertFalse(admission.mayEnter(
+        new Arrival(1, "a", 1, LATENCY_TARGET, LATENCY_TARGET * 6 / 10), 1_000_000));
+    assertTrue(admission.mayEnter(
+        new Arrival(1, "a", 1, LATENCY_TARGET, LATENCY_TARGET * 4 / 10), 1_000_000));
   }
 
   /** Refusals are delayed while most calls are refused, and no longer once few are. */
@@ -283,14 +287,14 @@
     Admission admission = admission(Map.of());
     assertEquals(0, admission.refusalDelay());
     for (long i = 0; i < 1_000; i++) {
-      if (admission.mayEnter(new Arrival(i, "a", 1, AIM, 0), 1_000_000 + i)) {
+      if (admission.mayEnter(new Arrival(i, "a", 1, LATENCY_TARGET, 0), 1_000_000 + i)) {
         admission.entered(i, "a", 0);
       }
     }
     assertTrue(admission.refusalDelay() > 900_000);
     for (long i = 0; i < 1_000; i++) {
       admission.endedUnsent(i);
-      assertTrue(admission.mayEnter(new Arrival(i, "a", 1, AIM, 0), 9_000_000 + i));
+      assertTrue(admission.mayEnter(new Arrival(i, "a", 1, LATENCY_TARGET, 0), 9_000_000 + i));
     }
     assertEquals(0, admission.refusalDelay());
   }
@@ -303,7 +307,7 @@
     long now = 1_000_000;
     for (long i = 0; i < 2_000; i++) {
       now += 10;
-      if (admission.mayEnter(new Arrival(i, "a", 1, AIM, 0), now)) {
+      if (admission.mayEnter(new Arrival(i, "a", 1, LATENCY_TARGET, 0), now)) {
         admission.entered(i, "a", now);
       } else if (i > 1_000) {
         waits.merge(admission.retryAfter(), 1, Integer::sum);
--- a/decisions/src/test/java/gorseladder/order/SharedOrderTest.java
+++ b/decisions/src/test/java/gorseladder/order/SharedOrderTest.java
@@ -225,14 +225,14 @@
   /** The number of members examined grows with the number asked for, not with the fleet. */
   @Test
   void askingForTheFirstFewLooksAtAsManyInAnyFleet() {
-    long small = examinedAsking(order(240), 8);
-    long large = examinedAsking(order(24_000), 8);
-    long huge = examinedAsking(order(180_000), 8);
+    long small = examinedPerLookup(order(240), 8);
+    long large = examinedPerLookup(order(24_000), 8);
+    long huge = examinedPerLookup(order(180_000), 8);
     assertTrue(large <= 2 * small, "at 240: " + small + ", at 24,000: " + large);
     assertTrue(huge <= 2 * small, "at 240: " + small + ", at 180,000: " + huge);
   }
 
-  private static long examinedAsking(SharedOrder<Worker> order, int count) {
+  private static long examinedPerLookup(SharedOrder<Worker> order, int count) {
     long before = order.examined();
     for (int f = 0; f < 100; f++) {
       order.first(function(f), count);
--- a/decisions/src/test/java/gorseladder/repeats/RepeatsTest.java
+++ b/decisions/src/test/java/gorseladder/repeats/RepeatsTest.java
@@ -77,7 +77,7 @@
       Phase phase,
       boolean mayHaveRun,
       long leftAt,
-      boolean live,
+      boolean inProgress,
       boolean sent,
       int runs,
       long firstRun,
@@ -88,7 +88,7 @@
         Phase newPhase,
         boolean newMayHaveRun,
         long newLeftAt,
-        boolean newLive,
+        boolean newInProgress,
         boolean newSent,
         int newRuns,
         long newFirstRun,
@@ -99,7 +99,7 @@
           newPhase,
           newMayHaveRun,
           newLeftAt,
-          newLive,
+          newInProgress,
           newSent,
           newRuns,
           newFirstRun,
@@ -108,8 +108,8 @@
     }
 
     String key() {
-      return phase + " " + mayHaveRun + " " + leftAt + " " + live + " " + sent + " " + runs + " "
-          + firstRun + " " + now;
+      return phase + " " + mayHaveRun + " " + leftAt + " " + inProgress + " " + sent + " " + runs
+          + " " + firstRun + " " + now;
     }
   }
 
@@ -146,12 +146,12 @@
         state.phase(),
         state.mayHaveRun(),
         state.leftAt(),
-        state.live(),
+        state.inProgress(),
         state.sent(),
         state.runs(),
         state.firstRun(),
         t + 1));
-    if (state.live()) {
+    if (state.inProgress()) {
       successors.add(state.step(
           "kill",
           state.phase(),
@@ -223,7 +223,7 @@
           firstRunAfterNext(state),
           t));
     }
-    if (!state.live()) {
+    if (!state.inProgress()) {
       RecordedMessage known = state.phase() == null
           ? null
           : new RecordedMessage(state.phase(), false, state.mayHaveRun(), state.leftAt(), true);
