--- a/decisions/src/main/java/gorseladder/gate/SendGate.java
+++ b/decisions/src/main/java/gorseladder/gate/SendGate.java
@@ -10,17 +10,16 @@
 import java.util.function.Predicate;
 
 /**
- * What the last look before bytes leave needs to know of workers and of the load ration; {@link Permits} decides on it.
+ * The state of workers and of the load ration that is checked just before bytes are written; {@link Permits} decides.
  *
- * <p>The router decides on what it knows at that moment; between its decision and the write an attempt may sit in a
- * queue, wait for a connection or for the ledger. Guards against calls and load orders that leave after a drain's
- * grace, that were decided for a warm worker and meet a cold one, or that bunch up so that a window of the load ration
- * holds more than was allowed when each was decided. The gate closes for a worker as soon as the drain is told; the
- * whole grace is left for what lies between this look and the wire (a pause of the process, a full socket buffer). It
- * could harm only where a list calls workers draining, or started, that are not: their queued attempts are then decided
- * again.
+ * <p>Between the router's decision and the write an attempt may wait in a queue, for a connection or for the ledger.
+ * Without a second check, calls and load orders are sent after the grace of a drain, calls that were decided for a warm
+ * worker reach a restarted one, and load orders bunch up so that a window exceeds the ration that held when each was
+ * decided. The gate closes for a worker as soon as its drain is reported; the whole grace remains for delays between
+ * this check and the network (a pause of the process, a full socket buffer). Does harm only if a list reports workers
+ * as draining or started that are not: their queued attempts are then decided again.
  *
- * <p>Not thread safe: callers serialise. Times are microseconds on one clock that only goes forward.
+ * <p>Not thread safe: callers synchronize. Times are microseconds of a monotonic clock.
  */
 public final class SendGate {
   private final Rules rules;
@@ -31,21 +30,23 @@
   private long refusedCalls;
   private long refusedOrders;
 
-  /** A start that was told: with which news of the list, and when. */
-  private record Start(long born, long news, long at) {}
+  /** A reported start: the number of the list update that reported it, and when. */
+  private record Start(long startedAt, long listUpdate, long reportedAt) {}
 
   public SendGate(Rules rules) {
     this.rules = rules;
   }
 
-  /** How long after its drain was told a worker may still be sent to, by the rule. */
+  /** How long after the report of its drain a worker may still be sent calls. */
   public long drainGrace() {
     return rules.drainGrace();
   }
 
   /**
-   * News of a worker's phase, at the time its bytes reached this process, in the order in which it was told. Older news
-   * never opens a gate closed later; of news that came in one go the last stands.
+   * Records a worker's phase, in the order of the reports. An older report never opens a gate that was closed later; of
+   * reports with the same time the last one counts.
+   *
+   * @param at when the report reached this process
    */
   public void phaseReported(String worker, Phase phase, long at) {
     Long closed = closedSince.get(worker);
@@ -57,30 +58,31 @@
   }
 
   /**
-   * News of a worker's start; one that is told again is no news.
+   * Records a worker's start; a repeated report of the same start has no effect.
    *
-   * @param born when it started, 0 for long ago
-   * @param news the number of the list's news that tells it, from 1; what was decided before that news met another life
+   * @param startedAt when it started, 0 for long ago
+   * @param listUpdate the number of the list update with the report, from 1; attempts decided before that update were
+   *     meant for an earlier process
    */
-  public void startReported(String worker, long born, long news, long at) {
+  public void startReported(String worker, long startedAt, long listUpdate, long at) {
     Start before = starts.get(worker);
-    if (before == null || before.born() != born) {
-      starts.put(worker, new Start(born, before == null ? 0 : news, at));
+    if (before == null || before.startedAt() != startedAt) {
+      starts.put(worker, new Start(startedAt, before == null ? 0 : listUpdate, at));
     }
   }
 
-  /** When the drain of a worker was told; 0 where it was not. */
+  /** When the drain of a worker was reported; 0 if it was not. */
   public long drainToldAt(String worker) {
     return closedSince.getOrDefault(worker, 0L);
   }
 
-  /** When the last start of a worker was told that it had after it was first told; 0 where there is none. */
+  /** When the last restart of a worker was reported; 0 if it has not restarted since its first report. */
   public long restartToldAt(String worker) {
     Start start = starts.get(worker);
-    return start == null || start.news() == 0 ? 0 : start.at();
+    return start == null || start.listUpdate() == 0 ? 0 : start.reportedAt();
   }
 
-  /** True where a call may leave for the worker as far as its drain is concerned; one that may not is counted. */
+  /** True if the worker is not draining, so that a call may be sent; counts a refusal otherwise. */
   public boolean maySendCall(String worker) {
     boolean open = !closedSince.containsKey(worker);
     refusedCalls += open ? 0 : 1;
@@ -88,32 +90,32 @@
   }
 
   /**
-   * True where the worker started after what was decided with that news.
+   * True if the worker started after a decision.
    *
-   * @param news how many news of the list were known when it was decided
+   * @param listUpdate the number of list updates known at the decision
    */
-  public boolean restartedSince(String worker, long news) {
+  public boolean restartedSince(String worker, long listUpdate) {
     Start start = starts.get(worker);
-    return start != null && start.news() > news;
+    return start != null && start.listUpdate() > listUpdate;
   }
 
-  /** Drops what is remembered of workers that are not named: no list has them and nothing waits for them. */
-  public void retainWorkers(Predicate<String> named) {
-    closedSince.keySet().removeIf(named.negate());
-    starts.keySet().removeIf(named.negate());
+  /** Drops the state of all workers but those in use, which are listed or have attempts waiting for them. */
+  public void retainWorkers(Predicate<String> inUse) {
+    closedSince.keySet().removeIf(inUse.negate());
+    starts.keySet().removeIf(inUse.negate());
   }
 
-  /** A call was taken; it earns its share of the load ration. */
+  /** Records an accepted call, which adds its share to the load ration. */
   public void callAccepted(long at) {
     if (rules.loadWindow() > 0) {
       taken.addLast(at);
     }
   }
 
-  /** Whether a load order may leave for the worker now; where it may it is counted in the ration. */
-  public Verdict maySendLoadOrder(String worker, long news, long now) {
+  /** Whether a load order may be sent to the worker now; an allowed order counts in the ration. */
+  public Verdict maySendLoadOrder(String worker, long listUpdate, long now) {
     Verdict verdict = Permits.mayOrder(
-        closedSince.containsKey(worker), restartedSince(worker, news), inRation(now));
+        closedSince.containsKey(worker), restartedSince(worker, listUpdate), inRation(now));
     if (verdict.allowed() && rules.loadWindow() > 0) {
       ordered.addLast(now);
     }
@@ -133,12 +135,12 @@
         || ordered.size() + 1 <= rules.freeLoads() + rules.loadsPerCall() * taken.size();
   }
 
-  /** Calls that were stopped here. */
+  /** Number of calls refused by this gate. */
   public long refusedCalls() {
     return refusedCalls;
   }
 
-  /** Load orders that were stopped here. */
+  /** Number of load orders refused by this gate. */
   public long refusedOrders() {
     return refusedOrders;
   }
--- a/decisions/src/main/java/gorseladder/permits/Permits.java
+++ b/decisions/src/main/java/gorseladder/permits/Permits.java
@@ -4,32 +4,32 @@
 import gorseladder.RouterApi.Group;
 
 /**
- * The one place that says whether something may be sent, repeated, closed or started now. Every path asks here at the
- * moment at which it acts: the router when it decides, the links and the edge's connections just before bytes leave,
- * fronts and links before they close a connection, fronts before they take a call.
+ * Decides whether something may be sent, repeated, closed or started now. All paths ask here at the moment of the
+ * action: the router when it decides, connections just before bytes are written, fronts and connections before they
+ * close, fronts before they accept a call.
  *
- * <p>Guards against rules that each path keeps in its own way, so that one of them forgets a condition that another
- * has: what was right when it was decided may be wrong when it is done, after a wait for a connection, a queue, a
- * thread or the ledger. It could harm only by holding back what was still right; each verdict is counted and logged by
- * its name.
+ * <p>A single place ensures that no path forgets a condition that another path checks. The check is repeated at the
+ * action because a decision may be outdated after a wait for a connection, a queue, a thread or the ledger. Does harm
+ * only if it denies what is still right; every denial is counted and logged by the name of its verdict.
  *
- * <p>Pure functions; any thread. Times are microseconds on one clock that only goes forward.
+ * <p>Pure functions; thread safe. Times are microseconds of a monotonic clock.
  */
 public final class Permits {
-  /** Part of a call's time that calls before it may have waited. */
-  private static final long QUEUE_PART = 4;
+  /** The wait of queued calls may be up to the time that a new call has left, divided by this. */
+  private static final long QUEUE_DIVISOR = 4;
 
   private Permits() {}
 
   /**
-   * What is known at the last moment before an attempt leaves.
+   * The state just before an attempt is written.
    *
-   * @param callEnded the call has its final answer, or its client left
-   * @param expiresAt when the time of the attempt is over
-   * @param draining the worker is draining or gone
-   * @param restartedSince the worker started after the attempt was decided
-   * @param clientSeenFrom from when on what clients did before a pause of this process is known; 0 for always
-   * @param earlier what the earlier attempts allow
+   * @param callEnded true if the call has its final answer or its client has left
+   * @param expiresAt when the time of the attempt ends
+   * @param draining true if the worker is draining or gone
+   * @param restartedSince true if the worker started after the attempt was decided
+   * @param clientSeenFrom when everything that clients did during the last pause of this process has been read; 0 if
+   *     there was no pause
+   * @param earlier the verdict on the call's earlier attempts
    */
   public record Sending(
       boolean callEnded,
@@ -39,7 +39,7 @@
       long clientSeenFrom,
       Verdict earlier) {}
 
-  /** True where the attempt may leave now; bytes must follow at once. */
+  /** Whether the attempt may be written now; the caller must write it immediately. */
   public static Verdict maySend(Sending attempt, long now) {
     if (attempt.callEnded()) {
       return Verdict.CALL_ENDED;
@@ -60,11 +60,11 @@
   }
 
   /**
-   * Whether a call may run again after one attempt that left; asked for each of its attempts.
+   * Whether a call may run again after one attempt that was sent; to be asked for each of its attempts.
    *
-   * @param mayHaveRun false where the attempt is known not to have run
-   * @param since for how long it has been out, or since it left
-   * @param window for how long workers drop repeats of a keyed call; anything past it may run twice
+   * @param mayHaveRun false if the attempt is known not to have run
+   * @param since time since the attempt was sent
+   * @param window how long workers detect repeats of a keyed call; a later repeat may run twice
    */
   public static Verdict mayRepeatAfter(Effect effect, boolean mayHaveRun, long since, long window) {
     if (effect == Effect.SAFE || !mayHaveRun) {
@@ -77,10 +77,10 @@
   }
 
   /**
-   * Whether a call may be refused, which tells its client that trying again is harmless, after one attempt; asked for
-   * each.
+   * Whether a call may be refused after one attempt; to be asked for each of its attempts. A refusal tells the client
+   * that trying again is harmless.
    *
-   * @param mayHaveRun false where the attempt is known not to have run
+   * @param mayHaveRun false if the attempt is known not to have run
    */
   public static Verdict mayRefuseAfter(Effect effect, Group group, boolean mayHaveRun) {
     boolean harmless =
@@ -88,7 +88,7 @@
     return harmless ? Verdict.ALLOWED : Verdict.MAY_HAVE_RUN;
   }
 
-  /** Whether an order to load may be started at a worker now. */
+  /** Whether a load order may be sent to a worker now. */
   public static Verdict mayOrder(boolean draining, boolean restartedSince, boolean inRation) {
     if (draining) {
       return Verdict.DRAINING;
@@ -100,19 +100,19 @@
   }
 
   /**
-   * What is known of a client's connection that is to be closed.
+   * The state of a client connection that is to be closed.
    *
-   * @param open requests that have no answer
-   * @param unread bytes wait to be read, or were read and are being looked at
-   * @param unwritten an answer waits to be written or is being written
+   * @param open number of requests without an answer
+   * @param unread true if bytes wait to be read or are being parsed
+   * @param unwritten true if an answer waits to be written or is being written
    */
   public record Closing(int open, boolean unread, boolean unwritten) {}
 
   /**
-   * Whether a client's connection may be closed from here now.
+   * Whether this process may close a client connection now.
    *
-   * <p>Guards against a request that was read, or lies unread, when its connection is closed: it would be lost. Bytes
-   * that are on the way are the client's to repeat, but only for a moment, so the end must leave at once.
+   * <p>Prevents the loss of a request that was read, or waits to be read, when its connection is closed. The client
+   * repeats bytes that were in transit, but this verdict holds only for a moment, so the close must follow immediately.
    */
   public static Verdict mayClose(Closing connection) {
     if (connection.open() > 0) {
@@ -124,32 +124,32 @@
     return connection.unwritten() ? Verdict.UNWRITTEN : Verdict.ALLOWED;
   }
 
-  /** Whether a connection to a worker may be closed though it works: not while anything is out on it. */
-  public static Verdict mayCloseLink(int carrying) {
-    return carrying == 0 ? Verdict.ALLOWED : Verdict.IN_USE;
+  /** Whether an intact connection to a worker may be closed: only while it carries no request. */
+  public static Verdict mayCloseLink(int inFlight) {
+    return inFlight == 0 ? Verdict.ALLOWED : Verdict.IN_USE;
   }
 
   /**
-   * Whether a call that was read may be started.
+   * Whether a call that was read may be accepted.
    *
-   * @param held calls held, this one included
-   * @param bodyBytes bytes of bodies held, this one's included
+   * @param held number of calls held, including this one
+   * @param bodyBytes bytes of the bodies held, including this one
    */
-  public static Verdict mayTake(int held, int mostHeld, long bodyBytes, long mostBodyBytes) {
-    return held > mostHeld || bodyBytes > mostBodyBytes ? Verdict.NO_ROOM : Verdict.ALLOWED;
+  public static Verdict mayTake(int held, int maxHeld, long bodyBytes, long maxBodyBytes) {
+    return held > maxHeld || bodyBytes > maxBodyBytes ? Verdict.NO_ROOM : Verdict.ALLOWED;
   }
 
   /**
-   * Whether a call may wait for its decision behind others.
+   * Whether a call may queue for its decision.
    *
-   * <p>Guards against a process that has less processor than its calls need: each one that is queued makes the answers
-   * of all others later, until none is in time. Refused at once it costs little, and trying again is harmless. It could
-   * harm just after a pause, where what waits is decided within a moment.
+   * <p>If the process has too little processor time for its calls, every queued call delays all others until none is in
+   * time. A call refused at once costs little, and trying again is harmless. Does harm just after a pause, when the
+   * queue is processed within moments.
    *
-   * @param longestWait how long the oldest of those that wait has waited; 0 where none does
-   * @param timeLeft how long the call's client waits from now on
+   * @param longestWait how long the oldest queued call has waited; 0 if none is queued
+   * @param timeLeft how long the call's client will still wait
    */
   public static Verdict mayQueue(long longestWait, long timeLeft) {
-    return longestWait * QUEUE_PART >= timeLeft ? Verdict.BEHIND : Verdict.ALLOWED;
+    return longestWait * QUEUE_DIVISOR >= timeLeft ? Verdict.BEHIND : Verdict.ALLOWED;
   }
 }
--- a/decisions/src/main/java/gorseladder/permits/Verdict.java
+++ b/decisions/src/main/java/gorseladder/permits/Verdict.java
@@ -2,50 +2,47 @@
 
 import java.util.Locale;
 
-/**
- * What {@link Permits} says: allowed, or why not now. The one vocabulary of logs, counters and docs for what was held
- * back.
- */
+/** A decision of {@link Permits}: allowed, or the reason for the denial. Logs and counters use these names. */
 public enum Verdict {
   ALLOWED,
 
-  /** The call has its final answer, also where its client left. */
+  /** The call has its final answer, or its client has left. */
   CALL_ENDED,
-  /** The time of the attempt is over. */
+  /** The time of the attempt has ended. */
   TIME_UP,
   /** The worker is draining or gone. */
   DRAINING,
-  /** The worker was told to have started after the attempt was decided. */
+  /** The worker was reported as started after the attempt was decided. */
   WORKER_RESTARTED,
-  /** An earlier attempt may have run, and a second run does harm. */
+  /** An earlier attempt may have run, and the call must not run twice. */
   MAY_HAVE_RUN,
-  /** An earlier attempt may have run, and the time in which workers drop its repeats is over. */
+  /** An earlier attempt may have run, and workers no longer detect its repeats. */
   WINDOW_OVER,
-  /** Another attempt is out, and two at a time are not allowed. */
+  /** Another attempt is outstanding, and two at a time are not allowed. */
   ATTEMPT_OUT,
-  /** This process stood still just now: whether the client is still there has to be read first. */
+  /** This process was paused: it must first read whether the client is still connected. */
   CLIENT_UNSEEN,
-  /** The ration of load orders is spent. */
+  /** The ration of load orders is used up. */
   RATION_SPENT,
 
-  /** Requests or calls are open on the connection. */
+  /** The connection has open requests or calls. */
   IN_USE,
-  /** Bytes have come on the connection that were not looked at yet. */
+  /** The connection has received bytes that are not parsed yet. */
   UNREAD,
-  /** An answer is not written yet. */
+  /** An answer is not written completely. */
   UNWRITTEN,
 
-  /** As much is held as may be. */
+  /** The limit on held calls or bytes is reached. */
   NO_ROOM,
-  /** Calls wait for so long already that this one would have too little time left after them. */
+  /** Calls queue for so long that this one would have too little time left. */
   BEHIND;
 
-  /** True where it may be done. */
+  /** True if the action is allowed. */
   public boolean allowed() {
     return this == ALLOWED;
   }
 
-  /** The word in logs and counters. */
+  /** The name in logs and counters. */
   public String word() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/decisions/src/main/java/gorseladder/rules/Rule.java
+++ b/decisions/src/main/java/gorseladder/rules/Rule.java
@@ -2,22 +2,22 @@
 
 import java.util.Locale;
 
-/** The rules that are looked at while the program runs. */
+/** The rules that are checked while the program runs. */
 public enum Rule {
-  /** A call taken gets one final answer in its time. */
+  /** An accepted call gets exactly one final answer within its time. */
   FINAL_ANSWER,
-  /** No effect happens twice, and no two attempts are out where that is not allowed. */
+  /** No effect happens twice, and two attempts are outstanding only where that is allowed. */
   EFFECT_ONCE,
-  /** Nothing new leaves for a draining or removed worker. */
+  /** Nothing new is sent to a draining or removed worker. */
   DRAIN,
-  /** Nothing that was decided before a worker started leaves for it after that was told. */
+  /** Nothing that was decided before a worker started is sent to it after the start was reported. */
   SLOW_START,
-  /** No attempt begins once its client has left. */
+  /** No attempt is sent after its client has left. */
   CLIENT_GONE,
-  /** The time passed to a worker is at most what the client has left. */
+  /** The time limit passed to a worker is at most the time that the client has left. */
   DEADLINE;
 
-  /** The word in logs and counters. */
+  /** The name in logs and counters. */
   public String word() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/decisions/src/main/java/gorseladder/rules/RuleWatch.java
+++ b/decisions/src/main/java/gorseladder/rules/RuleWatch.java
@@ -8,32 +8,32 @@
 import java.util.Set;
 
 /**
- * A second look at the rules, independent of what let something pass: it is told what has happened on the sockets, with
- * the times at which it did, and counts what went against a rule. It decides nothing and stops nothing.
+ * Checks and counts rule violations from what has happened on the sockets, independently of the code that allowed it.
+ * It neither decides nor prevents anything.
  *
- * <p>Guards against a path that does not ask {@link gorseladder.permits.Permits}, or asks too early: the times here are
- * those after the write and not those of the decision. It could not harm.
+ * <p>It finds paths that do not ask {@link gorseladder.permits.Permits}, or ask too early, because it uses the times
+ * after the write and not those of the decision.
  *
- * <p>Not thread safe: callers serialise. Times are microseconds on one clock that only goes forward.
+ * <p>Not thread safe: callers synchronize. Times are microseconds of a monotonic clock.
  */
 public final class RuleWatch {
-  /** What the platform allows on every limit. */
-  private static final long SLACK = 50_000;
-  /** An attempt that begins so long after its client left is a lost request. */
-  private static final long GONE_SLACK = 100_000;
-  /** By so much the time passed to a worker may be over what the client has left. */
-  private static final long DEADLINE_SLACK = 150_000;
-  /** Past its time an answer first only earns nothing; so much later the request counts as lost. */
-  private static final long ANSWER_SLACK = 500_000;
+  /** Tolerance of the platform on every limit. */
+  private static final long TOLERANCE_MICROS = 50_000;
+  /** An attempt that is sent later than this after its client left counts as a lost request. */
+  private static final long CLIENT_GONE_TOLERANCE_MICROS = 100_000;
+  /** The time limit passed to a worker may exceed the client's remaining time by this. */
+  private static final long DEADLINE_TOLERANCE_MICROS = 150_000;
+  /** A late answer is worth nothing; an answer later than this counts as a lost request. */
+  private static final long ANSWER_TOLERANCE_MICROS = 500_000;
 
   private final Map<Rule, Long> counts = new EnumMap<>(Rule.class);
 
   /**
-   * Another attempt of the same call, as its bytes left.
+   * Another attempt of the same call.
    *
-   * @param leftAt when its bytes left
-   * @param endedAt when it ended, or was given up on the wire; 0 while it is out
-   * @param neverRan true where the worker proved that it did not run
+   * @param leftAt when it was written
+   * @param endedAt when it ended or was cancelled on the connection; 0 while it is outstanding
+   * @param neverRan true if the worker proved that it did not run
    */
   public record Other(long leftAt, long endedAt, boolean neverRan) {
     @Override
@@ -43,16 +43,18 @@
   }
 
   /**
-   * An attempt whose bytes have left.
+   * An attempt that has been written. Its text is part of log lines, so the names in it are fixed.
    *
-   * @param at when the write had ended
    * @param begunAt when the write began
-   * @param drainToldAt when the worker's drain was told; 0 where it was not
-   * @param restartToldAt when the worker's start was told; 0 where it was not
+   * @param at when the write had ended
+   * @param drainToldAt when the worker's drain was reported; 0 if it was not
+   * @param restartToldAt when the worker's restart was reported; 0 if it was not
    * @param decidedAt when the attempt was decided
-   * @param callEndedAt when the call got its final answer, or its client left; 0 while it is open
-   * @param timePassed what the worker is told to have
+   * @param callEndedAt when the call got its final answer or its client left; 0 while it is open
+   * @param timePassed time limit passed to the worker
    * @param deadlineAt when the client gives up
+   * @param window how long workers detect repeats of a keyed call
+   * @param mayDuplicate true if two attempts may be outstanding at a time
    */
   public record Written(
       long begunAt,
@@ -68,7 +70,7 @@
       long window,
       boolean mayDuplicate,
       List<Other> others) {
-    /** The same text as a record's own, whose code the Java machine would make at the first line that names it. */
+    /** Equals the record's default text, whose code the JVM would generate at its first use. */
     @Override
     public String toString() {
       return "Written[begunAt=" + begunAt + ", at=" + at + ", drainToldAt=" + drainToldAt
@@ -81,52 +83,54 @@
     }
   }
 
-  /** The rules that an attempt went against; each is counted. */
+  /** Counts and returns the rules that an attempt violates. */
   public Set<Rule> written(Written attempt) {
-    Set<Rule> broken = EnumSet.noneOf(Rule.class);
+    Set<Rule> violated = EnumSet.noneOf(Rule.class);
     if (attempt.drainToldAt() > 0
-        && attempt.begunAt() - attempt.drainToldAt() > attempt.drainGrace() + SLACK) {
-      broken.add(Rule.DRAIN);
+        && attempt.begunAt() - attempt.drainToldAt() > attempt.drainGrace() + TOLERANCE_MICROS) {
+      violated.add(Rule.DRAIN);
     }
     if (attempt.restartToldAt() > attempt.decidedAt()
         && attempt.begunAt() > attempt.restartToldAt()) {
-      broken.add(Rule.SLOW_START);
+      violated.add(Rule.SLOW_START);
     }
-    if (attempt.callEndedAt() > 0 && attempt.at() - attempt.callEndedAt() > GONE_SLACK) {
-      broken.add(Rule.CLIENT_GONE);
+    if (attempt.callEndedAt() > 0
+        && attempt.at() - attempt.callEndedAt() > CLIENT_GONE_TOLERANCE_MICROS) {
+      violated.add(Rule.CLIENT_GONE);
     }
-    if (attempt.timePassed() > attempt.deadlineAt() - attempt.at() + DEADLINE_SLACK) {
-      broken.add(Rule.DEADLINE);
+    if (attempt.timePassed() > attempt.deadlineAt() - attempt.at() + DEADLINE_TOLERANCE_MICROS) {
+      violated.add(Rule.DEADLINE);
     }
-    if (attempt.others().stream().anyMatch(other -> twice(attempt, other))) {
-      broken.add(Rule.EFFECT_ONCE);
+    if (attempt.others().stream().anyMatch(other -> mayRepeatEffect(attempt, other))) {
+      violated.add(Rule.EFFECT_ONCE);
     }
-    broken.forEach(this::count);
-    return broken;
+    violated.forEach(this::count);
+    return violated;
   }
 
-  private static boolean twice(Written attempt, Other other) {
-    boolean bothOut = other.endedAt() == 0 || other.endedAt() > attempt.at() + SLACK;
-    if (bothOut && !attempt.mayDuplicate()) {
+  private static boolean mayRepeatEffect(Written attempt, Other other) {
+    boolean bothOutstanding =
+        other.endedAt() == 0 || other.endedAt() > attempt.at() + TOLERANCE_MICROS;
+    if (bothOutstanding && !attempt.mayDuplicate()) {
       return true;
     }
     if (other.neverRan() || attempt.effect() == Effect.SAFE) {
       return false;
     }
     return attempt.effect() == Effect.UNSAFE
-        || attempt.begunAt() - other.leftAt() > attempt.window() + SLACK;
+        || attempt.begunAt() - other.leftAt() > attempt.window() + TOLERANCE_MICROS;
   }
 
-  /** A final answer was handed to its connection; true where it came too late for its client. */
+  /** Records a final answer that was passed to its connection; true if it was too late for its client. */
   public boolean answeredTooLate(long at, long deadlineAt) {
-    boolean late = at > deadlineAt + ANSWER_SLACK;
+    boolean late = at > deadlineAt + ANSWER_TOLERANCE_MICROS;
     if (late) {
       count(Rule.FINAL_ANSWER);
     }
     return late;
   }
 
-  /** A connection was closed from here though requests on it have no answer. */
+  /** Records that this process closed a connection with unanswered requests. */
   public void closedWithRequests(int open) {
     for (int i = 0; i < open; i++) {
       count(Rule.FINAL_ANSWER);
@@ -137,7 +141,7 @@
     counts.merge(rule, 1L, Long::sum);
   }
 
-  /** How often each rule was broken so far; empty where none was. */
+  /** Number of violations of each rule so far; empty if there are none. */
   public Map<Rule, Long> counts() {
     return new EnumMap<>(counts);
   }
--- a/decisions/src/main/java/gorseladder/stalls/StallWatch.java
+++ b/decisions/src/main/java/gorseladder/stalls/StallWatch.java
@@ -1,59 +1,59 @@
 package gorseladder.stalls;
 
 /**
- * Tells when this process stood still: no processor, stopped by a signal, or a machine that slept. A tick comes at a
- * steady pace; one that comes late says that nothing here ran for a while, though the world went on.
+ * Detects pauses of this process: no processor time, a stop signal or a suspended machine. Ticks come at a fixed
+ * interval; a late one shows that nothing ran here while the outside world went on.
  *
- * <p>Guards against times that are taken when something is read and not when it came: after a pause a request looks new
- * whose client has waited for long, and one whose client has left long ago looks open until its connection's end is
- * read too. So what is read within {@link #SETTLE_MICROS} after a pause counts as arrived when the pause began, and nothing
- * new leaves before that. It could harm where pauses follow each other closely: requests then get less time than their
- * clients would wait.
+ * <p>Events are timed when they are read, not when they arrive. After a pause a request therefore looks new although
+ * its client has waited for long, and one whose client has left looks open until its connection's end is read too. So
+ * what is read within {@link #SETTLE_MICROS} after a pause counts as arrived when the pause began, and nothing new is
+ * sent before that. Does harm if pauses follow each other closely: requests then get less time than their clients
+ * would wait.
  *
- * <p>Not thread safe: callers serialise. Times are microseconds on one clock that only goes forward.
+ * <p>Not thread safe: callers synchronize. Times are microseconds of a monotonic clock.
  */
 public final class StallWatch {
-  /** Between two ticks. */
+  /** Interval between two ticks. */
   public static final long TICK_MICROS = 25_000;
-  /** A tick that is late by this much says that the process stood still; far less than the slack on deadlines. */
-  private static final long STALL = 50_000;
-  /** After a pause, the time in which what came during it is read. */
+  /** A tick that is later than this indicates a pause; far less than the tolerance on deadlines. */
+  private static final long MAX_TICK_DELAY_MICROS = 50_000;
+  /** Time after a pause in which everything that arrived during it is read. */
   public static final long SETTLE_MICROS = 30_000;
 
-  private long tickedAt;
-  private long beganAt;
-  private long endedAt;
+  private long lastTickAt;
+  private long pauseBeganAt;
+  private long pauseEndedAt;
 
-  /** A watch whose first tick is now. */
+  /** Starts with a tick at the given time. */
   public StallWatch(long now) {
-    tickedAt = now;
+    lastTickAt = now;
   }
 
-  /** A tick; how long the process stood still before it, 0 where it did not. */
+  /** Records a tick; returns the duration of the pause before it, 0 if there was none. */
   public long tick(long now) {
-    look(now);
-    boolean late = endedAt == now;
-    tickedAt = now;
-    return late ? now - beganAt : 0;
+    detectPause(now);
+    boolean late = pauseEndedAt == now;
+    lastTickAt = now;
+    return late ? now - pauseBeganAt : 0;
   }
 
-  private void look(long now) {
-    if (now - tickedAt > TICK_MICROS + STALL) {
-      beganAt = tickedAt;
-      endedAt = now;
-      tickedAt = now;
+  private void detectPause(long now) {
+    if (now - lastTickAt > TICK_MICROS + MAX_TICK_DELAY_MICROS) {
+      pauseBeganAt = lastTickAt;
+      pauseEndedAt = now;
+      lastTickAt = now;
     }
   }
 
-  /** The earliest time at which something may have come that is read now. */
+  /** The earliest time at which something that is read now may have arrived. */
   public long earliestArrival(long now) {
-    look(now);
-    return endedAt > 0 && now - endedAt < SETTLE_MICROS ? beganAt : now;
+    detectPause(now);
+    return pauseEndedAt > 0 && now - pauseEndedAt < SETTLE_MICROS ? pauseBeganAt : now;
   }
 
-  /** From when on what clients did during the last pause is known; 0 where there was none. */
+  /** When everything that clients did during the last pause has been read; 0 if there was no pause. */
   public long settledAt(long now) {
-    look(now);
-    return endedAt == 0 ? 0 : endedAt + SETTLE_MICROS;
+    detectPause(now);
+    return pauseEndedAt == 0 ? 0 : pauseEndedAt + SETTLE_MICROS;
   }
 }
