--- a/decisions/src/main/java/gorseladder/ahead/FunctionStats.java
+++ b/decisions/src/main/java/gorseladder/ahead/FunctionStats.java
@@ -56,11 +56,11 @@
   }
 
   /** Records a served attempt: a warm one gives the work time, one that had to load the copy gives the load time. */
-  public void served(String function, CopyStatus note, long latencyMicros) {
+  public void served(String function, CopyStatus status, long latencyMicros) {
     Stats stats = functions.get(function);
-    if (stats != null && note == CopyStatus.WARM) {
+    if (stats != null && status == CopyStatus.WARM) {
       stats.workMicros = smooth(stats.workMicros, latencyMicros);
-    } else if (stats != null && note == CopyStatus.BEGAN && latencyMicros > stats.workMicros) {
+    } else if (stats != null && status == CopyStatus.BEGAN && latencyMicros > stats.workMicros) {
       stats.loadMicros = smooth(stats.loadMicros, latencyMicros - stats.workMicros);
     }
   }
--- a/decisions/src/main/java/gorseladder/ahead/LoadAheadAccounting.java
+++ b/decisions/src/main/java/gorseladder/ahead/LoadAheadAccounting.java
@@ -136,12 +136,12 @@
   }
 
   /** Records a served attempt and the state of the copy that it found. */
-  public void served(String worker, String function, CopyStatus note, long now) {
+  public void served(String worker, String function, CopyStatus status, long now) {
     CopyKey key = new CopyKey(worker, function);
     OpenRecord record = openRecords.get(key);
-    if (note == CopyStatus.WARM && record != null) {
+    if (status == CopyStatus.WARM && record != null) {
       recordUse(record, function, now);
-    } else if (note == CopyStatus.BEGAN) {
+    } else if (status == CopyStatus.BEGAN) {
       Long servedAt = lastServedAt.get(key);
       if (record != null) {
         close(key, record, now);
--- a/decisions/src/main/java/gorseladder/ahead/PlanExecutor.java
+++ b/decisions/src/main/java/gorseladder/ahead/PlanExecutor.java
@@ -13,7 +13,7 @@
 import java.util.Set;
 
 /**
- * Executes plans for loading ahead in a dispatcher: accepts plans, proposes holds to the router at their time, and
+ * Executes plans for loading ahead in a dispatcher: accepts plans, proposes loads to the router at their time, and
  * keeps the accounting. The router decides whether a proposal becomes an order: it counts the order in its own ration,
  * leaves room for calls that need a load, and skips workers that drain, are cold or suspect.
  *
@@ -46,7 +46,7 @@
     ABSURD
   }
 
-  private static final class PlannedHold {
+  private static final class HoldState {
     private final Plan.Item item;
     private long orderedAt = -1;
     private long renewAfter;
@@ -54,7 +54,7 @@
     private boolean loaded;
     private long notifiedAt = Long.MIN_VALUE / 2;
 
-    PlannedHold(Plan.Item item) {
+    HoldState(Plan.Item item) {
       this.item = item;
     }
   }
@@ -64,12 +64,12 @@
   private final long keepAliveMicros;
   private final LoadAheadAccounting account;
   /** The holds of all items of the current plan. */
-  private final Map<CopyKey, PlannedHold> holds = new LinkedHashMap<>();
+  private final Map<CopyKey, HoldState> holds = new LinkedHashMap<>();
 
   /** The holds that this dispatcher orders. */
-  private final Set<PlannedHold> ownHolds = new LinkedHashSet<>();
+  private final Set<HoldState> ownHolds = new LinkedHashSet<>();
   /** Orders in progress, those of replaced plans included. */
-  private final Map<CopyKey, PlannedHold> pendingOrders = new HashMap<>();
+  private final Map<CopyKey, HoldState> pendingOrders = new HashMap<>();
 
   private Plan plan = new Plan(Long.MIN_VALUE, 0, 0, List.of());
   private long orderCount;
@@ -99,13 +99,13 @@
       return Verdict.ABSURD;
     }
     plan = next;
-    Map<CopyKey, PlannedHold> previousHolds = new HashMap<>(holds);
+    Map<CopyKey, HoldState> previousHolds = new HashMap<>(holds);
     holds.clear();
     ownHolds.clear();
     for (Plan.Item item : next.items()) {
       CopyKey key = new CopyKey(item.worker(), item.function());
-      PlannedHold hold = new PlannedHold(item);
-      PlannedHold previous = previousHolds.get(key);
+      HoldState hold = new HoldState(item);
+      HoldState previous = previousHolds.get(key);
       if (previous != null && previous.orderedAt >= 0) {
         hold.orderedAt = previous.orderedAt;
         hold.renewAfter = previous.renewAfter;
@@ -131,7 +131,7 @@
         || !(item.memoryMb() >= 0);
   }
 
-  /** Returns the holds to propose to the router now. Called a few times a second, it spreads a plan over time. */
+  /** Returns the loads to propose to the router now. Called a few times a second, it spreads a plan over time. */
   public List<PlannedLoad> due(long now) {
     account.closeExpired(now);
     List<PlannedLoad> due = new ArrayList<>();
@@ -139,9 +139,9 @@
       holds.clear();
       ownHolds.clear();
     }
-    for (Iterator<PlannedHold> iterator = ownHolds.iterator();
+    for (Iterator<HoldState> iterator = ownHolds.iterator();
         iterator.hasNext() && due.size() < MAX_PROPOSALS_AT_ONCE; ) {
-      PlannedHold hold = iterator.next();
+      HoldState hold = iterator.next();
       Plan.Item item = hold.item;
       if (now >= item.until()) {
         iterator.remove();
@@ -159,7 +159,7 @@
    * Whether the hold was not ordered yet, or its copy is loaded and has had no known use for so long that it might age
    * out before the hold ends.
    */
-  private boolean shouldPropose(PlannedHold hold, long now) {
+  private boolean shouldPropose(HoldState hold, long now) {
     if (now < hold.proposeAfter || hold.orderedAt < 0) {
       return now >= hold.proposeAfter;
     }
@@ -172,7 +172,7 @@
   /** Records that the router ordered a proposed hold. */
   public void ordered(String worker, String function, long now) {
     CopyKey key = new CopyKey(worker, function);
-    PlannedHold hold = holds.get(key);
+    HoldState hold = holds.get(key);
     if (hold != null) {
       orderCount++;
       hold.orderedAt = now;
@@ -185,7 +185,7 @@
   public void loaded(
       String worker, String function, Outcome outcome, long latencyMicros, long now) {
     CopyKey key = new CopyKey(worker, function);
-    PlannedHold hold = pendingOrders.remove(key);
+    HoldState hold = pendingOrders.remove(key);
     if (hold == null) {
       return;
     }
@@ -211,13 +211,13 @@
   /**
    * Records a served attempt.
    *
-   * @param note state of the copy that the attempt found
+   * @param status state of the copy that the attempt found
    * @return message to the other dispatchers that a copy ordered by one of them was found; null if there is none. If
    *     the message is lost, the copy counts as unused, which underrates loading ahead.
    */
-  public String served(String worker, String function, CopyStatus note, long now) {
-    account.served(worker, function, note, now);
-    PlannedHold hold = note == CopyStatus.WARM ? holds.get(new CopyKey(worker, function)) : null;
+  public String served(String worker, String function, CopyStatus status, long now) {
+    account.served(worker, function, status, now);
+    HoldState hold = status == CopyStatus.WARM ? holds.get(new CopyKey(worker, function)) : null;
     if (hold == null
         || hold.item.owned()
         || now < hold.notifiedAt + (long) (NOTIFICATION_FRACTION * keepAliveMicros)
--- a/decisions/src/test/java/gorseladder/ahead/AheadTest.java
+++ b/decisions/src/test/java/gorseladder/ahead/AheadTest.java
@@ -82,8 +82,8 @@
     for (; ordered < 10; rounds++) {
       assertTrue(rounds < 40);
       now += SECOND_MICROS / 4;
-      for (PlannedLoad hold : due()) {
-        executor.ordered(hold.worker(), hold.function(), now);
+      for (PlannedLoad planned : due()) {
+        executor.ordered(planned.worker(), planned.function(), now);
         ordered++;
       }
     }
@@ -271,7 +271,7 @@
     executor.offer(plan(1, 1, items.toArray(new Plan.Item[0])), now);
     List<String> proposed = new ArrayList<>();
     for (int round = 0; round < 3; round++) {
-      due().forEach(hold -> proposed.add(hold.worker()));
+      due().forEach(planned -> proposed.add(planned.worker()));
       now += SECOND_MICROS / 4;
     }
     assertEquals(12, proposed.stream().distinct().count());
