--- a/core/src/main/java/gorseladder/core/Call.java
+++ b/core/src/main/java/gorseladder/core/Call.java
@@ -89,7 +89,7 @@
    * @param expiresAt when the attempt times out
    * @param draining true if the worker is draining or gone
    * @param restartedSince true if the worker started after the attempt was decided
-   * @param clientSeenFrom from when on the process knows what its clients did during its last stall; 0 without a stall
+   * @param clientSeenFrom from when on the process knows whether the client left during a stall; 0 for always
    * @param mayDuplicate true if two attempts may be in progress at a time
    */
   public record SendConditions(
--- a/runtime/src/main/java/gorseladder/runtime/HttpConnection.java
+++ b/runtime/src/main/java/gorseladder/runtime/HttpConnection.java
@@ -25,7 +25,9 @@
   /** Size of the read buffer of a connection in use. */
   public static final int BUFFER_BYTES = 8192;
 
-  /** Maximum bytes of one write; the JDK keeps a buffer for each thread outside the heap, as long as its longest write. */
+  /**
+   * Maximum bytes of one write; the JDK keeps a buffer for each thread outside the heap, as long as its longest write.
+   */
   private static final int MAX_WRITE_BYTES = 16_384;
 
   /** Memory bytes for each byte of a header section: the line, and its fields as text. */
--- a/runtime/src/main/java/gorseladder/runtime/HttpServer.java
+++ b/runtime/src/main/java/gorseladder/runtime/HttpServer.java
@@ -35,8 +35,8 @@
 
   /**
    * Consecutive failed calls to accept that are made without a pause. With a pause after each failure, the queue of
-   * connections would grow faster than they are accepted, and clients behind a crowd were answered after their deadline.
-   * The cost is a few useless calls.
+   * connections grew faster than they were accepted, and clients behind a crowd were answered after their
+   * deadline. The cost is a few useless calls.
    */
   private static final int MAX_TRIES_WITHOUT_PAUSE = 10;
 
@@ -59,8 +59,8 @@
     }
 
     /**
-     * Decides whether an accepted connection is kept; false closes it. Called on the accepting thread for one connection
-     * at a time, so that concurrent connections cannot exceed a limit that is checked here. Must not block.
+     * Decides whether an accepted connection is kept; false closes it. Called on the accepting thread for one
+     * connection at a time, so that concurrent connections cannot exceed a limit that is checked here. Must not block.
      *
      * @param waitedSince since when the connection, and data sent on it, may have waited to be accepted
      */
--- a/runtime/src/main/java/gorseladder/runtime/Mailbox.java
+++ b/runtime/src/main/java/gorseladder/runtime/Mailbox.java
@@ -5,10 +5,10 @@
 import java.util.function.Predicate;
 
 /**
- * The input queue of a thread that owns state. Notices that must not be lost (ends of attempts, list updates) are always
- * accepted; offers of new work are accepted only while fewer than a maximum wait, so that callers of an overloaded
- * thread are rejected instead of queued without bound. Notices are taken before offers. Any thread may add; one thread
- * takes.
+ * The input queue of a thread that owns state. Notices that must not be lost (ends of attempts, list updates) are
+ * always accepted; offers of new work are accepted only while fewer than a maximum wait, so that callers of an
+ * overloaded thread are rejected instead of queued without bound. Notices are taken before offers. Any thread may add;
+ * one thread takes.
  *
  * @param <T> type of the messages
  */
--- a/runtime/src/main/java/gorseladder/runtime/Outbox.java
+++ b/runtime/src/main/java/gorseladder/runtime/Outbox.java
@@ -9,8 +9,9 @@
 
 /**
  * The output queue of one connection. Adding an item never blocks. The adding thread writes the item itself as long as
- * the peer has left little unread, because the send buffer then has room; otherwise a thread of a pool writes everything
- * that is queued in one write. A peer that stops reading delays only its own connection, until its queue is full.
+ * the peer has left little unread, because the send buffer then has room; otherwise a thread of a pool writes
+ * everything that is queued in one write. A peer that stops reading delays only its own connection, until its queue is
+ * full.
  *
  * <p>Writing on the adding thread saves a hand-over to another thread, which on a busy processor takes as long as the
  * turns of all threads that wait for it. The cost is one system call for each item, where the pool writes several items
@@ -88,8 +89,8 @@
   }
 
   /**
-   * Queues an item without writing, for a caller that holds a lock which must not be held during a write; the item waits
-   * until {@link #send}. Returns false, without queueing it, if closed or full.
+   * Queues an item without writing, for a caller that holds a lock which must not be held during a write; the item
+   * waits until {@link #send}. Returns false, without queueing it, if closed or full.
    */
   public synchronized boolean add(Item item) {
     if (closed || bytes + item.size() > maxBytes && bytes > 0) {
@@ -132,8 +133,8 @@
   }
 
   /**
-   * Rejects further items and shuts down the output once all is written. With an empty queue the shutdown happens before
-   * this method returns, so that the peer sends as little as possible that crosses it on the wire.
+   * Rejects further items and shuts down the output once all is written. With an empty queue the shutdown happens
+   * before this method returns, so that the peer sends as little as possible that crosses it on the wire.
    */
   public void finish() {
     boolean now;
@@ -159,8 +160,8 @@
   }
 
   /**
-   * Runs a task once nothing is queued or being written: immediately, or on the writing thread. A later task replaces an
-   * earlier one.
+   * Runs a task once nothing is queued or being written: immediately, or on the writing thread. A later task replaces
+   * an earlier one.
    */
   public void whenIdle(Runnable task) {
     synchronized (this) {
--- a/runtime/src/main/java/gorseladder/runtime/ThreadCache.java
+++ b/runtime/src/main/java/gorseladder/runtime/ThreadCache.java
@@ -123,8 +123,8 @@
   }
 
   /**
-   * Like {@link #execute(Runnable)}, for a task that no client waits for yet: if no new thread can be started, it leaves
-   * half of the threads started in advance to more urgent tasks.
+   * Like {@link #execute(Runnable)}, for a task that no client waits for yet: if no new thread can be started, it
+   * leaves half of the threads started in advance to more urgent tasks.
    */
   public boolean executeIfSpare(Runnable task) {
     return execute(task, minIdle / 2);
--- a/runtime/src/test/java/gorseladder/runtime/HandOverTest.java
+++ b/runtime/src/test/java/gorseladder/runtime/HandOverTest.java
@@ -23,7 +23,9 @@
 
   private volatile long lastRun;
 
-  /** A lost wake-up leaves a message in the mailbox until the next one; here the next one follows only when it is taken. */
+  /**
+   * A lost wake-up leaves a message in the mailbox until the next one; here the next one follows only when it is taken.
+   */
   @Test
   void aMessageAlwaysWakesTheTaker() throws Exception {
     Mailbox<Long> mailbox = new Mailbox<>(1);
