--- a/core/src/main/java/gorseladder/core/StallDetector.java
+++ b/core/src/main/java/gorseladder/core/StallDetector.java
@@ -22,7 +22,7 @@
   }
 
   private void scheduleTick() {
-    watchdog.after(StallWatch.TICK, () -> {
+    watchdog.after(StallWatch.TICK_MICROS, () -> {
       if (!stopped) {
         tick();
         scheduleTick();
@@ -44,7 +44,7 @@
   /** The earliest time at which data that is read now may have arrived. */
   public long earliestArrival(long now) {
     synchronized (watch) {
-      return watch.cameAt(now);
+      return watch.earliestArrival(now);
     }
   }
 
