--- a/decisions/src/main/java/gorseladder/attempts/AttemptOutcomes.java
+++ b/decisions/src/main/java/gorseladder/attempts/AttemptOutcomes.java
@@ -5,8 +5,8 @@
 
 /**
  * Derives the outcome of an attempt from how it ended on the network, and with it whether the call certainly did not
- * run (rule 2). This depends on whether the first byte of the request may have left this machine: before that nothing
- * can have run, whatever went wrong; afterwards only a statement by the runner counts.
+ * run ({@code Rule.EFFECT_ONCE}). This depends on whether the first byte of the request may have left this machine:
+ * before that nothing can have run, whatever went wrong; afterwards only a statement by the runner counts.
  *
  * <p>Prevents an unsafe call from being sent again because a reset, a timeout or an unusual status looked harmless. A
  * status alone proves nothing either: 429 and 503 may come from a proxy behind which the call ran. The cost is that a
@@ -34,7 +34,9 @@
      * worker.
      */
     NO_RESOURCE,
+    /** The check just before sending refused the attempt for good. */
     GATE_CLOSED,
+    /** The call ended, or its time was up, before the attempt was sent. */
     CALL_OVER,
     RESPONSE,
     /** The connection ended, presumably together with the worker's process. */
