--- a/node/src/main/java/gorseladder/node/changelog/ChangeLogFollower.java
+++ b/node/src/main/java/gorseladder/node/changelog/ChangeLogFollower.java
@@ -265,15 +265,15 @@
     }
     listed.observeClocks();
     // A beat past the last event, or an event past the next one, says that one was missed.
-    if (change.seq() > (change.event() ? last + 1 : last)) {
+    if (change.seq() > (change.isEvent() ? last + 1 : last)) {
       cannotUse(c, at, "number " + change.seq() + " after " + last);
-      passedOver += change.seq() - last - (change.event() ? 1 : 0);
-      last = change.event() ? change.seq() - 1 : change.seq();
+      passedOver += change.seq() - last - (change.isEvent() ? 1 : 0);
+      last = change.isEvent() ? change.seq() - 1 : change.seq();
     }
     heard(c, change.seq(), at);
     long absentAt = currentAt;
     currentAt = at;
-    if (change.event() && change.seq() > last) {
+    if (change.isEvent() && change.seq() > last) {
       last = change.seq();
       c.news = true;
       if (change.fleet() != null) {
--- a/node/src/main/java/gorseladder/node/front/FrontConnection.java
+++ b/node/src/main/java/gorseladder/node/front/FrontConnection.java
@@ -213,7 +213,7 @@
     if (!front.reserve(EXCHANGE_BYTES)) {
       // Not kept, so that what comes after it is passed over.
       front.count("no room for a request");
-      outbox.put(RecordWriter.end(id, Status.OVERLOADED, 0));
+      outbox.put(RecordWriter.endRequest(id, Status.OVERLOADED, 0));
       return;
     }
     synchronized (this) {
@@ -239,7 +239,8 @@
       close(CloseReason.NUMBER_IN_USE);
     } else if (over || role != RESPONDER) {
       front.count(over ? "over 32 open" : "unknown role");
-      answer(exchange, RecordWriter.end(id, over ? Status.OVERLOADED : Status.UNKNOWN_ROLE, 0));
+      answer(
+          exchange, RecordWriter.endRequest(id, over ? Status.OVERLOADED : Status.UNKNOWN_ROLE, 0));
     }
   }
 
@@ -260,7 +261,7 @@
     }
     front.count("aborted");
     NodeCall call = e.call;
-    answer(e, RecordWriter.end(id, Status.REQUEST_COMPLETE, 1));
+    answer(e, RecordWriter.endRequest(id, Status.REQUEST_COMPLETE, 1));
     if (call != null) {
       front.gone(call);
     }
@@ -414,7 +415,7 @@
       close(CloseReason.BAD_RECORD);
       return;
     }
-    outbox.put(RecordWriter.values(answer));
+    outbox.put(RecordWriter.valuesResult(answer));
   }
 
   @Override
--- a/node/src/main/java/gorseladder/node/runners/AnswerBytes.java
+++ b/node/src/main/java/gorseladder/node/runners/AnswerBytes.java
@@ -10,7 +10,7 @@
  *
  * <p>Guards against answers that never end: each connection has a bound, and all of them together had none. Any thread.
  */
-final class AnswerBytes implements AnswerParser.Room {
+final class AnswerBytes implements AnswerParser.MemoryBudget {
   private final ByteBudget budget;
   private final BooleanSupplier makeRoom;
   private int kept;
@@ -23,7 +23,7 @@
   }
 
   @Override
-  public boolean take(int bytes) {
+  public boolean tryTake(int bytes) {
     do {
       synchronized (this) {
         if (ended) {
--- a/node/src/main/java/gorseladder/node/runners/AttemptRequest.java
+++ b/node/src/main/java/gorseladder/node/runners/AttemptRequest.java
@@ -114,7 +114,7 @@
 
   @Override
   Outcome outcome(Answer answer) {
-    return PlatformAnswers.outcome(answer.word());
+    return PlatformAnswers.outcome(answer.status());
   }
 
   @Override
--- a/node/src/main/java/gorseladder/node/runners/LoadOrder.java
+++ b/node/src/main/java/gorseladder/node/runners/LoadOrder.java
@@ -64,7 +64,7 @@
 
   @Override
   Outcome outcome(Answer answer) {
-    Outcome outcome = PlatformAnswers.outcome(answer.word());
+    Outcome outcome = PlatformAnswers.outcome(answer.status());
     return outcome == null ? Outcome.ERROR : outcome;
   }
 
--- a/testbed/src/main/java/gorseladder/testbed/rehearsal/UnusableRequests.java
+++ b/testbed/src/main/java/gorseladder/testbed/rehearsal/UnusableRequests.java
@@ -50,7 +50,8 @@
     role[ROLE_AT] = 3;
     return List.of(
         role,
-        management(GET_VALUES, RecordWriter.values(Map.of("FCGI_MAX_CONNS", "", "OTHER", ""))),
+        management(
+            GET_VALUES, RecordWriter.valuesResult(Map.of("FCGI_MAX_CONNS", "", "OTHER", ""))),
         management(UNKNOWN, RecordWriter.unknownType(1)),
         "GET / HTTP/1.1\r\n\r\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
   }
--- a/wire/src/main/java/gorseladder/wire/changelog/ChangeLine.java
+++ b/wire/src/main/java/gorseladder/wire/changelog/ChangeLine.java
@@ -9,10 +9,10 @@
  * One line of the change log: a numbered event, or the last number alone ("The change log" of the platform's protocol).
  *
  * @param seq the event's number, or the last one in the log
- * @param event false where the line holds the last number alone
+ * @param isEvent false where the line holds the last number alone
  * @param fleet the change of the list of runners, null where the line has none
  */
-public record ChangeLine(long seq, boolean event, Fleet fleet) {
+public record ChangeLine(long seq, boolean isEvent, Fleet fleet) {
   /** A change of the list; {@code all} where it is the whole list. */
   public record Fleet(boolean all, List<Map<String, Object>> targets) {}
 
--- a/wire/src/main/java/gorseladder/wire/fastcgi/RecordParser.java
+++ b/wire/src/main/java/gorseladder/wire/fastcgi/RecordParser.java
@@ -31,7 +31,7 @@
   /** Hears what the records say; ids are 1 to 65535. Bytes are only valid during the call. */
   public interface Sink {
     /** BEGIN_REQUEST: the role (1 is the responder) and whether the connection is kept. */
-    void begin(int id, int role, boolean keeps);
+    void begin(int id, int role, boolean keepsConnection);
 
     /** ABORT_REQUEST. */
     void abort(int id);
@@ -65,7 +65,7 @@
   private int id;
 
   /** True between records. */
-  public boolean between() {
+  public boolean isBetweenRecords() {
     return headerHas == 0;
   }
 
--- a/wire/src/main/java/gorseladder/wire/fastcgi/RecordWriter.java
+++ b/wire/src/main/java/gorseladder/wire/fastcgi/RecordWriter.java
@@ -32,12 +32,12 @@
     System.arraycopy(first, 0, all, 0, first.length);
     System.arraycopy(body, 0, all, first.length, body.length);
     stream(out, RecordParser.STDOUT, id, all);
-    out.writeBytes(end(id, Status.REQUEST_COMPLETE, 0));
+    out.writeBytes(endRequest(id, Status.REQUEST_COMPLETE, 0));
     return out.toByteArray();
   }
 
   /** END_REQUEST alone. */
-  public static byte[] end(int id, Status status, int appStatus) {
+  public static byte[] endRequest(int id, Status status, int appStatus) {
     byte[] content = {
       (byte) (appStatus >>> 24),
       (byte) (appStatus >>> 16),
@@ -52,7 +52,7 @@
   }
 
   /** The answer to GET_VALUES. */
-  public static byte[] values(Map<String, String> pairs) {
+  public static byte[] valuesResult(Map<String, String> pairs) {
     return record(RecordParser.GET_VALUES_RESULT, 0, NameValues.write(pairs));
   }
 
@@ -62,10 +62,11 @@
   }
 
   /** A whole request of a web server to a responder. */
-  public static byte[] request(int id, boolean keeps, Map<String, String> params, byte[] body) {
+  public static byte[] request(
+      int id, boolean keepsConnection, Map<String, String> params, byte[] body) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     out.writeBytes(record(RecordParser.BEGIN_REQUEST, id, new byte[] {
-      0, RESPONDER, (byte) (keeps ? 1 : 0), 0, 0, 0, 0, 0
+      0, RESPONDER, (byte) (keepsConnection ? 1 : 0), 0, 0, 0, 0, 0
     }));
     stream(out, RecordParser.PARAMS, id, NameValues.write(params));
     stream(out, RecordParser.STDIN, id, body);
--- a/wire/src/main/java/gorseladder/wire/runner/AnswerParser.java
+++ b/wire/src/main/java/gorseladder/wire/runner/AnswerParser.java
@@ -25,17 +25,17 @@
       Set.of("ok", "nothing", "refused", "error", "stale", "yes", "no");
 
   /** Says whether bytes of bodies may be kept, and hears when they are handed on. */
-  public interface Room {
+  public interface MemoryBudget {
     /** Takes so many bytes; false where there is no room for them. */
-    boolean take(int bytes);
+    boolean tryTake(int bytes);
 
     /** Gives back bytes that were taken. */
     void giveBack(int bytes);
   }
 
-  private static final Room ENDLESS = new Room() {
+  private static final MemoryBudget ENDLESS = new MemoryBudget() {
     @Override
-    public boolean take(int bytes) {
+    public boolean tryTake(int bytes) {
       return true;
     }
 
@@ -44,13 +44,13 @@
   };
 
   /** The line of an answer whose body is still coming. */
-  private record Head(String id, String word, Map<String, String> fields, int length) {}
+  private record Head(String id, String status, Map<String, String> fields, int length) {}
 
   /** One answer; {@code id} is the request's id or the order's tag. */
-  public record Answer(String id, String word, Map<String, String> fields, byte[] body) {}
+  public record Answer(String id, String status, Map<String, String> fields, byte[] body) {}
 
   private final int mostBody;
-  private final Room room;
+  private final MemoryBudget room;
   private final byte[] line = new byte[MOST_LINE];
   private int lineHas;
   private Head head;
@@ -65,13 +65,13 @@
   }
 
   /** The same, where there is room for them. */
-  public AnswerParser(int mostBody, Room room) {
+  public AnswerParser(int mostBody, MemoryBudget room) {
     this.mostBody = mostBody;
     this.room = room;
   }
 
   /** True between answers. */
-  public boolean between() {
+  public boolean isBetweenAnswers() {
     return lineHas == 0 && head == null;
   }
 
@@ -110,7 +110,7 @@
           throw new BadAnswer("a body is not followed by CR LF");
         }
         if (++closing == 2) {
-          Answer whole = new Answer(head.id(), head.word(), head.fields(), body);
+          Answer whole = new Answer(head.id(), head.status(), head.fields(), body);
           room.giveBack(body.length);
           head = null;
           body = NOTHING;
@@ -126,7 +126,7 @@
       return;
     }
     int size = Math.min(head.length(), Math.max(wanted, Math.max(LEAST_BODY, 2 * body.length)));
-    if (!room.take(size - body.length)) {
+    if (!room.tryTake(size - body.length)) {
       throw new BadAnswer("no room for a body of " + head.length() + " bytes");
     }
     body = Arrays.copyOf(body, size);
--- a/wire/src/test/java/gorseladder/wire/FastCgiTest.java
+++ b/wire/src/test/java/gorseladder/wire/FastCgiTest.java
@@ -31,8 +31,8 @@
     private final ByteArrayOutputStream stdin = new ByteArrayOutputStream();
 
     @Override
-    public void begin(int id, int role, boolean keeps) {
-      heard.add("begin " + id + " " + role + " " + keeps);
+    public void begin(int id, int role, boolean keepsConnection) {
+      heard.add("begin " + id + " " + role + " " + keepsConnection);
     }
 
     @Override
@@ -77,7 +77,7 @@
     for (int at = 0; at < bytes.length; at += step) {
       parser.feed(bytes, at, Math.min(step, bytes.length - at), notes);
     }
-    assertTrue(parser.between());
+    assertTrue(parser.isBetweenRecords());
     return notes;
   }
 
--- a/wire/src/test/java/gorseladder/wire/RunnerLinesTest.java
+++ b/wire/src/test/java/gorseladder/wire/RunnerLinesTest.java
@@ -50,7 +50,7 @@
       assertEquals(Map.of("remark", "up", "depth", "3"), answers.get(0).fields());
       assertArrayEquals(ascii("a\r\nb"), answers.get(0).body());
       assertEquals("l7", answers.get(1).id());
-      assertEquals("refused", answers.get(1).word());
+      assertEquals("refused", answers.get(1).status());
     }
   }
 
