--- a/app/src/main/java/gorseladder/app/bench/EdgeCalls.java
+++ b/app/src/main/java/gorseladder/app/bench/EdgeCalls.java
@@ -93,11 +93,11 @@
     synchronized (kept) {
       c = kept.pollLast();
     }
-    c = c == null ? HttpConnection.open(address, 2_000, HttpLimits.INNER) : c;
+    c = c == null ? HttpConnection.open(address, 2_000, HttpLimits.INTERNAL) : c;
     long until = Clock.micros() + 10_000_000;
     c.write(request);
     Head head = c.readResponse(until);
-    c.readBody(BodyParser.forResponse(head, HttpLimits.INNER), until);
+    c.readBody(BodyParser.forResponse(head, HttpLimits.INTERNAL), until);
     if (head.keepsConnection()) {
       synchronized (kept) {
         kept.addLast(c);
--- a/edge/src/main/java/gorseladder/edge/front/AnswerWriter.java
+++ b/edge/src/main/java/gorseladder/edge/front/AnswerWriter.java
@@ -48,7 +48,7 @@
     if (body.length <= HttpConnection.BUFFER_BYTES) {
       write(connection, head.with(body));
     } else {
-      write(connection, head.before(body), body);
+      write(connection, head.headFor(body), body);
     }
   }
 
--- a/edge/src/main/java/gorseladder/edge/list/ListWatcher.java
+++ b/edge/src/main/java/gorseladder/edge/list/ListWatcher.java
@@ -116,7 +116,7 @@
   private void follow() {
     int pause = LEAST_PAUSE;
     while (!stopped) {
-      try (HttpConnection c = HttpConnection.open(address, CONNECT_MILLIS, HttpLimits.INNER)) {
+      try (HttpConnection c = HttpConnection.open(address, CONNECT_MILLIS, HttpLimits.INTERNAL)) {
         connection = c;
         while (!stopped && query(c)) {
           pause = LEAST_PAUSE;
@@ -152,7 +152,7 @@
     // Consul adds up to a sixteenth of the wait; a stalled connection is found soon after that.
     long until = Clock.micros() + (waitMillis + waitMillis / 16 + 2_000) * 1000;
     Head head = c.readResponse(until);
-    byte[] body = c.readBody(BodyParser.forResponse(head, HttpLimits.INNER), until);
+    byte[] body = c.readBody(BodyParser.forResponse(head, HttpLimits.INTERNAL), until);
     long at = Clock.micros();
     if (head.status() != 200) {
       throw new IOException("status " + head.status());
--- a/edge/src/main/java/gorseladder/edge/plans/PlannerLink.java
+++ b/edge/src/main/java/gorseladder/edge/plans/PlannerLink.java
@@ -218,15 +218,15 @@
     HttpConnection c = connection;
     if (c == null || c.peerGone()) {
       drop();
-      c = HttpConnection.open(address, CONNECT_MILLIS, HttpLimits.INNER);
+      c = HttpConnection.open(address, CONNECT_MILLIS, HttpLimits.INTERNAL);
       connection = c;
     }
     c.write(HeadWriter.request("POST", "/v1/exchange", Address.print(address))
         .field("Content-Type", "application/x-protobuf")
         .with(body));
     Head head = c.readResponse(Clock.micros() + ANSWER_MICROS);
-    byte[] content =
-        c.readBody(BodyParser.forResponse(head, HttpLimits.INNER), Clock.micros() + ANSWER_MICROS);
+    byte[] content = c.readBody(
+        BodyParser.forResponse(head, HttpLimits.INTERNAL), Clock.micros() + ANSWER_MICROS);
     if (head.status() != 200) {
       throw new IOException("status " + head.status());
     }
--- a/edge/src/main/java/gorseladder/edge/runners/Runners.java
+++ b/edge/src/main/java/gorseladder/edge/runners/Runners.java
@@ -392,12 +392,12 @@
       HeadWriter w = HeadWriter.request("POST", Oip.inferTarget(f.function()), worker)
           .field("Content-Type", "application/json")
           .field("X-Request-Id", f.message().substring(f.message().indexOf(' ') + 1))
-          .field(Oip.EDGE, settings.edge())
-          .field(Oip.PATIENCE, millisLeft)
-          .field(Oip.FOOTPRINT, (long) f.memoryMb())
+          .field(Oip.EDGE_ORDINAL, settings.edge())
+          .field(Oip.TIMEOUT_MILLIS, millisLeft)
+          .field(Oip.MEMORY_MB, (long) f.memoryMb())
           .field(Oip.LANES, f.lanes());
       if (f.loadTime() > 0) {
-        w.field(Oip.LOAD_TIME, f.loadTime() / 1000);
+        w.field(Oip.LOAD_MILLIS, f.loadTime() / 1000);
       }
       if (f.requestClass().effect() == Effect.KEYED) {
         w.field(
@@ -415,7 +415,7 @@
 
     private void answered(Head head, byte[] body) throws NoRoomException {
       giveBack(worker, release(), head, call.facts().requestClass().effect());
-      boolean neverRan = "no".equals(head.get(Oip.RAN));
+      boolean neverRan = "no".equals(head.get(Oip.EXECUTED));
       Outcome outcome = AttemptOutcomes.of(progress, Ending.RESPONSE, head.status(), neverRan);
       byte[] result = null;
       if (outcome == Outcome.OK) {
@@ -451,7 +451,7 @@
         all.remove(number);
         return all.isEmpty() ? null : all;
       });
-      CopyStatus note = head == null ? CopyStatus.NONE : note(head.get(Oip.COPY));
+      CopyStatus note = head == null ? CopyStatus.NONE : note(head.get(Oip.COPY_STATUS));
       Map<String, Double> load =
           head == null ? Map.of() : LoadReport.parse(head.get(LoadReport.HEADER));
       hearer.attemptEnded(new AttemptEnd<>(
@@ -472,7 +472,7 @@
   }
 
   private static int crowd(Head head) {
-    String crowd = head.get(Oip.CROWD);
+    String crowd = head.get(Oip.CONCURRENCY);
     return crowd != null && crowd.matches("[0-9]{1,6}") ? Integer.parseInt(crowd) : -1;
   }
 
@@ -496,13 +496,13 @@
       connection.write(HeadWriter.request("POST", Oip.loadTarget(function), worker)
           .field("Content-Type", "application/json")
           .field("Connection", "close")
-          .field(Oip.EDGE, settings.edge())
+          .field(Oip.EDGE_ORDINAL, settings.edge())
           .with(Oip.loadRequest(copies)));
       connection.takeMemoryFrom(memory);
       Head head = connection.readResponse(until);
       byte[] body = connection.readBody(BodyParser.forResponse(head, limits), until);
       Outcome outcome = AttemptOutcomes.of(
-          Progress.RESPONDING, Ending.RESPONSE, head.status(), "no".equals(head.get(Oip.RAN)));
+          Progress.RESPONDING, Ending.RESPONSE, head.status(), "no".equals(head.get(Oip.EXECUTED)));
       return loaded(
           worker, function, Oip.copiesIn(outcome == Outcome.OK ? body : NOTHING), outcome, began);
     } catch (SocketTimeoutException e) {
--- a/edge/src/test/java/gorseladder/edge/ExampleTest.java
+++ b/edge/src/test/java/gorseladder/edge/ExampleTest.java
@@ -30,7 +30,7 @@
     SettingsFile settings = Edge.load(Files.writeString(dir.resolve("edge.txtpb"), own));
     assertEquals(List.of(), settings.faults());
     try (Edge edge = new Edge(settings.settings());
-        HttpConnection c = HttpConnection.open(edge.address(), 2_000, HttpLimits.INNER)) {
+        HttpConnection c = HttpConnection.open(edge.address(), 2_000, HttpLimits.INTERNAL)) {
       c.write(HeadWriter.request("POST", "/hooks/office", "edge").with(new byte[] {'{', '}'}));
       assertEquals(401, c.readResponse(Clock.micros() + 10_000_000).status());
     }
--- a/runtime/src/main/java/gorseladder/runtime/HttpConnection.java
+++ b/runtime/src/main/java/gorseladder/runtime/HttpConnection.java
@@ -154,7 +154,7 @@
     memory.onDiscard(parser::discard);
     while (!parser.done()) {
       if (from == to && !fill(until)) {
-        if (parser.ended()) {
+        if (parser.endOfInput()) {
           break;
         }
         throw new EOFException("the connection ended inside the content");
@@ -166,8 +166,8 @@
 
   /** While the content buffer grows, the old and the new buffer are both counted. */
   private void feed(BodyParser parser) throws NoRoomException, BadMessage {
-    int before = parser.held();
-    int after = parser.heldAfter(to - from);
+    int before = parser.bufferBytes();
+    int after = parser.bufferBytesAfter(to - from);
     boolean grows = after > before;
     if (grows) {
       memory.take(after);
@@ -182,9 +182,9 @@
   }
 
   private byte[] content(BodyParser parser) throws NoRoomException {
-    if (!parser.contentIsExact()) {
+    if (!parser.contentFillsBuffer()) {
       memory.take(parser.size());
-      memory.giveBack(parser.held());
+      memory.giveBack(parser.bufferBytes());
     }
     synchronized (memory) {
       memory.requireNotEnded();
--- a/runtime/src/test/java/gorseladder/runtime/LongWriteTest.java
+++ b/runtime/src/test/java/gorseladder/runtime/LongWriteTest.java
@@ -35,7 +35,7 @@
     byte[] message = new byte[MESSAGE_BYTES];
     try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         HttpConnection connection = HttpConnection.open(
-            (InetSocketAddress) server.getLocalSocketAddress(), 1_000, HttpLimits.INNER);
+            (InetSocketAddress) server.getLocalSocketAddress(), 1_000, HttpLimits.INTERNAL);
         Socket other = server.accept()) {
       CompletableFuture<Integer> read = CompletableFuture.supplyAsync(() -> count(other));
       long before = offHeapBytes();
--- a/runtime/src/test/java/gorseladder/runtime/RuntimeTest.java
+++ b/runtime/src/test/java/gorseladder/runtime/RuntimeTest.java
@@ -97,8 +97,8 @@
     try (ServerSocketChannel server = ServerSocketChannel.open()) {
       server.bind(new InetSocketAddress("127.0.0.1", 0));
       HttpConnection client = HttpConnection.open(
-          (InetSocketAddress) server.getLocalAddress(), 1_000, HttpLimits.INNER);
-      HttpConnection peer = new HttpConnection(server.accept(), HttpLimits.INNER);
+          (InetSocketAddress) server.getLocalAddress(), 1_000, HttpLimits.INTERNAL);
+      HttpConnection peer = new HttpConnection(server.accept(), HttpLimits.INTERNAL);
       assertFalse(client.peerGone());
       assertThrows(
           SocketTimeoutException.class, () -> client.awaitMessage(Clock.micros() + 20_000));
--- a/testbed/src/main/java/gorseladder/testbed/ListStandIn.java
+++ b/testbed/src/main/java/gorseladder/testbed/ListStandIn.java
@@ -122,11 +122,11 @@
   }
 
   private void serve(SocketChannel channel) throws IOException {
-    HttpConnection c = new HttpConnection(channel, HttpLimits.INNER);
+    HttpConnection c = new HttpConnection(channel, HttpLimits.INTERNAL);
     try {
       while (c.awaitMessage(Clock.micros() + 60_000_000L)) {
         Head head = c.readRequest(Clock.micros() + 5_000_000L);
-        c.readBody(BodyParser.forRequest(head, HttpLimits.INNER), Clock.micros() + 5_000_000L);
+        c.readBody(BodyParser.forRequest(head, HttpLimits.INTERNAL), Clock.micros() + 5_000_000L);
         answer(c, head);
       }
     } catch (BadMessage | InterruptedException e) {
--- a/testbed/src/main/java/gorseladder/testbed/StandInPlanner.java
+++ b/testbed/src/main/java/gorseladder/testbed/StandInPlanner.java
@@ -57,12 +57,12 @@
   }
 
   private void serve(SocketChannel channel) throws IOException {
-    HttpConnection c = new HttpConnection(channel, HttpLimits.INNER);
+    HttpConnection c = new HttpConnection(channel, HttpLimits.INTERNAL);
     try {
       while (c.awaitMessage(Clock.micros() + PATIENCE)) {
         Head head = c.readRequest(Clock.micros() + PATIENCE);
         byte[] body =
-            c.readBody(BodyParser.forRequest(head, HttpLimits.INNER), Clock.micros() + PATIENCE);
+            c.readBody(BodyParser.forRequest(head, HttpLimits.INTERNAL), Clock.micros() + PATIENCE);
         c.write(answer(Ask.parseFrom(body)));
       }
     } catch (BadMessage e) {
--- a/testbed/src/main/java/gorseladder/testbed/StandInRunner.java
+++ b/testbed/src/main/java/gorseladder/testbed/StandInRunner.java
@@ -187,7 +187,7 @@
   }
 
   private void serve(SocketChannel channel) throws IOException {
-    HttpConnection c = new HttpConnection(channel, HttpLimits.INNER);
+    HttpConnection c = new HttpConnection(channel, HttpLimits.INTERNAL);
     int born;
     synchronized (this) {
       born = life;
@@ -202,8 +202,8 @@
       while (c.awaitMessage(Clock.micros() + 60_000_000L)) {
         long at = first && handshake > 0 ? openedAt : Clock.micros();
         Head head = c.readRequest(Clock.micros() + 10_000_000L);
-        byte[] body =
-            c.readBody(BodyParser.forRequest(head, HttpLimits.INNER), Clock.micros() + 10_000_000L);
+        byte[] body = c.readBody(
+            BodyParser.forRequest(head, HttpLimits.INTERNAL), Clock.micros() + 10_000_000L);
         if (!alive(born) || !answer(c, head, body, born, first, at) || !head.keepsConnection()) {
           break;
         }
@@ -261,11 +261,11 @@
     try {
       content = Oip.content(body);
     } catch (IllegalArgumentException e) {
-      c.write(HeadWriter.response(400).field(Oip.RAN, "no").with(new byte[0]));
+      c.write(HeadWriter.response(400).field(Oip.EXECUTED, "no").with(new byte[0]));
       return true;
     }
-    Tap.Arrival arrival =
-        tap.arrived(content.id(), id(), header(head, Oip.EDGE, -1), model, at, nature.work());
+    Tap.Arrival arrival = tap.arrived(
+        content.id(), id(), header(head, Oip.EDGE_ORDINAL, -1), model, at, nature.work());
     try {
       pushed(arrival);
       if (faults.stale && !first) {
@@ -326,7 +326,7 @@
     int crowd;
     synchronized (this) {
       Copy copy = copies.computeIfAbsent(model, m -> new Copy());
-      copy.memoryMb = header(head, Oip.FOOTPRINT, 256);
+      copy.memoryMb = header(head, Oip.MEMORY_MB, 256);
       copy.lanes = Math.max(1, header(head, Oip.LANES, 1));
       expire(model, copy);
       crowd = copy.held;
@@ -413,7 +413,7 @@
   /** Sends all but the last byte of a long answer, and waits until the other side has had enough. */
   private void answerWithoutEnd(HttpConnection c, int born)
       throws IOException, InterruptedException {
-    c.write(HeadWriter.response(200).before(new byte[faults.endlessBytes]));
+    c.write(HeadWriter.response(200).headFor(new byte[faults.endlessBytes]));
     c.write(new byte[faults.endlessBytes - 1]);
     while (alive(born) && !c.peerGone()) {
       Thread.sleep(SLICE_MILLIS);
@@ -460,13 +460,13 @@
         .field("Content-Type", "application/json")
         .field(LoadReport.HEADER, report());
     if (neverRan) {
-      w.field(Oip.RAN, "no");
+      w.field(Oip.EXECUTED, "no");
     }
     if (copy != null) {
-      w.field(Oip.COPY, copy);
+      w.field(Oip.COPY_STATUS, copy);
     }
     if (crowd >= 0) {
-      w.field(Oip.CROWD, crowd);
+      w.field(Oip.CONCURRENCY, crowd);
     }
     c.write(w.with(body));
     return true;
@@ -474,7 +474,7 @@
 
   private synchronized String report() {
     if (!faults.reportsLate || lastReport == null) {
-      lastReport = LoadReport.print(
+      lastReport = LoadReport.format(
           Math.min(1, (double) running / nature.cores()), Map.of("inFlight", (double) held));
     }
     return lastReport;
@@ -554,16 +554,16 @@
   private boolean order(HttpConnection c, Head head, byte[] body, String model, int born, long at)
       throws IOException, InterruptedException {
     int wanted = Oip.copiesIn(body);
-    tap.ordered(new Tap.Order(id(), header(head, Oip.EDGE, -1), model, wanted, at));
+    tap.ordered(new Tap.Order(id(), header(head, Oip.EDGE_ORDINAL, -1), model, wanted, at));
     boolean loads;
     synchronized (this) {
       Copy copy = copies.computeIfAbsent(model, m -> new Copy());
-      copy.memoryMb = header(head, Oip.FOOTPRINT, 256);
+      copy.memoryMb = header(head, Oip.MEMORY_MB, 256);
       copy.lanes = Math.max(copy.lanes, 1);
       expire(model, copy);
       boolean lacks = copy.standing + copy.loading < wanted;
       if (faults.draining || fallen || lacks && !makeRoom(model, copy.memoryMb)) {
-        c.write(HeadWriter.response(503).field(Oip.RAN, "no").with(new byte[0]));
+        c.write(HeadWriter.response(503).field(Oip.EXECUTED, "no").with(new byte[0]));
         return true;
       }
       loads = lacks;
--- a/testbed/src/main/java/gorseladder/testbed/WebhookClients.java
+++ b/testbed/src/main/java/gorseladder/testbed/WebhookClients.java
@@ -225,7 +225,7 @@
       throws IOException, BadMessage {
     long until = t.sentAt + t.patience + NO_ANSWER_AFTER;
     Head head = c.readResponse(until);
-    c.readBody(BodyParser.forResponse(head, HttpLimits.INNER), until);
+    c.readBody(BodyParser.forResponse(head, HttpLimits.INTERNAL), until);
     t.answeredAt = Clock.micros();
     t.retryAfter = head.get("retry-after") != null;
     t.reason = String.valueOf(head.get("gorseladder-reason"));
@@ -255,7 +255,7 @@
         c.close();
       }
     }
-    return HttpConnection.open(to, CONNECT_MILLIS, HttpLimits.INNER);
+    return HttpConnection.open(to, CONNECT_MILLIS, HttpLimits.INTERNAL);
   }
 
   private void giveBack(InetSocketAddress to, HttpConnection c) {
--- a/wire/src/main/java/gorseladder/wire/http1/BodyParser.java
+++ b/wire/src/main/java/gorseladder/wire/http1/BodyParser.java
@@ -8,7 +8,7 @@
  * Reads the content of one message as it arrives: of a told length, chunked, or up to the end of the connection (RFC
  * 9112 sections 6 and 7). A message whose length two readers could see differently is malformed: both length fields,
  * more than one Content-Length (even alike), a sign or any other character in it. Memory grows with what has come, not
- * with what is announced; {@link #heldAfter} tells how much before it is fed. Not thread safe; one instance for one
+ * with what is announced; {@link #bufferBytesAfter} tells how much before it is fed. Not thread safe; one instance for one
  * message.
  */
 public final class BodyParser {
@@ -104,16 +104,16 @@
   }
 
   /** Tells that the connection ended; true where that completes the content. */
-  public boolean ended() {
+  public boolean endOfInput() {
     if (state == State.UNTIL_CLOSE) {
       state = State.DONE;
     }
     return done();
   }
 
-  /** The content so far; not a copy where {@link #contentIsExact} holds. */
+  /** The content so far; not a copy where {@link #contentFillsBuffer} holds. */
   public byte[] content() {
-    return contentIsExact() ? content : Arrays.copyOf(content, size);
+    return contentFillsBuffer() ? content : Arrays.copyOf(content, size);
   }
 
   /** Bytes of the content so far. */
@@ -122,22 +122,22 @@
   }
 
   /** True where the content fills what is held for it, so that it can be handed over as it is. */
-  public boolean contentIsExact() {
+  public boolean contentFillsBuffer() {
     return size == content.length;
   }
 
   /** Bytes of memory held for the content. */
-  public int held() {
+  public int bufferBytes() {
     return content.length;
   }
 
   /** Bytes of memory held for the content at the most once so many bytes more were fed. */
-  public int heldAfter(int more) {
+  public int bufferBytesAfter(int more) {
     long wanted = size + (state == State.FIXED ? Math.min(more, left) : more);
     if (state == State.DONE || wanted <= content.length) {
       return content.length;
     }
-    long most = state == State.FIXED ? size + left : limits.maxBody();
+    long most = state == State.FIXED ? size + left : limits.maxBodyBytes();
     long grown = Math.max(LEAST_HELD, Math.max(wanted, 2L * content.length));
     return (int) Math.max(content.length, Math.min(most, grown));
   }
@@ -154,7 +154,7 @@
    * @throws BadMessage where they break the framing or the content passes the limit
    */
   public int feed(byte[] bytes, int from, int count) throws BadMessage {
-    hold(heldAfter(count));
+    hold(bufferBytesAfter(count));
     int used = 0;
     while (used < count && state != State.DONE) {
       if (state == State.FIXED || state == State.DATA || state == State.UNTIL_CLOSE) {
@@ -186,8 +186,8 @@
   }
 
   private void requireRoom(long more) throws BadMessage {
-    if (size + more > limits.maxBody()) {
-      throw new BadMessage(Fault.TOO_LARGE, "content over " + limits.maxBody() + " bytes");
+    if (size + more > limits.maxBodyBytes()) {
+      throw new BadMessage(Fault.TOO_LARGE, "content over " + limits.maxBodyBytes() + " bytes");
     }
   }
 
@@ -242,9 +242,9 @@
 
   /** Trailer fields are read past: nothing here uses them and merging them into the header is unsafe. */
   private void trailer(byte b) throws BadMessage {
-    if (++trailerTotal > limits.maxHead()) {
+    if (++trailerTotal > limits.maxHeadBytes()) {
       throw new BadMessage(
-          Fault.HEADERS_TOO_LARGE, "trailer section over " + limits.maxHead() + " bytes");
+          Fault.HEADERS_TOO_LARGE, "trailer section over " + limits.maxHeadBytes() + " bytes");
     }
     if (b == '\r') {
       state = State.TRAILER_LF;
--- a/wire/src/main/java/gorseladder/wire/http1/HeadParser.java
+++ b/wire/src/main/java/gorseladder/wire/http1/HeadParser.java
@@ -81,9 +81,9 @@
   }
 
   private void take(byte b) throws BadMessage {
-    if (++total > limits.maxHead()) {
+    if (++total > limits.maxHeadBytes()) {
       throw new BadMessage(
-          Fault.HEADERS_TOO_LARGE, "header section over " + limits.maxHead() + " bytes");
+          Fault.HEADERS_TOO_LARGE, "header section over " + limits.maxHeadBytes() + " bytes");
     }
     if (sawCr) {
       if (b != '\n') {
@@ -96,12 +96,12 @@
     } else if (b == '\n') {
       throw BadMessage.malformed("bare LF in the header section");
     } else {
-      if (length == limits.maxLine()) {
+      if (length == limits.maxLineBytes()) {
         throw new BadMessage(
-            Fault.HEADERS_TOO_LARGE, "a header line over " + limits.maxLine() + " bytes");
+            Fault.HEADERS_TOO_LARGE, "a header line over " + limits.maxLineBytes() + " bytes");
       }
       if (length == line.length) {
-        line = java.util.Arrays.copyOf(line, Math.min(limits.maxLine(), line.length * 2));
+        line = java.util.Arrays.copyOf(line, Math.min(limits.maxLineBytes(), line.length * 2));
       }
       line[length++] = b;
     }
--- a/wire/src/main/java/gorseladder/wire/http1/HeadWriter.java
+++ b/wire/src/main/java/gorseladder/wire/http1/HeadWriter.java
@@ -36,14 +36,14 @@
 
   /** The whole message with its Content-Length. */
   public byte[] with(byte[] content) {
-    byte[] begin = before(content);
+    byte[] begin = headFor(content);
     byte[] message = Arrays.copyOf(begin, begin.length + content.length);
     System.arraycopy(content, 0, message, begin.length, content.length);
     return message;
   }
 
   /** The head of a message with that content, which follows it in a write of its own and needs no copy. */
-  public byte[] before(byte[] content) {
+  public byte[] headFor(byte[] content) {
     field("Content-Length", content.length);
     head.append("\r\n");
     return head.toString().getBytes(StandardCharsets.ISO_8859_1);
--- a/wire/src/main/java/gorseladder/wire/http1/HttpLimits.java
+++ b/wire/src/main/java/gorseladder/wire/http1/HttpLimits.java
@@ -3,18 +3,18 @@
 /**
  * Bounds on what a peer may send.
  *
- * @param maxLine bytes of the start line or of one header field, without its line end; more than 0
+ * @param maxLineBytes bytes of the start line or of one header field, without its line end; more than 0
  * @param maxFields header fields; more than 0
- * @param maxHead bytes of the whole header section; more than 0
- * @param maxBody bytes of the decoded content; not negative
+ * @param maxHeadBytes bytes of the whole header section; more than 0
+ * @param maxBodyBytes bytes of the decoded content; not negative
  */
-public record HttpLimits(int maxLine, int maxFields, int maxHead, long maxBody) {
+public record HttpLimits(int maxLineBytes, int maxFields, int maxHeadBytes, long maxBodyBytes) {
   public HttpLimits {
-    if (maxLine <= 0 || maxFields <= 0 || maxHead <= 0 || maxBody < 0) {
+    if (maxLineBytes <= 0 || maxFields <= 0 || maxHeadBytes <= 0 || maxBodyBytes < 0) {
       throw new IllegalArgumentException("impossible HTTP limits");
     }
   }
 
   /** Bounds for peers that the operator runs. */
-  public static final HttpLimits INNER = new HttpLimits(16_384, 100, 65_536, 16L << 20);
+  public static final HttpLimits INTERNAL = new HttpLimits(16_384, 100, 65_536, 16L << 20);
 }
--- a/wire/src/main/java/gorseladder/wire/oip/LoadReport.java
+++ b/wire/src/main/java/gorseladder/wire/oip/LoadReport.java
@@ -45,7 +45,7 @@
   }
 
   /** The TEXT form of processor use (0 to 1) and named metrics. */
-  public static String print(double cpu, Map<String, Double> named) {
+  public static String format(double cpu, Map<String, Double> named) {
     StringBuilder out =
         new StringBuilder("TEXT cpu_utilization=").append(String.format(Locale.ROOT, "%.3f", cpu));
     named.forEach((name, number) -> out.append(", ")
--- a/wire/src/main/java/gorseladder/wire/oip/Oip.java
+++ b/wire/src/main/java/gorseladder/wire/oip/Oip.java
@@ -15,25 +15,25 @@
  * model repository extension that a call and a load order need. A webhook payload travels as one BYTES tensor.
  *
  * <p>What the protocol has no place for stands in header fields, all stated by the runner:
- * {@link #RAN}, {@link #COPY}, {@link #CROWD}; the load report in {@link LoadReport#HEADER}. Pure functions; any
+ * {@link #EXECUTED}, {@link #COPY_STATUS}, {@link #CONCURRENCY}; the load report in {@link LoadReport#HEADER}. Pure functions; any
  * thread.
  */
 public final class Oip {
   /** {@code no} where the call surely did not run; anything else promises nothing. */
-  public static final String RAN = "gorseladder-ran";
+  public static final String EXECUTED = "gorseladder-ran";
   /** {@code found}, {@code began}, {@code awaited} or {@code load-failed}. */
-  public static final String COPY = "gorseladder-copy";
+  public static final String COPY_STATUS = "gorseladder-copy";
   /** Calls for the same function that the runner held when this one came. */
-  public static final String CROWD = "gorseladder-crowd";
+  public static final String CONCURRENCY = "gorseladder-crowd";
   /** The ordinal of the edge that sends. */
-  public static final String EDGE = "gorseladder-edge";
+  public static final String EDGE_ORDINAL = "gorseladder-edge";
   /** Milliseconds that the caller will wait. */
-  public static final String PATIENCE = "gorseladder-patience-ms";
+  public static final String TIMEOUT_MILLIS = "gorseladder-patience-ms";
   /** Memory of one copy in MB, calls at a time and usual load time in ms, where told by the caller. */
-  public static final String FOOTPRINT = "gorseladder-footprint-mb";
+  public static final String MEMORY_MB = "gorseladder-footprint-mb";
 
   public static final String LANES = "gorseladder-lanes";
-  public static final String LOAD_TIME = "gorseladder-load-ms";
+  public static final String LOAD_MILLIS = "gorseladder-load-ms";
 
   private static final JsonFactory JSON = new JsonFactory();
 
--- a/wire/src/test/java/gorseladder/wire/BodyMemoryTest.java
+++ b/wire/src/test/java/gorseladder/wire/BodyMemoryTest.java
@@ -33,21 +33,21 @@
     BodyParser body = body(head.head());
     byte[] framing = before.getBytes(StandardCharsets.US_ASCII);
     body.feed(framing, 0, framing.length);
-    assertTrue(body.held() <= 512, () -> body.held() + " bytes for nothing");
+    assertTrue(body.bufferBytes() <= 512, () -> body.bufferBytes() + " bytes for nothing");
     byte[] step = new byte[STEP];
     Arrays.fill(step, (byte) 'x');
     int came = 0;
     for (int i = 0; i < 20; i++) {
-      int told = body.heldAfter(STEP);
+      int told = body.bufferBytesAfter(STEP);
       came += body.feed(step, 0, STEP);
-      assertEquals(told, body.held());
-      assertTrue(body.held() <= 2 * came, () -> body.held() + " bytes held");
+      assertEquals(told, body.bufferBytes());
+      assertTrue(body.bufferBytes() <= 2 * came, () -> body.bufferBytes() + " bytes held");
     }
     byte[] wanted = new byte[came];
     Arrays.fill(wanted, (byte) 'x');
     assertArrayEquals(wanted, body.content());
     body.discard();
-    assertEquals(0, body.held());
+    assertEquals(0, body.bufferBytes());
   }
 
   private static BodyParser body(Head head) throws Exception {
--- a/wire/src/test/java/gorseladder/wire/Http1Test.java
+++ b/wire/src/test/java/gorseladder/wire/Http1Test.java
@@ -167,7 +167,7 @@
       if (head.done()) {
         BodyParser body = BodyParser.forRequest(head.head(), LIMITS);
         used += body.feed(all, used, all.length - used);
-        assertTrue(used <= all.length && body.content().length <= LIMITS.maxBody());
+        assertTrue(used <= all.length && body.content().length <= LIMITS.maxBodyBytes());
       }
     } catch (BadMessage e) {
       assertTrue(!e.getMessage().isEmpty());
@@ -207,7 +207,7 @@
     BodyParser body = BodyParser.forResponse(head.head(), LIMITS);
     body.feed(bytes, used, bytes.length - used);
     assertTrue(body.untilClose() && !body.done());
-    assertTrue(body.ended());
+    assertTrue(body.endOfInput());
     assertEquals("rest", new String(body.content(), StandardCharsets.US_ASCII));
   }
 }
--- a/wire/src/test/java/gorseladder/wire/WebhookTest.java
+++ b/wire/src/test/java/gorseladder/wire/WebhookTest.java
@@ -189,7 +189,7 @@
 
   @Test
   void loadReports() {
-    Map<String, Double> report = LoadReport.parse(LoadReport.print(0.25, Map.of("inFlight", 3.0)));
+    Map<String, Double> report = LoadReport.parse(LoadReport.format(0.25, Map.of("inFlight", 3.0)));
     assertEquals(Map.of("cpu_utilization", 0.25, "inFlight", 3.0), report);
     assertEquals(Map.of("a", 1.0), LoadReport.parse("TEXT a=1, b=x, =2, c, d=NaN"));
     assertEquals(Map.of(), LoadReport.parse("JSON {}"));
