--- a/node/src/main/java/gorseladder/node/CallPath.java
+++ b/node/src/main/java/gorseladder/node/CallPath.java
@@ -20,20 +20,20 @@
  * nowhere and knows no runner until it is told. Any thread.
  */
 final class CallPath implements AutoCloseable {
-  private static final int STACK = 128 << 10;
-  private static final int CORE_STACK = 512 << 10;
-  private static final int MOST_WRITERS = 64;
+  private static final int STACK_BYTES = 128 << 10;
+  private static final int CORE_STACK_BYTES = 512 << 10;
+  private static final int MAX_WRITERS = 64;
   /** Descriptors for the program itself: its files, listener, change log, peers, and what the machine opens. */
-  private static final int OWN_DESCRIPTORS = 48;
+  private static final int RESERVED_DESCRIPTORS = 48;
 
-  private static final int MOST_ANSWER = 1 << 20;
+  private static final int MAX_ANSWER_BYTES = 1 << 20;
   /** Part of the memory told, and of the heap, that clients may have the front keep. */
-  private static final int MEMORY_PART = 8;
+  private static final int MEMORY_DIVISOR = 8;
 
-  private static final int HEAP_PART = 4;
+  private static final int HEAP_DIVISOR = 4;
 
-  private final Writers writers = new Writers(MOST_WRITERS, STACK);
-  private final Consumer<String> peers;
+  private final Writers writers = new Writers(MAX_WRITERS, STACK_BYTES);
+  private final Consumer<String> peerSender;
   private final RunnerLinks links;
   private final Core<NodeCall> core;
   private final FastCgiFront front;
@@ -47,25 +47,31 @@
   CallPath(
       NodeConfig config,
       Watchdog watchdog,
-      StallDetector pauses,
+      StallDetector stallDetector,
       RuleLog rules,
       ThreadCache threads,
-      Consumer<String> peers) {
-    this.peers = peers;
-    int forClients = (config.sockets() - OWN_DESCRIPTORS) / 2;
+      Consumer<String> peerSender) {
+    this.peerSender = peerSender;
+    int clientDescriptors = (config.sockets() - RESERVED_DESCRIPTORS) / 2;
     links = new RunnerLinks(
         config.links(),
-        config.router().limits(),
-        new SendGate(config.router().rules()),
-        pauses,
+        config.routerSettings().limits(),
+        new SendGate(config.routerSettings().rules()),
+        stallDetector,
         rules,
         watchdog,
         writers,
-        config.sockets() - OWN_DESCRIPTORS - forClients,
-        MOST_ANSWER,
+        config.sockets() - RESERVED_DESCRIPTORS - clientDescriptors,
+        MAX_ANSWER_BYTES,
         threads);
     core = new Core<>(
-        config.router(), config.seed(), new Outbound(), config.mostHeld(), false, null, CORE_STACK);
+        config.routerSettings(),
+        config.seed(),
+        new Outbound(),
+        config.maxHeldCalls(),
+        false,
+        null,
+        CORE_STACK_BYTES);
     links.reportTo(new RunnerLinks.Hearer() {
       @Override
       public void attemptEnded(AttemptEnd<NodeCall> end) {
@@ -79,17 +85,18 @@
       }
     });
     front = new FastCgiFront(
-        new RequestReader(config.router())::read,
+        new RequestReader(config.routerSettings())::read,
         core,
         writers,
-        forClients,
-        config.mostHeld(),
-        Math.min(config.memoryBytes() / MEMORY_PART, Runtime.getRuntime().maxMemory() / HEAP_PART),
-        pauses,
+        clientDescriptors,
+        config.maxHeldCalls(),
+        Math.min(
+            config.memoryBytes() / MEMORY_DIVISOR, Runtime.getRuntime().maxMemory() / HEAP_DIVISOR),
+        stallDetector,
         rules,
         call -> links.taken(Clock.micros()));
-    front.roomAlsoBy(links::endLargestAnswer);
-    links.keepWithin(front.budget(), front::makeRoomForBytes);
+    front.setMemoryReclaimer(links::endLargestAnswer);
+    links.keepWithin(front.budget(), front::reclaimMemory);
   }
 
   /** Carries out what the core's thread decides. */
@@ -111,7 +118,7 @@
 
     @Override
     public void tellPeers(String text) {
-      peers.accept(text);
+      peerSender.accept(text);
     }
 
     @Override
--- a/node/src/main/java/gorseladder/node/ChangeLogAddress.java
+++ b/node/src/main/java/gorseladder/node/ChangeLogAddress.java
@@ -13,7 +13,7 @@
  */
 final class ChangeLogAddress {
   private final Path file;
-  private byte[] text;
+  private byte[] content;
   private InetSocketAddress address;
 
   ChangeLogAddress(Path file) {
@@ -26,10 +26,10 @@
    * @throws BadInput where the file cannot be read or names no address
    */
   InetSocketAddress read() {
-    byte[] now = readFile();
-    if (!Arrays.equals(now, text)) {
-      address = NodeConfig.changeLog(file, now);
-      text = now;
+    byte[] current = readFile();
+    if (!Arrays.equals(current, content)) {
+      address = NodeConfig.readChangeLog(file, current);
+      content = current;
     }
     return address;
   }
--- a/node/src/main/java/gorseladder/node/Node.java
+++ b/node/src/main/java/gorseladder/node/Node.java
@@ -28,40 +28,40 @@
 /** One dispatcher of the platform: front, core, runner links, change log and peers, put together and taken apart. */
 public final class Node implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Node.class);
-  private static final int STACK = 128 << 10;
+  private static final int STACK_BYTES = 128 << 10;
   /** Threads for connections, of clients and to runners, that stand ready from the start. */
-  private static final int READY_THREADS = 16;
+  private static final int MIN_IDLE_THREADS = 16;
 
-  private static final long CHECK_EVERY = 200_000;
+  private static final long CHECK_INTERVAL_MICROS = 200_000;
   /** A pause of the process, in microseconds, that may have made answers late and is worth a line. */
-  private static final long PAUSE = 150_000;
+  private static final long REPORTED_STALL_MICROS = 150_000;
   /** After SIGTERM new connections and requests still come for 0.6 s at the most; a margin on top. */
-  private static final long STOP_TAKING = 900_000;
+  private static final long ACCEPT_AFTER_STOP_MICROS = 900_000;
   /**
    * The longest deadline counts as so much at the most when SIGKILL is timed, and comes no sooner than {@link #KILLED}.
    */
-  private static final long LONGEST_COUNTED = 3_000_000;
+  private static final long MAX_COUNTED_DEADLINE_MICROS = 3_000_000;
 
-  private static final long KILLED = 700_000;
+  private static final long KILL_GRACE_MICROS = 700_000;
   /** So long before SIGKILL what is still held gets its final answer. */
-  private static final long ANSWER_BEFORE_KILL = 400_000;
+  private static final long ANSWER_BEFORE_KILL_MICROS = 400_000;
   /**
    * So long before SIGKILL it ends where clients are owed nothing and only have not closed. Guards against an end of
    * the process that takes longer than usual, as on a busy machine.
    */
-  private static final long LEAVE_BEFORE_KILL = 300_000;
+  private static final long EXIT_BEFORE_KILL_MICROS = 300_000;
   /** So long before SIGKILL it ends though clients are owed something: what is left is not answered in time. */
-  private static final long LAST_BEFORE_KILL = 50_000;
+  private static final long LATEST_EXIT_BEFORE_KILL_MICROS = 50_000;
 
-  private static final long LOOK_AGAIN = 5_000;
+  private static final long DRAIN_POLL_MICROS = 5_000;
   /** Seconds between two lines of what it holds; 0, as usual, for none. */
-  private static final long SUMMARY_EVERY = Long.getLong("gorseladder.node.summary", 0);
+  private static final long SUMMARY_INTERVAL_SECONDS = Long.getLong("gorseladder.node.summary", 0);
 
   private final NodeConfig config;
   private final Watchdog watchdog;
   private final CallPath path;
   private final Writers writers;
-  private final StallDetector pauses;
+  private final StallDetector stallDetector;
   private final ThreadCache connectionThreads;
   private final RuleLog rules = new RuleLog();
   private final RunnerLinks links;
@@ -69,14 +69,14 @@
   private final ChangeLogFollower changeLog;
   private final FastCgiFront front;
   private final TierLink peers;
-  private long longestLag;
+  private long maxLagMicros;
   private long summaryAt;
   private volatile boolean closed;
-  private volatile Supplier<String> tellsMore = () -> "none";
+  private volatile Supplier<String> configurationSummary = () -> "none";
   /** News of the list told to the core; the thread's that follows the change log. */
-  private long newsTold;
+  private long listUpdateCount;
   /** The list as it was known at the start. */
-  private volatile WorkerListUpdate startList;
+  private volatile WorkerListUpdate initialList;
 
   /**
    * Starts a dispatcher; it is live when this returns.
@@ -85,10 +85,11 @@
    */
   public Node(NodeConfig config) throws IOException {
     this.config = config;
-    watchdog = new Watchdog("watchdog", STACK);
-    pauses = new StallDetector(watchdog);
-    connectionThreads = new ThreadCache("connection", READY_THREADS, STACK);
-    path = new CallPath(config, watchdog, pauses, rules, connectionThreads, this::tellPeers);
+    watchdog = new Watchdog("watchdog", STACK_BYTES);
+    stallDetector = new StallDetector(watchdog);
+    connectionThreads = new ThreadCache("connection", MIN_IDLE_THREADS, STACK_BYTES);
+    path =
+        new CallPath(config, watchdog, stallDetector, rules, connectionThreads, this::sendToPeers);
     writers = path.writers();
     links = path.links();
     core = path.core();
@@ -97,56 +98,56 @@
         new ChangeLogFollower(config.changeLog(), config.seed(), new ChangeLogFollower.Hearer() {
           @Override
           public void runner(WorkerEntry entry, InetSocketAddress address, long at) {
-            links.told(entry, address, newsTold + 1, at);
+            links.told(entry, address, listUpdateCount + 1, at);
           }
 
           @Override
           public void list(WorkerListUpdate workers) {
-            newsTold++;
-            startList = newsTold == 1 ? workers : startList;
+            listUpdateCount++;
+            initialList = listUpdateCount == 1 ? workers : initialList;
             core.workerListChanged(workers);
           }
         });
-    boolean mayTell = config.router().limits().peers()
+    boolean hasPeers = config.routerSettings().limits().peers()
         && config.peerListen() != null
         && config.peersAll() != null;
-    peers = mayTell
+    peers = hasPeers
         ? Retry.whileTransient(
             LocalShortage::is,
             () -> new TierLink(
                 config.peerListen(),
                 config.peers(),
                 config.peersAll(),
-                config.router().ordinal(),
-                STACK,
+                config.routerSettings().ordinal(),
+                STACK_BYTES,
                 core::peerMessage))
         : null;
-    changeLog.start(config.knownSeq(), config.known(), STACK);
-    int warmedUpBy =
-        WarmUp.run(config, startList, watchdog, pauses, connectionThreads, WarmUp.MOST);
-    ThreadReclaimer sharer = new ThreadReclaimer(front::idle, links::idle);
-    links.shareThreadsBy(sharer);
+    changeLog.start(config.knownSeq(), config.knownEvents(), STACK_BYTES);
+    int warmUpCalls = WarmUp.run(
+        config, initialList, watchdog, stallDetector, connectionThreads, WarmUp.MAX_MICROS);
+    ThreadReclaimer threadReclaimer = new ThreadReclaimer(front::idleConnections, links::idle);
+    links.shareThreadsBy(threadReclaimer);
     Retry.whileTransient(LocalShortage::is, () -> {
-      front.listen(config.listen(), STACK, connectionThreads, sharer);
+      front.listen(config.listen(), STACK_BYTES, connectionThreads, threadReclaimer);
       return front;
     });
-    LOG.info("{} is live after {} calls of warm-up; {}", config.name(), warmedUpBy, summary());
-    checkLater();
+    LOG.info("{} is live after {} calls of warm-up; {}", config.name(), warmUpCalls, summary());
+    scheduleCheck();
   }
 
-  private void tellPeers(String text) {
+  private void sendToPeers(String text) {
     if (peers != null) {
       peers.tell(text);
     }
   }
 
-  private void checkLater() {
-    long due = Clock.micros() + CHECK_EVERY;
-    watchdog.after(CHECK_EVERY, () -> {
+  private void scheduleCheck() {
+    long dueAt = Clock.micros() + CHECK_INTERVAL_MICROS;
+    watchdog.after(CHECK_INTERVAL_MICROS, () -> {
       if (!closed) {
-        long lag = Clock.micros() - due;
-        longestLag = Math.max(longestLag, lag);
-        if (lag > PAUSE) {
+        long lag = Clock.micros() - dueAt;
+        maxLagMicros = Math.max(maxLagMicros, lag);
+        if (lag > REPORTED_STALL_MICROS) {
           LOG.warn(
               "{} stood still for {} ms, calls waited {} us for the core; {}",
               config.name(),
@@ -157,24 +158,24 @@
         logSummary();
         writers.growIfBlocked();
         links.check();
-        front.check();
+        front.checkTimeouts();
         changeLog.noteSilence();
-        checkLater();
+        scheduleCheck();
       }
     });
   }
 
   /** Where it was told to, says what it holds now and then, with its own pauses since the last time. */
   private void logSummary() {
-    if (SUMMARY_EVERY > 0 && Clock.micros() >= summaryAt) {
-      summaryAt = Clock.micros() + SUMMARY_EVERY * 1_000_000;
+    if (SUMMARY_INTERVAL_SECONDS > 0 && Clock.micros() >= summaryAt) {
+      summaryAt = Clock.micros() + SUMMARY_INTERVAL_SECONDS * 1_000_000;
       LOG.info(
           "{}; longest wait for the core {} us, longest pause {} us; {}",
           config.name(),
           core.takeMaxWaitMicros(),
-          longestLag,
+          maxLagMicros,
           summary());
-      longestLag = 0;
+      maxLagMicros = 0;
     }
   }
 
@@ -184,32 +185,32 @@
   }
 
   /** The configuration was replaced: follows the change log where it is now. */
-  public void changeLogAt(InetSocketAddress address) {
+  public void followChangeLogAt(InetSocketAddress address) {
     changeLog.moveTo(address);
   }
 
   /** Where the change log is followed. */
-  public InetSocketAddress changeLogAt() {
+  public InetSocketAddress changeLogAddress() {
     return changeLog.address();
   }
 
   /** True while the change log tells something. */
-  public boolean changeLogHeard() {
+  public boolean isChangeLogHeard() {
     return changeLog.isHeard();
   }
 
   /** Has something more told in the line of {@link #summary}. */
-  public void tellWith(Supplier<String> more) {
-    tellsMore = more;
+  public void setConfigurationSummary(Supplier<String> summary) {
+    configurationSummary = summary;
   }
 
   /** True where no call is held and no attempt is out. */
-  public boolean idle() {
-    return front.held() == 0 && links.callsOut() == 0;
+  public boolean isIdle() {
+    return front.heldCallCount() == 0 && links.callsOut() == 0;
   }
 
   /** Calls with an attempt out, also one that still waits for its connection. */
-  public int callsOut() {
+  public int callsInFlight() {
     return links.callsOut();
   }
 
@@ -226,13 +227,13 @@
   /** What it holds, believes and counted, for the log. */
   public String summary() {
     return "front: " + front.summary() + "; links: " + links.summary() + "; change log: "
-        + changeLog.summary() + "; configuration: " + tellsMore.get() + "; pauses "
-        + pauses.stalls() + "; vain starts of threads " + connectionThreads.failedStarts()
+        + changeLog.summary() + "; configuration: " + configurationSummary.get() + "; pauses "
+        + stallDetector.stalls() + "; vain starts of threads " + connectionThreads.failedStarts()
         + "; rules broken " + rules.counts();
   }
 
   /** How often a rule was broken as far as this dispatcher can see; empty where none was. */
-  public Map<Rule, Long> rulesBroken() {
+  public Map<Rule, Long> brokenRules() {
     return rules.counts();
   }
 
@@ -243,31 +244,35 @@
    * moment: at once where nothing is owed any more.
    */
   public void stop() throws InterruptedException {
-    long begun = Clock.micros();
-    long longest =
-        config.router().classes().stream().mapToLong(c -> c.deadline()).max().orElse(0);
-    long kill = begun + Math.min(longest, LONGEST_COUNTED) + KILLED;
-    long givesUp = kill - ANSWER_BEFORE_KILL;
-    sleepUntil(Math.min(begun + STOP_TAKING, givesUp));
+    long start = Clock.micros();
+    long maxDeadline = config.routerSettings().classes().stream()
+        .mapToLong(c -> c.deadline())
+        .max()
+        .orElse(0);
+    long killAt = start + Math.min(maxDeadline, MAX_COUNTED_DEADLINE_MICROS) + KILL_GRACE_MICROS;
+    long refuseAt = killAt - ANSWER_BEFORE_KILL_MICROS;
+    sleepUntil(Math.min(start + ACCEPT_AFTER_STOP_MICROS, refuseAt));
     front.stopAccepting();
-    boolean givenUp = false;
+    boolean refused = false;
     while (!front.drain()) {
       // Looked at first: after a pause of the process it may be later than any of the bounds, and
       // what is held is still to be answered.
-      if (!givenUp && Clock.micros() >= givesUp) {
-        givenUp = true;
+      if (!refused && Clock.micros() >= refuseAt) {
+        refused = true;
         core.refuseAll();
-      } else if (Clock.micros() >= kill - (front.owes() ? LAST_BEFORE_KILL : LEAVE_BEFORE_KILL)) {
+      } else if (Clock.micros()
+          >= killAt
+              - (front.owesAnswers() ? LATEST_EXIT_BEFORE_KILL_MICROS : EXIT_BEFORE_KILL_MICROS)) {
         break;
       }
-      sleepUntil(Clock.micros() + LOOK_AGAIN);
+      sleepUntil(Clock.micros() + DRAIN_POLL_MICROS);
     }
-    LOG.info("{} stops after {} ms; {}", config.name(), (Clock.micros() - begun) / 1000, summary());
+    LOG.info("{} stops after {} ms; {}", config.name(), (Clock.micros() - start) / 1000, summary());
     close();
   }
 
-  private static void sleepUntil(long at) throws InterruptedException {
-    long left = at - Clock.micros();
+  private static void sleepUntil(long time) throws InterruptedException {
+    long left = time - Clock.micros();
     if (left > 0) {
       Thread.sleep(left / 1000, (int) (left % 1000) * 1000);
     }
@@ -284,7 +289,7 @@
       peers.close();
     }
     changeLog.close();
-    pauses.stop();
+    stallDetector.stop();
     watchdog.close();
     connectionThreads.close();
     LOG.debug("{} is closed", config.name());
--- a/node/src/main/java/gorseladder/node/NodeCall.java
+++ b/node/src/main/java/gorseladder/node/NodeCall.java
@@ -9,8 +9,8 @@
 
 /** A call of the platform: it is answered on the connection it came on, and nothing of it is kept after its end. */
 public final class NodeCall extends Call {
-  private final String key;
-  private final long seenFrom;
+  private final String idempotencyKey;
+  private final long clientSeenFrom;
   private final long readAt = Clock.micros();
   private final BiConsumer<NodeCall, FinalAnswer> onEnd;
   /**
@@ -26,21 +26,25 @@
    * @param onEnd hears its final answer once
    */
   public NodeCall(
-      long id, Facts facts, String key, long seenFrom, BiConsumer<NodeCall, FinalAnswer> onEnd) {
+      long id,
+      Facts facts,
+      String idempotencyKey,
+      long clientSeenFrom,
+      BiConsumer<NodeCall, FinalAnswer> onEnd) {
     super(id, facts);
-    this.key = key;
-    this.seenFrom = seenFrom;
+    this.idempotencyKey = idempotencyKey;
+    this.clientSeenFrom = clientSeenFrom;
     this.onEnd = onEnd;
   }
 
   /** The client's idempotency key, or null. */
-  public String key() {
-    return key;
+  public String idempotencyKey() {
+    return idempotencyKey;
   }
 
   /** From when on it is known whether its client is still there; 0 for always. */
-  public long seenFrom() {
-    return seenFrom;
+  public long clientSeenFrom() {
+    return clientSeenFrom;
   }
 
   /** When it was read whole. */
@@ -64,7 +68,7 @@
   }
 
   /** True where the connection carried this call before. */
-  public synchronized boolean wasOn(Object connection) {
+  public synchronized boolean wasCarriedBy(Object connection) {
     return carriers.contains(connection);
   }
 }
--- a/node/src/main/java/gorseladder/node/NodeConfig.java
+++ b/node/src/main/java/gorseladder/node/NodeConfig.java
@@ -36,27 +36,31 @@
     InetSocketAddress peersAll,
     InetSocketAddress changeLog,
     long knownSeq,
-    List<ChangeLine> known,
-    RouterApi.Settings router,
+    List<ChangeLine> knownEvents,
+    RouterApi.Settings routerSettings,
     Links links,
-    int mostHeld) {
+    int maxHeldCalls) {
 
   /** What runner links are told of connections. */
   public record Links(
-      long connect, long idle, int multiplex, boolean tellsNote, boolean tellsCrowd) {}
+      long connectTimeout,
+      long idleTimeout,
+      int maxCallsPerConnection,
+      boolean reportsCopyStatus,
+      boolean reportsConcurrency) {}
 
   /** The variable that names the configuration file. */
-  static final String FILE_VARIABLE = "ROUTER_CONFIG";
+  static final String CONFIG_FILE_VARIABLE = "ROUTER_CONFIG";
 
-  private static final long MEGABYTE = 1 << 20;
-  private static final int MOST_PORT = 65_535;
-  private static final int MOST_PORT_DIGITS = 5;
-  private static final int LEAST_IPV4 = 7;
-  private static final int MOST_IPV4 = 15;
+  private static final long BYTES_PER_MEGABYTE = 1 << 20;
+  private static final int MAX_PORT = 65_535;
+  private static final int MAX_PORT_DIGITS = 5;
+  private static final int MIN_IPV4_CHARS = 7;
+  private static final int MAX_IPV4_CHARS = 15;
   /** With the brackets. */
-  private static final int LEAST_IPV6 = 4;
+  private static final int MIN_IPV6_CHARS = 4;
 
-  private static final int MOST_IPV6 = 47;
+  private static final int MAX_IPV6_CHARS = 47;
   private static final String DIGITS = "0123456789";
   private static final String HEX_DIGITS = DIGITS + "abcdefABCDEF";
 
@@ -68,10 +72,10 @@
   public static NodeConfig read(Map<String, String> environment) {
     String name = variable(environment, "ROUTER_NAME");
     InetSocketAddress listen = address(variable(environment, "ROUTER_LISTEN"), "ROUTER_LISTEN");
-    Path file = Path.of(variable(environment, FILE_VARIABLE));
-    Map<String, Object> all = object(file, readAtStart(file));
+    Path file = Path.of(variable(environment, CONFIG_FILE_VARIABLE));
+    Map<String, Object> config = parseObject(file, readAtStart(file));
     try {
-      return read(name, listen, all);
+      return read(name, listen, config);
     } catch (IllegalArgumentException | BadInput e) {
       throw new BadInput(file + ": " + e.getMessage());
     }
@@ -82,21 +86,22 @@
    *
    * @throws BadInput where there is none
    */
-  static InetSocketAddress changeLog(Path file, byte[] text) {
-    return address(Fields.text(object(file, text), "changelog"), file + ": changelog");
+  static InetSocketAddress readChangeLog(Path file, byte[] content) {
+    return address(Fields.text(parseObject(file, content), "changelog"), file + ": changelog");
   }
 
-  private static NodeConfig read(String name, InetSocketAddress listen, Map<String, Object> all) {
-    Map<String, Object> limits = Fields.object(all, "limits");
-    Map<String, Object> settings = Fields.object(all, "settings");
+  private static NodeConfig read(
+      String name, InetSocketAddress listen, Map<String, Object> config) {
+    Map<String, Object> limits = Fields.object(config, "limits");
+    Map<String, Object> settings = Fields.object(config, "settings");
     Map<String, Object> siteLimits = Fields.object(settings, "limits");
     Map<String, Object> family = Fields.object(settings, "familyInfo");
-    RouterApi.Settings router = PlatformSettings.read(settings);
+    RouterApi.Settings routerSettings = PlatformSettings.read(settings);
     List<InetSocketAddress> peers = new ArrayList<>();
-    if (all.get("peers") instanceof List<?> named) {
-      named.forEach(peer -> peers.add(address(String.valueOf(peer), "peers")));
+    if (config.get("peers") instanceof List<?> list) {
+      list.forEach(peer -> peers.add(address(String.valueOf(peer), "peers")));
     }
-    Map<String, Object> known = Fields.object(all, "known");
+    Map<String, Object> known = Fields.object(config, "known");
     List<ChangeLine> events = new ArrayList<>();
     for (Map<String, Object> event : Fields.list(known, "results", true)) {
       events.add(ChangeLine.of(event));
@@ -110,16 +115,16 @@
     return new NodeConfig(
         name,
         listen,
-        seed(Fields.text(all, "seed")),
+        seed(Fields.text(config, "seed")),
         (int) Fields.number(limits, "sockets"),
-        (long) (Fields.number(limits, "memory_mb") * MEGABYTE),
-        optional(all, "peer_listen"),
+        (long) (Fields.number(limits, "memory_mb") * BYTES_PER_MEGABYTE),
+        optionalAddress(config, "peer_listen"),
         List.copyOf(peers),
-        optional(all, "peers_all"),
-        address(Fields.text(all, "changelog"), "changelog"),
+        optionalAddress(config, "peers_all"),
+        address(Fields.text(config, "changelog"), "changelog"),
         (long) Fields.number(known, "seq"),
         List.copyOf(events),
-        router,
+        routerSettings,
         links,
         (int) Fields.number(siteLimits, "mostHeld", 20_000));
   }
@@ -142,9 +147,9 @@
     return new BadInput("ROUTER_CONFIG: cannot read " + cause.getMessage());
   }
 
-  private static Map<String, Object> object(Path file, byte[] text) {
+  private static Map<String, Object> parseObject(Path file, byte[] content) {
     try {
-      if (Json.read(text) instanceof Map<?, ?> map) {
+      if (Json.read(content) instanceof Map<?, ?> map) {
         @SuppressWarnings("unchecked")
         Map<String, Object> object = (Map<String, Object>) map;
         return object;
@@ -171,8 +176,8 @@
     }
   }
 
-  private static InetSocketAddress optional(Map<String, Object> all, String key) {
-    return all.get(key) instanceof String text ? address(text, key) : null;
+  private static InetSocketAddress optionalAddress(Map<String, Object> config, String key) {
+    return config.get(key) instanceof String text ? address(text, key) : null;
   }
 
   /** A numeric address and port. Not the settings' reader of addresses: its library would be loaded at each start. */
@@ -195,23 +200,23 @@
 
   private static boolean isPort(String text) {
     return !text.isEmpty()
-        && text.length() <= MOST_PORT_DIGITS
-        && consistsOf(DIGITS, text)
-        && Integer.parseInt(text) <= MOST_PORT;
+        && text.length() <= MAX_PORT_DIGITS
+        && containsOnly(DIGITS, text)
+        && Integer.parseInt(text) <= MAX_PORT;
   }
 
   /** Digits and points, or digits, points and colons in brackets: what is never looked up by name. */
   private static boolean isNumericHost(String host) {
     int length = host.length();
     if (host.startsWith("[") && host.endsWith("]")) {
-      return length >= LEAST_IPV6
-          && length <= MOST_IPV6
-          && consistsOf(HEX_DIGITS + ".:", host.substring(1, length - 1));
+      return length >= MIN_IPV6_CHARS
+          && length <= MAX_IPV6_CHARS
+          && containsOnly(HEX_DIGITS + ".:", host.substring(1, length - 1));
     }
-    return length >= LEAST_IPV4 && length <= MOST_IPV4 && consistsOf(DIGITS + ".", host);
+    return length >= MIN_IPV4_CHARS && length <= MAX_IPV4_CHARS && containsOnly(DIGITS + ".", host);
   }
 
-  private static boolean consistsOf(String characters, String text) {
+  private static boolean containsOnly(String characters, String text) {
     for (int i = 0; i < text.length(); i++) {
       if (characters.indexOf(text.charAt(i)) < 0) {
         return false;
--- a/node/src/main/java/gorseladder/node/NodeMain.java
+++ b/node/src/main/java/gorseladder/node/NodeMain.java
@@ -15,7 +15,7 @@
   public static final int OK = 0;
 
   public static final int CANNOT_START = 3;
-  private static final int STACK = 128 << 10;
+  private static final int STACK_BYTES = 128 << 10;
 
   private NodeMain() {}
 
@@ -36,15 +36,15 @@
     try (Node node = new Node(NodeConfig.read(environment));
         // Where it was replaced during the start, the file may have been read before that.
         Reconfiguration reconfiguration = new Reconfiguration(
-            Path.of(environment.get(NodeConfig.FILE_VARIABLE)),
-            new ChangeLogAddress(Path.of(environment.get(NodeConfig.FILE_VARIABLE)))::read,
-            node.changeLogAt(),
-            node::changeLogAt,
-            node::changeLogHeard,
-            STACK)) {
-      node.tellWith(reconfiguration::summary);
+            Path.of(environment.get(NodeConfig.CONFIG_FILE_VARIABLE)),
+            new ChangeLogAddress(Path.of(environment.get(NodeConfig.CONFIG_FILE_VARIABLE)))::read,
+            node.changeLogAddress(),
+            node::followChangeLogAt,
+            node::isChangeLogHeard,
+            STACK_BYTES)) {
+      node.setConfigurationSummary(reconfiguration::summary);
       while (!signals.awaitStopOrReload()) {
-        reconfiguration.ask();
+        reconfiguration.requestReload();
       }
       node.stop();
       return OK;
--- a/node/src/main/java/gorseladder/node/Reconfiguration.java
+++ b/node/src/main/java/gorseladder/node/Reconfiguration.java
@@ -31,22 +31,22 @@
 final class Reconfiguration implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Reconfiguration.class);
   /** Between two looks at the file. */
-  private static final long LOOK_MILLIS = 200;
+  private static final long CHECK_INTERVAL_MILLIS = 200;
   /** For so long after a change was seen the file is read at every look: one more change may not show in its times. */
-  private static final long SETTLES = 1_000_000;
+  private static final long REREAD_AFTER_CHANGE_MICROS = 1_000_000;
   /** Between two readings of an unchanged file while the log says nothing. */
-  private static final long UNHEARD_EVERY = 1_000_000;
+  private static final long REREAD_WHILE_SILENT_MICROS = 1_000_000;
   /** A line for the first failure, and then for each so many. */
-  private static final int LINE_EVERY = 50;
+  private static final int FAILURES_PER_WARNING = 50;
 
   /**
    * What tells one state of the file from the next. Compared by its own code: that of a record is made at run time, at
    * the first comparison.
    */
-  private record State(Object key, long modifiedNanos, long size) {
+  private record FileState(Object key, long modifiedNanos, long size) {
     @Override
     public boolean equals(Object other) {
-      return other instanceof State s
+      return other instanceof FileState s
           && Objects.equals(key, s.key)
           && modifiedNanos == s.modifiedNanos
           && size == s.size;
@@ -61,13 +61,13 @@
   private final Path file;
   private final Supplier<InetSocketAddress> reader;
   private final Consumer<InetSocketAddress> follower;
-  private final BooleanSupplier heard;
-  private InetSocketAddress inForce;
-  private State seen;
-  private long settlesUntil;
+  private final BooleanSupplier logHeard;
+  private InetSocketAddress currentAddress;
+  private FileState lastRead;
+  private long rereadUntil;
   private long readAt;
   private int failures;
-  private boolean asked;
+  private boolean reloadRequested;
   private boolean closed;
   private long reloads;
   private long failedReloads;
@@ -85,28 +85,28 @@
   Reconfiguration(
       Path file,
       Supplier<InetSocketAddress> reader,
-      InetSocketAddress inForce,
+      InetSocketAddress currentAddress,
       Consumer<InetSocketAddress> follower,
-      BooleanSupplier heard,
+      BooleanSupplier logHeard,
       int stackBytes) {
     this.file = file;
     this.reader = reader;
-    this.inForce = inForce;
+    this.currentAddress = currentAddress;
     this.follower = follower;
-    this.heard = heard;
+    this.logHeard = logHeard;
     Threads.start("configuration", stackBytes, this::run);
   }
 
   /** A new configuration is there. */
-  synchronized void ask() {
-    asked = true;
+  synchronized void requestReload() {
+    reloadRequested = true;
     notifyAll();
   }
 
   private void run() {
     try {
       while (await()) {
-        Threads.guarded("configuration", this::look);
+        Threads.guarded("configuration", this::check);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -115,68 +115,68 @@
 
   /** Waits for the next look; false once closed. */
   private synchronized boolean await() throws InterruptedException {
-    if (!asked && !closed) {
-      wait(LOOK_MILLIS);
+    if (!reloadRequested && !closed) {
+      wait(CHECK_INTERVAL_MILLIS);
     }
     return !closed;
   }
 
-  private void look() {
+  private void check() {
     long now = Clock.micros();
-    State state = state();
-    boolean changed = state != null && !state.equals(seen);
-    settlesUntil = changed ? now + SETTLES : settlesUntil;
-    boolean signalled = takeAsked();
-    boolean unheard = !heard.getAsBoolean() && now - readAt >= UNHEARD_EVERY;
-    if (changed || signalled || unheard || failures > 0 || now < settlesUntil) {
+    FileState state = fileState();
+    boolean changed = state != null && !state.equals(lastRead);
+    rereadUntil = changed ? now + REREAD_AFTER_CHANGE_MICROS : rereadUntil;
+    boolean signalled = takeReloadRequest();
+    boolean logSilent = !logHeard.getAsBoolean() && now - readAt >= REREAD_WHILE_SILENT_MICROS;
+    if (changed || signalled || logSilent || failures > 0 || now < rereadUntil) {
       readAt = now;
       read(state, signalled);
     }
   }
 
-  private synchronized boolean takeAsked() {
-    boolean was = asked;
-    asked = false;
-    return was;
+  private synchronized boolean takeReloadRequest() {
+    boolean requested = reloadRequested;
+    reloadRequested = false;
+    return requested;
   }
 
   /** The file's state; null where it cannot be had just now. */
-  private State state() {
+  private FileState fileState() {
     try {
       BasicFileAttributes a = Files.readAttributes(file, BasicFileAttributes.class);
-      return new State(a.fileKey(), a.lastModifiedTime().to(TimeUnit.NANOSECONDS), a.size());
+      return new FileState(a.fileKey(), a.lastModifiedTime().to(TimeUnit.NANOSECONDS), a.size());
     } catch (IOException e) {
       return null;
     }
   }
 
-  private void read(State state, boolean signalled) {
+  private void read(FileState state, boolean signalled) {
     try {
       InetSocketAddress address = reader.get();
-      seen = state;
-      boolean other = !address.equals(inForce);
-      if (other || signalled || failures > 0) {
+      lastRead = state;
+      boolean addressChanged = !address.equals(currentAddress);
+      if (addressChanged || signalled || failures > 0) {
         reloads++;
         lastOutcome = "change log at " + address;
         LOG.info(
             "configuration read again{}: change log at {}{}{}",
             signalled ? " by a signal" : "",
             address,
-            other ? ", before at " + inForce : ", as before",
+            addressChanged ? ", before at " + currentAddress : ", as before",
             failures > 0 ? ", after " + failures + " failures" : "");
       }
       failures = 0;
-      if (other) {
-        inForce = address;
+      if (addressChanged) {
+        currentAddress = address;
         follower.accept(address);
       }
     } catch (BadInput e) {
       failedReloads++;
       lastOutcome = e.getMessage();
-      if (failures++ % LINE_EVERY == 0) {
+      if (failures++ % FAILURES_PER_WARNING == 0) {
         LOG.warn(
             "the configuration stays as it was, change log at {}, and is read again soon: {}",
-            inForce,
+            currentAddress,
             e.getMessage());
       }
     }
--- a/node/src/main/java/gorseladder/node/RouterWarmUp.java
+++ b/node/src/main/java/gorseladder/node/RouterWarmUp.java
@@ -30,15 +30,15 @@
   private static final int FUNCTIONS = 8;
   private static final int LANES = 2;
   /** Between two calls, in microseconds of its clock. */
-  private static final long STEP = 100_000;
+  private static final long CALL_INTERVAL_MICROS = 100_000;
 
-  private static final long LATENCY = 20_000;
+  private static final long LATENCY_MICROS = 20_000;
   private static final Outcome[] OUTCOMES = Outcome.values();
-  private static final CopyStatus[] NOTES = CopyStatus.values();
+  private static final CopyStatus[] COPY_STATUSES = CopyStatus.values();
 
   private final Router router;
   private final Settings settings;
-  private final ArrayDeque<Send> sent = new ArrayDeque<>();
+  private final ArrayDeque<Send> sends = new ArrayDeque<>();
   private final ArrayDeque<Load> loads = new ArrayDeque<>();
   private final ArrayDeque<SetTimer> timers = new ArrayDeque<>();
   private long now;
@@ -46,12 +46,12 @@
   RouterWarmUp(Settings settings, List<WorkerEntry> workers) {
     this.settings = settings;
     router = new Router(settings, 1);
-    router.on(now, new WorkerListUpdate(ListKind.SAVED, workers), this::note);
+    router.on(now, new WorkerListUpdate(ListKind.SAVED, workers), this::collect);
   }
 
-  private void note(Action action) {
+  private void collect(Action action) {
     if (action instanceof Send send) {
-      sent.addLast(send);
+      sends.addLast(send);
     } else if (action instanceof Load load) {
       loads.addLast(load);
     } else if (action instanceof SetTimer timer) {
@@ -60,8 +60,8 @@
   }
 
   /** Plays the call of that number, from 1, to its end. */
-  void play(int number) {
-    now += STEP;
+  void playCall(int number) {
+    now += CALL_INTERVAL_MICROS;
     List<RequestClass> classes = settings.classes();
     RequestClass requestClass = classes.get(number % classes.size());
     router.on(
@@ -75,21 +75,21 @@
             0,
             1,
             LANES,
-            STEP,
+            CALL_INTERVAL_MICROS,
             false),
-        this::note);
-    now += LATENCY;
+        this::collect);
+    now += LATENCY_MICROS;
     runTimers();
     endLoads();
     answerAll(number);
-    router.on(now, number % 2 == 0 ? new ClientGone(number) : new AnswerDue(number), this::note);
-    sent.clear();
+    router.on(now, number % 2 == 0 ? new ClientGone(number) : new AnswerDue(number), this::collect);
+    sends.clear();
   }
 
   /** Runs those that are set now; a timer that sets itself again waits for the next call. */
   private void runTimers() {
     for (int left = timers.size(); left > 0; left--) {
-      router.on(now, new TimerDue(timers.removeFirst().token()), this::note);
+      router.on(now, new TimerDue(timers.removeFirst().token()), this::collect);
     }
   }
 
@@ -98,18 +98,18 @@
       Load load = loads.removeFirst();
       router.on(
           now,
-          new Loaded(load.worker(), load.function(), load.copies(), Outcome.OK, LATENCY),
-          this::note);
+          new Loaded(load.worker(), load.function(), load.copies(), Outcome.OK, LATENCY_MICROS),
+          this::collect);
     }
   }
 
   /** Ends each attempt, most of them well; what is sent again meets the next outcome. */
   private void answerAll(int number) {
-    for (int attempt = 0; !sent.isEmpty(); attempt++) {
-      Send send = sent.removeFirst();
-      int turn = number + attempt;
-      boolean well = turn % 2 == 0;
-      Outcome outcome = well ? Outcome.OK : OUTCOMES[turn / 2 % OUTCOMES.length];
+    for (int attempt = 0; !sends.isEmpty(); attempt++) {
+      Send send = sends.removeFirst();
+      int variant = number + attempt;
+      boolean succeeds = variant % 2 == 0;
+      Outcome outcome = succeeds ? Outcome.OK : OUTCOMES[variant / 2 % OUTCOMES.length];
       router.on(
           now,
           new Answer(
@@ -117,12 +117,12 @@
               attempt,
               send.worker(),
               outcome,
-              well,
-              LATENCY,
-              NOTES[turn % NOTES.length],
-              turn % LANES,
+              succeeds,
+              LATENCY_MICROS,
+              COPY_STATUSES[variant % COPY_STATUSES.length],
+              variant % LANES,
               Map.of()),
-          this::note);
+          this::collect);
     }
   }
 }
--- a/node/src/main/java/gorseladder/node/WarmUp.java
+++ b/node/src/main/java/gorseladder/node/WarmUp.java
@@ -35,33 +35,37 @@
    * against a file that cannot be opened just then: such a class is of no use for good, and each connect that fails
    * later ends in an Error.
    */
-  private static final List<String> SET_UP =
+  private static final List<String> PRELOADED_CLASSES =
       List.of("java.security.Security", "sun.net.util.SocketExceptions");
 
   /** Calls in all; the Java machine compiles what was called 200 times. */
   static final int CALLS = 300;
   /** Workers at the most: each has connections, and each connection a thread. */
-  private static final int WORKERS = 8;
+  private static final int MAX_WORKERS = 8;
   /** Calls that are open at a time. */
-  private static final int GROUP = 6;
+  private static final int BATCH_CALLS = 6;
   /** How long it may last in all, in microseconds; a restarted dispatcher has 6 s to be live. */
-  static final long MOST = 3_000_000;
+  static final long MAX_MICROS = 3_000_000;
 
   private final NodeConfig config;
   private final CallPath path;
   private final WarmUpClient client = new WarmUpClient();
   private final InMemoryChannel channel = new InMemoryChannel(client);
   private final ThreadCache threads;
-  private final long until;
+  private final long deadline;
   private int answered;
 
   private WarmUp(
-      NodeConfig config, Watchdog watchdog, StallDetector pauses, ThreadCache threads, long most) {
-    until = Clock.micros() + most;
+      NodeConfig config,
+      Watchdog watchdog,
+      StallDetector stallDetector,
+      ThreadCache threads,
+      long maxMicros) {
+    deadline = Clock.micros() + maxMicros;
     this.config = config;
     this.threads = threads;
     RuleLog silent = new RuleLog(NOPLogger.NOP_LOGGER);
-    path = new CallPath(config, watchdog, pauses, silent, threads, text -> {});
+    path = new CallPath(config, watchdog, stallDetector, silent, threads, text -> {});
     WarmUpRunner runner = new WarmUpRunner();
     path.links().connectBy(() -> new InMemoryChannel(runner));
   }
@@ -77,19 +81,19 @@
       NodeConfig config,
       WorkerListUpdate list,
       Watchdog watchdog,
-      StallDetector pauses,
+      StallDetector stallDetector,
       ThreadCache threads,
-      long most) {
-    SET_UP.forEach(WarmUp::setUp);
-    try (WarmUp warmUp = new WarmUp(config, watchdog, pauses, threads, most)) {
-      Threads.guarded("warm-up", () -> warmUp.play(list));
-      Threads.guarded("warm-up", () -> warmUp.decide(list));
+      long maxMicros) {
+    PRELOADED_CLASSES.forEach(WarmUp::preload);
+    try (WarmUp warmUp = new WarmUp(config, watchdog, stallDetector, threads, maxMicros)) {
+      Threads.guarded("warm-up", () -> warmUp.warmUpPath(list));
+      Threads.guarded("warm-up", () -> warmUp.warmUpRouter(list));
       return warmUp.answered;
     }
   }
 
   /** Where the class cannot be had the machine has another way, and sets that up itself. */
-  private static void setUp(String name) {
+  private static void preload(String name) {
     try {
       Class.forName(name);
     } catch (ClassNotFoundException e) {
@@ -98,10 +102,10 @@
   }
 
   /** Calls that are decided among all workers. */
-  private void decide(WorkerListUpdate list) {
-    RouterWarmUp router = new RouterWarmUp(config.router(), list.entries());
-    for (int number = 1; number <= CALLS && Clock.micros() < until; number++) {
-      router.play(number);
+  private void warmUpRouter(WorkerListUpdate list) {
+    RouterWarmUp router = new RouterWarmUp(config.routerSettings(), list.entries());
+    for (int number = 1; number <= CALLS && Clock.micros() < deadline; number++) {
+      router.playCall(number);
     }
   }
 
@@ -113,28 +117,29 @@
     }
   }
 
-  private void play(WorkerListUpdate list) {
+  private void warmUpPath(WorkerListUpdate list) {
     if (!threads.execute(this::serve)) {
       return;
     }
     List<WorkerEntry> workers = list.entries().isEmpty()
-        ? List.of(new WorkerEntry("w", config.router().zone(), 0, Phase.RUNNING, 1, 0))
-        : list.entries().stream().limit(WORKERS).toList();
-    tell(ListKind.SAVED, workers.stream().map(w -> entry(w, Phase.RUNNING, 0)).toList());
-    while (answered < CALLS && playGroup()) {
-      answered += GROUP;
-      changeList(workers, answered / GROUP);
+        ? List.of(new WorkerEntry("w", config.routerSettings().zone(), 0, Phase.RUNNING, 1, 0))
+        : list.entries().stream().limit(MAX_WORKERS).toList();
+    updateList(
+        ListKind.SAVED, workers.stream().map(w -> entry(w, Phase.RUNNING, 0)).toList());
+    while (answered < CALLS && sendBatch()) {
+      answered += BATCH_CALLS;
+      changeList(workers, answered / BATCH_CALLS);
     }
     stop();
   }
 
   /** Sends some calls at once; false where their answers have not come by the end. */
-  private boolean playGroup() {
-    for (int i = 1; i <= GROUP; i++) {
-      channel.deliver(WarmUpCall.records(answered + i, config.router()));
+  private boolean sendBatch() {
+    for (int i = 1; i <= BATCH_CALLS; i++) {
+      channel.deliver(WarmUpCall.records(answered + i, config.routerSettings()));
     }
     try {
-      return client.await(answered + GROUP, until);
+      return client.await(answered + BATCH_CALLS, deadline);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return false;
@@ -142,22 +147,23 @@
   }
 
   /** One worker after the other drains, goes and comes back; others tell that it is sick. */
-  private void changeList(List<WorkerEntry> workers, int turn) {
+  private void changeList(List<WorkerEntry> workers, int step) {
     if (workers.size() > 1) {
       Phase[] phases = Phase.values();
-      WorkerEntry worker = workers.get(turn / phases.length % workers.size());
-      tell(
+      WorkerEntry worker = workers.get(step / phases.length % workers.size());
+      updateList(
           ListKind.DELTA,
-          List.of(entry(worker, phases[(turn + 1) % phases.length], worker.startedAt())));
+          List.of(entry(worker, phases[(step + 1) % phases.length], worker.startedAt())));
       path.core().peerMessage(0, "sick " + worker.worker());
     }
   }
 
-  private static WorkerEntry entry(WorkerEntry told, Phase phase, long born) {
-    return new WorkerEntry(told.worker(), told.zone(), told.cell(), phase, told.weight(), born);
+  private static WorkerEntry entry(WorkerEntry worker, Phase phase, long startedAt) {
+    return new WorkerEntry(
+        worker.worker(), worker.zone(), worker.cell(), phase, worker.weight(), startedAt);
   }
 
-  private void tell(ListKind kind, List<WorkerEntry> entries) {
+  private void updateList(ListKind kind, List<WorkerEntry> entries) {
     InetSocketAddress nowhere = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     for (WorkerEntry entry : entries) {
       path.links().told(entry, nowhere, 1, Clock.micros());
@@ -168,8 +174,8 @@
   /** The steps of an orderly stop, as far as they need no listener. */
   private void stop() {
     path.links().check();
-    path.front().check();
-    path.front().owes();
+    path.front().checkTimeouts();
+    path.front().owesAnswers();
     path.core().refuseAll();
     path.front().drain();
   }
--- a/node/src/main/java/gorseladder/node/WarmUpCall.java
+++ b/node/src/main/java/gorseladder/node/WarmUpCall.java
@@ -24,20 +24,20 @@
   }
 
   /** Every so manieth request is one of the rare kinds, in their order. */
-  private static final int RARE_EVERY = 4;
+  private static final int RARE_KIND_INTERVAL = 4;
 
   private static final int FUNCTIONS = 8;
   private static final int BODY_BYTES = 200;
   /** How long a client waits that gets no answer, in milliseconds. */
-  private static final int SHORT_MILLIS = 20;
+  private static final int UNANSWERED_TIMEOUT_MILLIS = 20;
 
   private WarmUpCall() {}
 
   static Kind kind(long number) {
     Kind[] kinds = Kind.values();
-    return number % RARE_EVERY != 0
+    return number % RARE_KIND_INTERVAL != 0
         ? Kind.SERVED
-        : kinds[(int) (number / RARE_EVERY % kinds.length)];
+        : kinds[(int) (number / RARE_KIND_INTERVAL % kinds.length)];
   }
 
   /** The records of a request, and those that take it back where its kind is so. */
@@ -45,13 +45,14 @@
     RequestClass requestClass =
         settings.classes().get((int) (number % settings.classes().size()));
     Kind kind = kind(number);
-    long millis =
-        kind == Kind.UNANSWERED ? SHORT_MILLIS : Math.max(1, requestClass.deadline() / 1_000);
+    long millis = kind == Kind.UNANSWERED
+        ? UNANSWERED_TIMEOUT_MILLIS
+        : Math.max(1, requestClass.deadline() / 1_000);
     Map<String, String> params = new LinkedHashMap<>();
     params.put("SCRIPT_NAME", kind == Kind.UNUSABLE ? "/" : "/svc/" + requestClass.name());
-    params.put("HTTP_X_REQUEST_ID", hex(number));
+    params.put("HTTP_X_REQUEST_ID", hexId(number));
     params.put("HTTP_X_TIMEOUT_MS", Long.toString(millis));
-    params.put("HTTP_X_OBJECT", hex(number % FUNCTIONS));
+    params.put("HTTP_X_OBJECT", hexId(number % FUNCTIONS));
     params.put("HTTP_X_FACTS", "memory_mb:10;lanes:2;load_ms:100");
     if (!settings.tenants().isEmpty()) {
       params.put("HTTP_X_TENANT", settings.tenants().get(0).name());
@@ -65,7 +66,7 @@
     return out.toByteArray();
   }
 
-  private static String hex(long number) {
+  private static String hexId(long number) {
     String digits = Long.toHexString(number);
     return "0".repeat(16 - digits.length()) + digits;
   }
--- a/node/src/main/java/gorseladder/node/WarmUpClient.java
+++ b/node/src/main/java/gorseladder/node/WarmUpClient.java
@@ -23,10 +23,10 @@
   }
 
   /** Waits until so many requests in all are answered; false where that is not so by then. */
-  synchronized boolean await(long count, long until) throws InterruptedException {
-    for (long left = until - Clock.micros(); answered < count && left > 0; ) {
+  synchronized boolean await(long count, long deadline) throws InterruptedException {
+    for (long left = deadline - Clock.micros(); answered < count && left > 0; ) {
       wait(left / 1_000 + 1);
-      left = until - Clock.micros();
+      left = deadline - Clock.micros();
     }
     return answered >= count;
   }
--- a/node/src/main/java/gorseladder/node/front/Arrival.java
+++ b/node/src/main/java/gorseladder/node/front/Arrival.java
@@ -13,9 +13,9 @@
 record Arrival(long at, long clientSeenFrom) {
   /** The arrival of a request whose last bytes were read just now. */
   static Arrival of(ArrivalTimes times) {
-    long came = times.earliestArrival();
+    long earliestArrival = times.earliestArrival();
     long readAt = times.readAt();
-    boolean late = readAt - came > StallWatch.SETTLE_MICROS;
-    return new Arrival(came, late ? readAt + StallWatch.SETTLE_MICROS : 0);
+    boolean late = readAt - earliestArrival > StallWatch.SETTLE_MICROS;
+    return new Arrival(earliestArrival, late ? readAt + StallWatch.SETTLE_MICROS : 0);
   }
 }
--- a/node/src/main/java/gorseladder/node/front/CloseReason.java
+++ b/node/src/main/java/gorseladder/node/front/CloseReason.java
@@ -23,7 +23,7 @@
   STOPPING;
 
   /** True where it was this side that ended it though requests may have been open. */
-  boolean ownChoice() {
+  boolean isOwnDecision() {
     return this == IDLE || this == SILENT || this == FOR_ROOM || this == LAST_ANSWERED;
   }
 
--- a/node/src/main/java/gorseladder/node/front/FastCgiFront.java
+++ b/node/src/main/java/gorseladder/node/front/FastCgiFront.java
@@ -40,16 +40,16 @@
 public final class FastCgiFront implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(FastCgiFront.class);
   /** Answered with 200 once calls can be served. */
-  static final String LIVE = "/status/live";
+  static final String LIVENESS_PATH = "/status/live";
   /** What a connection that says nothing gets before it is closed; its client is owed an end within 3 s. */
-  private static final long SILENT = 2_000_000;
+  private static final long SILENT_TIMEOUT_MICROS = 2_000_000;
   /** Clients close connections idle for 4 s; ours comes later, so that the two do not cross. */
-  private static final long IDLE = 6_000_000;
+  private static final long IDLE_TIMEOUT_MICROS = 6_000_000;
 
-  private static final int MOST_CLOSED_AT_ONCE = 16;
-  private static final long STUCK = 2_000_000;
+  private static final int MAX_CLOSED_PER_CHECK = 16;
+  private static final long WRITE_TIMEOUT_MICROS = 2_000_000;
   /** Past its client's time by more than the platform's slack an answer is counted as late. */
-  private static final long LATE = 50_000;
+  private static final long LATE_MARGIN_MICROS = 50_000;
 
   /** Turns a request that arrived whole into a call's facts, as {@link RequestReader#read} does. */
   public interface Reader {
@@ -58,27 +58,27 @@
   }
 
   /** Hears of calls taken, before the core does. */
-  public interface Hearer {
-    void taken(NodeCall call);
+  public interface CallListener {
+    void callTaken(NodeCall call);
   }
 
   private final Reader reader;
   private final Core<NodeCall> core;
   private final Executor writers;
-  private final Hearer hearer;
-  private final int mostConnections;
-  private final int mostHeld;
+  private final CallListener callListener;
+  private final int maxConnections;
+  private final int maxHeldCalls;
   private final ByteBudget budget;
-  private volatile BooleanSupplier otherRoom = () -> false;
-  private final StallDetector pauses;
+  private volatile BooleanSupplier memoryReclaimer = () -> false;
+  private final StallDetector stallDetector;
   private final RuleLog rules;
   private final Map<SocketChannel, FrontConnection> connections = new ConcurrentHashMap<>();
-  private final Map<String, NodeCall> held = new ConcurrentHashMap<>();
-  private final AtomicLong ids = new AtomicLong();
+  private final Map<String, NodeCall> heldCalls = new ConcurrentHashMap<>();
+  private final AtomicLong callIds = new AtomicLong();
   private final Counts counts = new Counts();
   private volatile boolean live;
   private HttpServer server;
-  private ThreadReclaimer sharer;
+  private ThreadReclaimer threadReclaimer;
 
   /**
    * A front that begins with {@link #listen}.
@@ -92,21 +92,21 @@
       Reader reader,
       Core<NodeCall> core,
       Executor writers,
-      int mostConnections,
-      int mostHeld,
-      long mostBytes,
-      StallDetector pauses,
+      int maxConnections,
+      int maxHeldCalls,
+      long maxBytes,
+      StallDetector stallDetector,
       RuleLog rules,
-      Hearer hearer) {
+      CallListener callListener) {
     this.reader = reader;
     this.core = core;
     this.writers = writers;
-    this.mostConnections = mostConnections;
-    this.mostHeld = mostHeld;
-    this.budget = new ByteBudget(mostBytes);
-    this.pauses = pauses;
+    this.maxConnections = maxConnections;
+    this.maxHeldCalls = maxHeldCalls;
+    this.budget = new ByteBudget(maxBytes);
+    this.stallDetector = stallDetector;
     this.rules = rules;
-    this.hearer = hearer;
+    this.callListener = callListener;
   }
 
   /**
@@ -115,11 +115,11 @@
    * @param shares ends a connection for a client that waits for a thread
    */
   public void listen(
-      InetSocketAddress at, int stackBytes, ThreadCache threads, ThreadReclaimer shares)
+      InetSocketAddress address, int stackBytes, ThreadCache threads, ThreadReclaimer reclaimer)
       throws IOException {
     live = true;
-    sharer = shares;
-    server = HttpServer.listen(at, "front", stackBytes, threads, new Accepted());
+    threadReclaimer = reclaimer;
+    server = HttpServer.listen(address, "front", stackBytes, threads, new ConnectionHandler());
   }
 
   /** Where it listens. */
@@ -128,16 +128,16 @@
   }
 
   /** Connections are counted where they are accepted, one at a time: many at once cannot pass the bound together. */
-  private final class Accepted implements HttpServer.Handler {
+  private final class ConnectionHandler implements HttpServer.Handler {
     @Override
     public boolean admit(SocketChannel channel, long waitedSince) {
-      if (connections.size() >= mostConnections && !makeRoom()) {
+      if (connections.size() >= maxConnections && !closeLongestIdle()) {
         count("no room for a connection");
         return false;
       }
       // It may have come in a pause that ended just before accepting began, however long it then
       // takes to come to this one.
-      add(channel, Math.min(waitedSince, pauses.earliestArrival(waitedSince)));
+      addConnection(channel, Math.min(waitedSince, stallDetector.earliestArrival(waitedSince)));
       return true;
     }
 
@@ -159,11 +159,11 @@
 
     @Override
     public void reclaimThread(long waited) {
-      count(sharer.reclaim(waited) ? "closed for its thread" : "no thread");
+      count(threadReclaimer.reclaim(waited) ? "closed for its thread" : "no thread");
     }
   }
 
-  private FrontConnection add(SocketChannel channel, long since) {
+  private FrontConnection addConnection(SocketChannel channel, long since) {
     FrontConnection connection = new FrontConnection(this, channel, since);
     connections.put(channel, connection);
     return connection;
@@ -171,13 +171,13 @@
 
   /** Serves a connection that came by no listener until its end, on the calling thread. */
   public void serve(SocketChannel channel) throws IOException {
-    add(channel, Clock.micros()).run();
+    addConnection(channel, Clock.micros()).run();
   }
   /** A connection, and since when it was idle as it was looked at. */
   private record Candidate(FrontConnection connection, long idleSince) {}
 
   /** Closes the connection that was idle longest, those that never asked first; false where every one is in use. */
-  private boolean makeRoom() {
+  private boolean closeLongestIdle() {
     List<Candidate> candidates = new ArrayList<>();
     for (FrontConnection connection : connections.values()) {
       // Read once: it changes with each answer, and what changes while it is sorted makes the sort
@@ -186,42 +186,42 @@
     }
     candidates.removeIf(candidate -> candidate.idleSince() == Long.MAX_VALUE);
     candidates.sort((a, b) -> Long.compare(a.idleSince(), b.idleSince()));
-    return candidates.stream().anyMatch(candidate -> candidate.connection().closeIfFree());
+    return candidates.stream().anyMatch(candidate -> candidate.connection().closeIfIdle());
   }
 
   /** Connections that hold a thread and on which nothing is asked. */
-  public List<IdleConnection> idle(long now) {
+  public List<IdleConnection> idleConnections(long now) {
     List<IdleConnection> idle = new ArrayList<>();
     for (FrontConnection connection : connections.values()) {
       long since = connection.idleSince();
       if (connection.hasThread() && since < Long.MAX_VALUE) {
-        idle.add(new IdleConnection(new Holder(now - since, false), connection::closeIfFree));
+        idle.add(new IdleConnection(new Holder(now - since, false), connection::closeIfIdle));
       }
     }
     return idle;
   }
 
   /** A connection has ended, with so many requests that have no answer. */
-  void closed(SocketChannel channel, CloseReason why, int open) {
+  void connectionClosed(SocketChannel channel, CloseReason reason, int openRequests) {
     connections.remove(channel);
-    counts.count("closed: " + why.word());
-    LOG.debug("client connection closed: {}, {} requests open", why.word(), open);
-    if (open > 0 && why.ownChoice()) {
-      rules.closedWithRequests(open, why.word());
+    counts.count("closed: " + reason.word());
+    LOG.debug("client connection closed: {}, {} requests open", reason.word(), openRequests);
+    if (openRequests > 0 && reason.isOwnDecision()) {
+      rules.closedWithRequests(openRequests, reason.word());
     }
   }
 
   /** The earliest time at which something may have come that is read now. */
-  long cameAt(long now) {
-    return pauses.earliestArrival(now);
+  long earliestArrival(long now) {
+    return stallDetector.earliestArrival(now);
   }
 
   Executor writers() {
     return writers;
   }
 
-  int mostConnections() {
-    return mostConnections;
+  int maxConnections() {
+    return maxConnections;
   }
 
   boolean live() {
@@ -235,44 +235,45 @@
    * @param taken hears of the call before it can end
    * @throws RequestReader.Unusable where it cannot be used; nothing was taken then
    */
-  void take(
+  void acceptRequest(
       Map<String, String> params,
       byte[] body,
       Arrival arrival,
-      BiConsumer<NodeCall, FinalAnswer> onEnd,
-      Consumer<NodeCall> taken)
+      BiConsumer<NodeCall, FinalAnswer> onFinalAnswer,
+      Consumer<NodeCall> onCallTaken)
       throws RequestReader.Unusable {
     Facts facts = reader.read(params, body, arrival.at());
     NodeCall call = new NodeCall(
-        ids.incrementAndGet(),
+        callIds.incrementAndGet(),
         facts,
-        RequestReader.key(params),
+        RequestReader.idempotencyKey(params),
         arrival.clientSeenFrom(),
         (c, end) -> {
-          if (held.remove(facts.message(), c)) {
+          if (heldCalls.remove(facts.message(), c)) {
             budget.giveBack(body.length);
           }
-          ended(c, end);
-          onEnd.accept(c, end);
+          callEnded(c, end);
+          onFinalAnswer.accept(c, end);
         });
-    if (held.putIfAbsent(facts.message(), call) != null) {
+    if (heldCalls.putIfAbsent(facts.message(), call) != null) {
       throw new RequestReader.Unusable(Reason.CONFLICT, "the id is open already");
     }
     budget.forceTake(body.length);
-    taken.accept(call);
-    hearer.taken(call);
+    onCallTaken.accept(call);
+    callListener.callTaken(call);
     LOG.debug(
         "request={} taken, class={} time_ms={}",
         facts.message(),
         facts.requestClass().name(),
         (facts.deadlineAt() - Clock.micros()) / 1_000);
-    Verdict mayTake = Permits.mayTake(held.size(), mostHeld, budget.used(), budget.limit());
-    if (!mayTake.allowed() || !core.offer(call)) {
+    Verdict verdict =
+        Permits.mayTake(heldCalls.size(), maxHeldCalls, budget.used(), budget.limit());
+    if (!verdict.allowed() || !core.offer(call)) {
       call.finish(FinalAnswer.withoutRetryAdvice(Reason.BUSY), Clock.micros());
     }
   }
 
-  private void ended(NodeCall call, FinalAnswer end) {
+  private void callEnded(NodeCall call, FinalAnswer end) {
     Facts facts = call.facts();
     count(end.reason().word());
     if (LOG.isDebugEnabled()) {
@@ -285,9 +286,9 @@
   }
 
   /** The final answer of a call was handed to the system. */
-  void written(NodeCall call, long at) {
+  void answerWritten(NodeCall call, long at) {
     Facts facts = call.facts();
-    if (at > facts.deadlineAt() + LATE) {
+    if (at > facts.deadlineAt() + LATE_MARGIN_MICROS) {
       count("answered late");
     }
     AnswerTimeline steps =
@@ -296,7 +297,7 @@
   }
 
   /** The client of a call left. */
-  void gone(NodeCall call) {
+  void clientGone(NodeCall call) {
     call.finish(FinalAnswer.withoutRetryAdvice(Reason.GONE), Clock.micros());
     core.clientGone(call);
   }
@@ -311,7 +312,7 @@
   /** The same; where there is no room the oldest half requests make some. */
   boolean reserve(int bytes) {
     while (!tryReserve(bytes)) {
-      if (!makeRoomForBytes()) {
+      if (!reclaimMemory()) {
         return false;
       }
     }
@@ -324,17 +325,17 @@
   }
 
   /** Names who makes room for bytes of clients where no half request does. */
-  public void roomAlsoBy(BooleanSupplier other) {
-    otherRoom = other;
+  public void setMemoryReclaimer(BooleanSupplier reclaimer) {
+    memoryReclaimer = reclaimer;
   }
 
   /** Past the bound of bytes, lets go of what is worth least; false where there is nothing. */
-  public boolean makeRoomForBytes() {
-    return refuseOldestHalf() || otherRoom.getAsBoolean();
+  public boolean reclaimMemory() {
+    return refuseOldestPartialRequests() || memoryReclaimer.getAsBoolean();
   }
 
   /** Takes bytes of an answer, which is owed whether there is room or not; {@link #check} makes room later. */
-  void take(int bytes) {
+  void forceReserve(int bytes) {
     budget.forceTake(bytes);
   }
 
@@ -349,29 +350,29 @@
    * memory. It could harm clients on slow lines while such a crowd is there; they are told that trying again is
    * harmless.
    */
-  boolean refuseOldestHalf() {
+  boolean refuseOldestPartialRequests() {
     FrontConnection oldest = null;
     long since = Long.MAX_VALUE;
     for (FrontConnection connection : connections.values()) {
-      long at = connection.oldestHalfSince();
+      long at = connection.oldestPartialSince();
       if (at < since) {
         since = at;
         oldest = connection;
       }
     }
     if (oldest != null) {
-      oldest.refuseHalves();
+      oldest.refusePartialRequests();
     }
     return oldest != null;
   }
 
   /** Past the bound by answers that nobody reads, closes the connection that has most of them. */
-  private void makeRoomForAnswers() {
-    for (int tries = 0; budget.used() > budget.limit() && tries < MOST_CLOSED_AT_ONCE; tries++) {
-      if (!makeRoomForBytes()) {
+  private void reclaimAnswerMemory() {
+    for (int tries = 0; budget.used() > budget.limit() && tries < MAX_CLOSED_PER_CHECK; tries++) {
+      if (!reclaimMemory()) {
         connections.values().stream()
-            .max((a, b) -> Long.compare(a.unwritten(), b.unwritten()))
-            .filter(FrontConnection::closeUnread)
+            .max((a, b) -> Long.compare(a.unwrittenBytes(), b.unwrittenBytes()))
+            .filter(FrontConnection::closeIfAnswersUnread)
             .ifPresent(connection -> count("closed for its unread answers"));
       }
     }
@@ -387,7 +388,7 @@
    * clients wait for an answer whatever keeps the core.
    */
   private void refuseUnconsidered(long now) {
-    for (NodeCall call : held.values()) {
+    for (NodeCall call : heldCalls.values()) {
       if (call.consideredAt() == 0 && now >= call.facts().deadlineAt()) {
         call.finish(FinalAnswer.withoutRetryAdvice(Reason.BUSY), now);
       }
@@ -395,30 +396,31 @@
   }
 
   /** Looks at the time limits of calls and connections; called now and then. */
-  public void check() {
+  public void checkTimeouts() {
     long now = Clock.micros();
     refuseUnconsidered(now);
     for (FrontConnection connection : connections.values()) {
-      connection.check(now, SILENT, IDLE);
-      connection.closeIfStuck(now, STUCK);
+      connection.checkTimeouts(now, SILENT_TIMEOUT_MICROS, IDLE_TIMEOUT_MICROS);
+      connection.closeIfWriteStuck(now, WRITE_TIMEOUT_MICROS);
     }
-    makeRoomForAnswers();
+    reclaimAnswerMemory();
   }
 
   /** Calls held, connections, and what was counted, for the log. */
   public String summary() {
-    return connections.size() + " connections, " + held.size() + " calls held, " + budget.used()
-        + " bytes kept, " + counts;
+    return connections.size() + " connections, " + heldCalls.size() + " calls held, "
+        + budget.used() + " bytes kept, " + counts;
   }
 
   /** Calls that have no final answer. */
-  public int held() {
-    return held.size();
+  public int heldCallCount() {
+    return heldCalls.size();
   }
 
   /** True where a client may still wait for something: a call held, bytes unread, an answer not written. */
-  public boolean owes() {
-    return !held.isEmpty() || connections.values().stream().anyMatch(FrontConnection::owes);
+  public boolean owesAnswers() {
+    return !heldCalls.isEmpty()
+        || connections.values().stream().anyMatch(FrontConnection::owesAnswers);
   }
 
   /** Connections that are open. */
--- a/node/src/main/java/gorseladder/node/front/FrontConnection.java
+++ b/node/src/main/java/gorseladder/node/front/FrontConnection.java
@@ -37,26 +37,26 @@
    * Read first, without the lock; less than any record. What is left of a request is then seen unread by whoever wants
    * to close the connection, until {@link #looking} says that it is being looked at.
    */
-  private static final int PEEK = 1;
-
-  private static final int FIRST_READ = 512;
-  private static final int READ = 8_192;
-  private static final int MOST_OPEN = 32;
-  private static final int MOST_NUMBERS = 1_024;
-  private static final int MOST_PARAMS = 8_192;
-  private static final int MOST_PAIRS = 100;
-  private static final int RESPONDER = 1;
-  private static final int MOST_WAITING_BYTES = 1 << 20;
+  private static final int PEEK_BYTES = 1;
+
+  private static final int INITIAL_BUFFER_BYTES = 512;
+  private static final int BUFFER_BYTES = 8_192;
+  private static final int MAX_OPEN_REQUESTS = 32;
+  private static final int MAX_REQUEST_IDS = 1_024;
+  private static final int MAX_PARAMS_BYTES = 8_192;
+  private static final int MAX_PARAMS = 100;
+  private static final int RESPONDER_ROLE = 1;
+  private static final int MAX_QUEUED_BYTES = 1 << 20;
   /** How long the other side may take to close after a half-close, in microseconds. */
-  private static final long LINGER = 1_000_000;
+  private static final long LINGER_MICROS = 1_000_000;
   /** By how much a connection that never asked counts as idle for longer than one that did. */
-  private static final long SILENT_FIRST = 600_000_000;
+  private static final long NEVER_USED_IDLE_BONUS_MICROS = 600_000_000;
 
-  private static final byte[] NOTHING = {};
+  private static final byte[] EMPTY = {};
   /** What the first bytes of a request are given room for. */
-  private static final int LEAST_GATHERED = 256;
+  private static final int MIN_BUFFER_BYTES = 256;
   /** About what a request costs beside its bytes, until its last record has come. */
-  private static final int EXCHANGE_BYTES = 192;
+  private static final int REQUEST_OVERHEAD_BYTES = 192;
 
   private enum State {
     OPEN,
@@ -69,48 +69,48 @@
    */
   private static final class Exchange {
     private final int id;
-    private final long beganAt = Clock.micros();
-    private byte[] gathered = NOTHING;
-    private int has;
+    private final long startedAt = Clock.micros();
+    private byte[] buffer = EMPTY;
+    private int used;
     private Map<String, String> params;
     /** Its last byte has come; from then on it is no half request. */
-    private boolean whole;
+    private boolean complete;
 
     private NodeCall call;
     private boolean answered;
     /** Bytes of the front's budget that are taken for what it holds; the connection's lock's. */
-    private int reserved;
+    private int reservedBytes;
 
     private Exchange(int id) {
       this.id = id;
     }
 
     /** By how much the array has to grow for so many bytes more, within the bound. */
-    private int growth(int length, int most) {
-      int wanted = has + length;
-      return wanted <= gathered.length
+    private int growthFor(int length, int limit) {
+      int wanted = used + length;
+      return wanted <= buffer.length
           ? 0
-          : Math.min(most, Math.max(LEAST_GATHERED, Math.max(wanted, 2 * has))) - gathered.length;
+          : Math.min(limit, Math.max(MIN_BUFFER_BYTES, Math.max(wanted, 2 * used))) - buffer.length;
     }
 
     /** Lets go of what it holds; returns the bytes to be given back. */
     private int release() {
-      int bytes = reserved;
-      reserved = 0;
-      gathered = NOTHING;
-      has = 0;
+      int bytes = reservedBytes;
+      reservedBytes = 0;
+      buffer = EMPTY;
+      used = 0;
       params = null;
       return bytes;
     }
 
     /** Adds bytes for which there is room. */
-    private void add(byte[] bytes, int from, int length, int growth) {
+    private void append(byte[] bytes, int from, int length, int growth) {
       if (growth > 0) {
-        gathered = Arrays.copyOf(gathered, gathered.length + growth);
-        reserved += growth;
+        buffer = Arrays.copyOf(buffer, buffer.length + growth);
+        reservedBytes += growth;
       }
-      System.arraycopy(bytes, from, gathered, has, length);
-      has += length;
+      System.arraycopy(bytes, from, buffer, used, length);
+      used += length;
     }
   }
 
@@ -118,11 +118,11 @@
   private final SocketChannel channel;
   private final Outbox outbox;
   private final RecordParser parser = new RecordParser();
-  private final Map<Integer, Exchange> open = new HashMap<>();
+  private final Map<Integer, Exchange> exchanges = new HashMap<>();
   private final long connectedAt = Clock.micros();
   private long idleSince = connectedAt;
-  private int requests;
-  private int unanswered;
+  private int answeredRequests;
+  private int unansweredRequests;
   /** It is being read; until then it waits for a thread. */
   private volatile boolean hasThread;
 
@@ -131,13 +131,13 @@
   /** Closes once nothing is open; it goes on taking what comes before. */
   private boolean closesAfterAnswers;
   /** Its thread has bytes that it has not looked at yet. */
-  private boolean looking;
+  private boolean parsing;
   /** The thread's own. */
   private final ArrivalTimes arrivals;
   /** Bytes of answers that are not written yet; they count against the front's budget. */
-  private long unwritten;
+  private long unwrittenBytes;
   /** Why it ends; the first reason that is told before its end counts. */
-  private CloseReason closedBecause;
+  private CloseReason closeReason;
 
   /**
    * A connection just accepted.
@@ -147,110 +147,112 @@
   FrontConnection(FastCgiFront front, SocketChannel channel, long waitedSince) {
     this.front = front;
     this.channel = channel;
-    this.arrivals = new ArrivalTimes(front::cameAt, waitedSince);
-    this.outbox = new Outbox(front.writers(), MOST_WAITING_BYTES, e -> close());
+    this.arrivals = new ArrivalTimes(front::earliestArrival, waitedSince);
+    this.outbox = new Outbox(front.writers(), MAX_QUEUED_BYTES, e -> close());
     outbox.open(channel);
   }
 
   /** Reads until the connection ends; the whole life of its thread. */
   void run() throws IOException {
     hasThread = true;
-    ByteBuffer buffer = ByteBuffer.allocate(FIRST_READ);
+    ByteBuffer buffer = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
     try {
       channel.socket().setTcpNoDelay(true);
       while (true) {
-        buffer.clear().limit(PEEK);
+        buffer.clear().limit(PEEK_BYTES);
         arrivals.beforeRead(UnreadBytes.count(channel), Clock.micros());
         int count = channel.read(buffer);
         if (count < 0) {
-          endsBecause(CloseReason.CLIENT_CLOSED);
+          setCloseReason(CloseReason.CLIENT_CLOSED);
           break;
         }
         arrivals.afterRead(count, Clock.micros());
-        look(true);
+        setParsing(true);
         buffer.limit(buffer.capacity());
         if (channel.socket().getInputStream().available() > 0) {
           arrivals.readMore(channel.read(buffer));
         }
         parser.feed(buffer.array(), 0, buffer.position(), this);
-        look(false);
-        if (buffer.position() == FIRST_READ && buffer.capacity() == FIRST_READ) {
-          buffer = ByteBuffer.allocate(READ);
+        setParsing(false);
+        if (buffer.position() == INITIAL_BUFFER_BYTES
+            && buffer.capacity() == INITIAL_BUFFER_BYTES) {
+          buffer = ByteBuffer.allocate(BUFFER_BYTES);
         }
       }
     } catch (BadRecord e) {
-      endsBecause(CloseReason.BAD_RECORD);
+      setCloseReason(CloseReason.BAD_RECORD);
     } catch (IOException e) {
-      endsBecause(CloseReason.BROKEN);
+      setCloseReason(CloseReason.BROKEN);
       throw e;
     } finally {
       close();
     }
   }
 
-  private synchronized void endsBecause(CloseReason why) {
-    closedBecause = closedBecause == null ? why : closedBecause;
+  private synchronized void setCloseReason(CloseReason reason) {
+    closeReason = closeReason == null ? reason : closeReason;
   }
 
-  private synchronized void look(boolean begins) {
-    looking = begins;
-    if (!begins && closesAfterAnswers) {
-      halfCloseIfFree(CloseReason.LAST_ANSWERED);
+  private synchronized void setParsing(boolean value) {
+    parsing = value;
+    if (!value && closesAfterAnswers) {
+      halfCloseIfIdle(CloseReason.LAST_ANSWERED);
     }
   }
 
   // ---- records, on the connection's thread
 
   @Override
-  public void begin(int id, int role, boolean keeps) {
+  public void begin(int id, int role, boolean keepsConnection) {
     boolean inUse;
-    boolean over;
+    boolean tooManyOpen;
     Exchange exchange = new Exchange(id);
-    if (endless()) {
+    if (tooManyRequestIds()) {
       close(CloseReason.ENDLESS_REQUESTS);
       return;
     }
-    if (!front.reserve(EXCHANGE_BYTES)) {
+    if (!front.reserve(REQUEST_OVERHEAD_BYTES)) {
       // Not kept, so that what comes after it is passed over.
       front.count("no room for a request");
       outbox.put(RecordWriter.endRequest(id, Status.OVERLOADED, 0));
       return;
     }
     synchronized (this) {
-      if (state != State.OPEN || open.containsKey(id)) {
-        front.giveBack(EXCHANGE_BYTES);
+      if (state != State.OPEN || exchanges.containsKey(id)) {
+        front.giveBack(REQUEST_OVERHEAD_BYTES);
       }
       if (state != State.OPEN) {
         // It crossed our end on the wire; nothing is taken any more, and its client asks again
         // elsewhere.
         return;
       }
-      Exchange before = open.get(id);
-      inUse = before != null && !before.answered;
-      over = !inUse && unanswered >= MOST_OPEN;
+      Exchange previous = exchanges.get(id);
+      inUse = previous != null && !previous.answered;
+      tooManyOpen = !inUse && unansweredRequests >= MAX_OPEN_REQUESTS;
       if (!inUse) {
-        open.put(id, exchange);
-        unanswered++;
-        closesAfterAnswers |= !keeps;
+        exchanges.put(id, exchange);
+        unansweredRequests++;
+        closesAfterAnswers |= !keepsConnection;
       }
     }
     if (inUse) {
       // Two requests under one number: nobody could tell whose an answer is.
       close(CloseReason.NUMBER_IN_USE);
-    } else if (over || role != RESPONDER) {
-      front.count(over ? "over 32 open" : "unknown role");
+    } else if (tooManyOpen || role != RESPONDER_ROLE) {
+      front.count(tooManyOpen ? "over 32 open" : "unknown role");
       answer(
-          exchange, RecordWriter.endRequest(id, over ? Status.OVERLOADED : Status.UNKNOWN_ROLE, 0));
+          exchange,
+          RecordWriter.endRequest(id, tooManyOpen ? Status.OVERLOADED : Status.UNKNOWN_ROLE, 0));
     }
   }
 
   /** Requests answered early keep their number until their body ends; a client that never ends them is cut off. */
-  private synchronized boolean endless() {
-    return open.size() >= MOST_NUMBERS;
+  private synchronized boolean tooManyRequestIds() {
+    return exchanges.size() >= MAX_REQUEST_IDS;
   }
 
   private synchronized Exchange get(int id) {
-    return open.get(id);
+    return exchanges.get(id);
   }
 
   @Override
@@ -263,16 +265,16 @@
     NodeCall call = e.call;
     answer(e, RecordWriter.endRequest(id, Status.REQUEST_COMPLETE, 1));
     if (call != null) {
-      front.gone(call);
+      front.clientGone(call);
     }
-    forget(e);
+    remove(e);
   }
 
   @Override
   public void params(int id, byte[] bytes, int from, int length) {
     Exchange e = get(id);
     if (e != null && !e.answered && e.params == null) {
-      gather(e, bytes, from, length, MOST_PARAMS, Reason.HEADERS_TOO_LARGE);
+      bufferBytes(e, bytes, from, length, MAX_PARAMS_BYTES, Reason.HEADERS_TOO_LARGE);
     }
   }
 
@@ -280,23 +282,24 @@
    * Keeps bytes of a request that is still being read. They count against the front's budget, for which the oldest half
    * requests of all connections make room.
    */
-  private void gather(Exchange e, byte[] bytes, int from, int length, int most, Reason tooLarge) {
+  private void bufferBytes(
+      Exchange e, byte[] bytes, int from, int length, int limit, Reason tooLarge) {
     do {
       synchronized (this) {
         if (e.answered) {
           return;
         }
-        if (e.has + length > most) {
+        if (e.used + length > limit) {
           break;
         }
-        int growth = e.growth(length, most);
+        int growth = e.growthFor(length, limit);
         if (front.tryReserve(growth)) {
-          e.add(bytes, from, length, growth);
+          e.append(bytes, from, length, growth);
           return;
         }
       }
-    } while (front.makeRoomForBytes());
-    reject(e, e.has + length > most ? tooLarge : Reason.BUSY);
+    } while (front.reclaimMemory());
+    reject(e, e.used + length > limit ? tooLarge : Reason.BUSY);
   }
 
   @Override
@@ -311,9 +314,9 @@
           return;
         }
         // What was reserved stays so: the values are about as large.
-        e.params = NameValues.read(e.gathered, e.has, MOST_PAIRS);
-        e.gathered = NOTHING;
-        e.has = 0;
+        e.params = NameValues.read(e.buffer, e.used, MAX_PARAMS);
+        e.buffer = EMPTY;
+        e.used = 0;
       }
     } catch (BadRecord bad) {
       reject(e, Reason.BAD_MESSAGE);
@@ -329,7 +332,7 @@
     if (e.params == null) {
       reject(e, Reason.BAD_MESSAGE);
     } else {
-      gather(e, bytes, from, length, RequestReader.MOST_BODY, Reason.TOO_LARGE);
+      bufferBytes(e, bytes, from, length, RequestReader.MAX_BODY_BYTES, Reason.TOO_LARGE);
     }
   }
 
@@ -340,7 +343,7 @@
       return;
     }
     if (e.answered) {
-      forget(e);
+      remove(e);
       return;
     }
     if (e.params == null) {
@@ -355,45 +358,45 @@
     Map<String, String> params;
     synchronized (this) {
       if (e.answered) {
-        forget(e);
+        remove(e);
         return;
       }
-      e.whole = true;
+      e.complete = true;
       params = e.params;
-      body = e.has == e.gathered.length ? e.gathered : Arrays.copyOf(e.gathered, e.has);
-      e.gathered = NOTHING;
+      body = e.used == e.buffer.length ? e.buffer : Arrays.copyOf(e.buffer, e.used);
+      e.buffer = EMPTY;
     }
-    if (FastCgiFront.LIVE.equals(params.get("SCRIPT_NAME"))) {
+    if (FastCgiFront.LIVENESS_PATH.equals(params.get("SCRIPT_NAME"))) {
       answer(
           e,
           RecordWriter.response(
-              id, front.live() ? 200 : 503, Map.of("Content-Type", "text/plain"), NOTHING));
-      forget(e);
+              id, front.live() ? 200 : 503, Map.of("Content-Type", "text/plain"), EMPTY));
+      remove(e);
       return;
     }
     try {
-      front.take(
+      front.acceptRequest(
           params,
           body,
           Arrival.of(arrivals),
-          (call, end) -> ended(e, call, end),
-          call -> taken(e, call));
+          (call, end) -> callEnded(e, call, end),
+          call -> callTaken(e, call));
     } catch (RequestReader.Unusable bad) {
       front.count("unusable: " + bad.getMessage());
       answer(e, bad.reason());
-      forget(e);
+      remove(e);
     }
   }
 
   /** Names the call of a request; where the connection has ended by now its client has left. */
-  private void taken(Exchange e, NodeCall call) {
-    boolean left;
+  private void callTaken(Exchange e, NodeCall call) {
+    boolean clientLeft;
     synchronized (this) {
       e.call = call;
-      left = state == State.CLOSED;
+      clientLeft = state == State.CLOSED;
     }
-    if (left) {
-      front.gone(call);
+    if (clientLeft) {
+      front.clientGone(call);
     }
   }
 
@@ -403,12 +406,12 @@
     try {
       Map<String, String> known = Map.of(
           "FCGI_MAX_CONNS",
-          Integer.toString(front.mostConnections()),
+          Integer.toString(front.maxConnections()),
           "FCGI_MAX_REQS",
-          Integer.toString(front.mostConnections() * MOST_OPEN),
+          Integer.toString(front.maxConnections() * MAX_OPEN_REQUESTS),
           "FCGI_MPXS_CONNS",
           "1");
-      NameValues.read(content, content.length, MOST_PAIRS).keySet().stream()
+      NameValues.read(content, content.length, MAX_PARAMS).keySet().stream()
           .filter(known::containsKey)
           .forEach(name -> answer.put(name, known.get(name)));
     } catch (BadRecord e) {
@@ -425,7 +428,7 @@
 
   // ---- answers, on any thread
 
-  private void ended(Exchange e, NodeCall call, FinalAnswer end) {
+  private void callEnded(Exchange e, NodeCall call, FinalAnswer end) {
     if (end.reason().kind == Reason.Kind.GONE) {
       return;
     }
@@ -435,9 +438,9 @@
     } else if (end.retryAfter() > 0) {
       fields.put("Retry-After-Ms", Long.toString((end.retryAfter() + 999) / 1000));
     }
-    byte[] body = end.body() == null ? NOTHING : end.body();
+    byte[] body = end.body() == null ? EMPTY : end.body();
     answer(e, RecordWriter.response(e.id, end.reason().status, fields, body), call);
-    forget(e);
+    remove(e);
   }
 
   /** Answers what cannot be used; the rest of it is read on and passed over. */
@@ -448,8 +451,7 @@
 
   private void answer(Exchange e, Reason reason) {
     answer(
-        e,
-        RecordWriter.response(e.id, reason.status, Map.of("Content-Type", "text/plain"), NOTHING));
+        e, RecordWriter.response(e.id, reason.status, Map.of("Content-Type", "text/plain"), EMPTY));
   }
 
   private void answer(Exchange e, byte[] bytes) {
@@ -465,14 +467,14 @@
       }
       e.answered = true;
       front.giveBack(e.release());
-      requests++;
-      unanswered--;
+      answeredRequests++;
+      unansweredRequests--;
       idleSince = Clock.micros();
       // Added while the lock is held: seen from outside nothing is open only once the last answer
       // is on its way.
       put = outbox.add(new AnswerBytes(bytes, call));
       if (put && closesAfterAnswers) {
-        halfCloseIfFree(CloseReason.LAST_ANSWERED);
+        halfCloseIfIdle(CloseReason.LAST_ANSWERED);
       }
     }
     if (put) {
@@ -492,8 +494,8 @@
     private AnswerBytes(byte[] bytes, NodeCall call) {
       this.bytes = bytes;
       this.call = call;
-      unwritten += bytes.length;
-      front.take(bytes.length);
+      unwrittenBytes += bytes.length;
+      front.forceReserve(bytes.length);
     }
 
     @Override
@@ -510,24 +512,24 @@
     public void written(long at, long upTo) {
       synchronized (FrontConnection.this) {
         if (state != State.CLOSED) {
-          unwritten -= bytes.length;
+          unwrittenBytes -= bytes.length;
           front.giveBack(bytes.length);
         }
       }
       if (call != null) {
-        front.written(call, at);
+        front.answerWritten(call, at);
       }
     }
   }
 
   /** Bytes of answers that its client has not read yet. */
-  synchronized long unwritten() {
-    return unwritten;
+  synchronized long unwrittenBytes() {
+    return unwrittenBytes;
   }
 
   /** Closes it where answers wait for a client that does not read; false where none do. */
-  boolean closeUnread() {
-    if (unwritten() == 0) {
+  boolean closeIfAnswersUnread() {
+    if (unwrittenBytes() == 0) {
       return false;
     }
     close(CloseReason.CLIENT_DOES_NOT_READ);
@@ -535,9 +537,9 @@
   }
 
   /** A request that is over and of which nothing more can come. */
-  private synchronized void forget(Exchange e) {
-    if (open.remove(e.id, e)) {
-      front.giveBack(EXCHANGE_BYTES);
+  private synchronized void remove(Exchange e) {
+    if (exchanges.remove(e.id, e)) {
+      front.giveBack(REQUEST_OVERHEAD_BYTES);
     }
   }
 
@@ -545,8 +547,8 @@
 
   /** Whether it may be closed from here now; the lock is held. */
   private Verdict mayClose() {
-    return Permits.mayClose(
-        new Permits.Closing(unanswered, looking || UnreadBytes.on(channel), !outbox.idle()));
+    return Permits.mayClose(new Permits.Closing(
+        unansweredRequests, parsing || UnreadBytes.on(channel), !outbox.idle()));
   }
 
   /**
@@ -554,35 +556,35 @@
    * returns: what comes after it crossed it on the wire. Where an answer is still being written it is tried again after
    * that.
    */
-  private boolean halfCloseIfFree(CloseReason why) {
+  private boolean halfCloseIfIdle(CloseReason reason) {
     if (state != State.OPEN) {
       return false;
     }
     Verdict verdict = mayClose();
     if (verdict == Verdict.UNWRITTEN) {
-      outbox.whenIdle(this::closeAfterAnswers);
+      outbox.whenIdle(this::retryHalfClose);
     }
     if (!verdict.allowed()) {
       return false;
     }
     state = State.HALF_CLOSED;
     halfClosedAt = Clock.micros();
-    endsBecause(why);
+    setCloseReason(reason);
     outbox.finish();
     return true;
   }
 
-  private synchronized void closeAfterAnswers() {
+  private synchronized void retryHalfClose() {
     if (closesAfterAnswers) {
-      halfCloseIfFree(CloseReason.LAST_ANSWERED);
+      halfCloseIfIdle(CloseReason.LAST_ANSWERED);
     }
   }
 
   /** Requests that were read in part and wait for the rest; the lock is held. */
-  private Exchange oldestHalf() {
+  private Exchange oldestPartial() {
     Exchange oldest = null;
-    for (Exchange e : open.values()) {
-      if (!e.answered && !e.whole && (oldest == null || e.beganAt < oldest.beganAt)) {
+    for (Exchange e : exchanges.values()) {
+      if (!e.answered && !e.complete && (oldest == null || e.startedAt < oldest.startedAt)) {
         oldest = e;
       }
     }
@@ -590,20 +592,21 @@
   }
 
   /** Since when its oldest half request has been read; {@code Long.MAX_VALUE} where there is none. */
-  synchronized long oldestHalfSince() {
-    Exchange oldest = oldestHalf();
-    return oldest == null ? Long.MAX_VALUE : oldest.beganAt;
+  synchronized long oldestPartialSince() {
+    Exchange oldest = oldestPartial();
+    return oldest == null ? Long.MAX_VALUE : oldest.startedAt;
   }
 
   /** Refuses all requests that were read in part, to make room; what still comes of them is passed over. */
-  void refuseHalves() {
-    List<Exchange> halves;
+  void refusePartialRequests() {
+    List<Exchange> partials;
     synchronized (this) {
-      halves = open.values().stream().filter(e -> !e.answered && !e.whole).toList();
+      partials =
+          exchanges.values().stream().filter(e -> !e.answered && !e.complete).toList();
     }
-    for (Exchange half : halves) {
+    for (Exchange partial : partials) {
       front.count("half a request refused for room");
-      answer(half, Reason.BUSY);
+      answer(partial, Reason.BUSY);
     }
   }
 
@@ -613,35 +616,35 @@
    * @param silent how long a connection may say nothing at first, and a request may lack its rest
    * @param idle how long it may be idle
    */
-  void check(long now, long silent, long idle) {
-    boolean over;
+  void checkTimeouts(long now, long silentTimeout, long idleTimeout) {
+    boolean mustClose;
     synchronized (this) {
-      Exchange half = oldestHalf();
-      if (half != null && now - half.beganAt > silent) {
+      Exchange partial = oldestPartial();
+      if (partial != null && now - partial.startedAt > silentTimeout) {
         front.count("half a request");
-        answer(half, Reason.SLOW_SENDER);
+        answer(partial, Reason.SLOW_SENDER);
       }
-      over = state == State.HALF_CLOSED && now - halfClosedAt > LINGER;
+      mustClose = state == State.HALF_CLOSED && now - halfClosedAt > LINGER_MICROS;
       if (closesAfterAnswers) {
-        halfCloseIfFree(CloseReason.LAST_ANSWERED);
-      } else if (state == State.OPEN && requests > 0 && now - idleSince >= idle) {
-        halfCloseIfFree(CloseReason.IDLE);
+        halfCloseIfIdle(CloseReason.LAST_ANSWERED);
+      } else if (state == State.OPEN && answeredRequests > 0 && now - idleSince >= idleTimeout) {
+        halfCloseIfIdle(CloseReason.IDLE);
       } else if (state == State.OPEN
-          && requests == 0
-          && now - connectedAt >= silent
+          && answeredRequests == 0
+          && now - connectedAt >= silentTimeout
           && mayClose().allowed()) {
-        endsBecause(CloseReason.SILENT);
+        setCloseReason(CloseReason.SILENT);
         state = State.HALF_CLOSED;
-        over = true;
+        mustClose = true;
       }
     }
-    if (over) {
+    if (mustClose) {
       close();
     }
   }
 
   /** Closes at once where nothing is asked and every answer is written; false where something is. */
-  boolean closeIfFree() {
+  boolean closeIfIdle() {
     synchronized (this) {
       if (state == State.CLOSED || !mayClose().allowed()) {
         return false;
@@ -655,21 +658,25 @@
   /** Takes what has come, answers what is open, then half-closes; asked again and again while the dispatcher stops. */
   synchronized void drain() {
     closesAfterAnswers = true;
-    halfCloseIfFree(CloseReason.STOPPING);
+    halfCloseIfIdle(CloseReason.STOPPING);
   }
 
   /** True where a client may still wait for what it asked: a whole request, bytes unread, an answer not written. */
-  synchronized boolean owes() {
-    boolean asked = open.values().stream().anyMatch(e -> e.whole && !e.answered);
-    boolean mayBeAsked = state == State.OPEN && (looking || UnreadBytes.on(channel));
-    return state != State.CLOSED && (asked || mayBeAsked || !outbox.idle());
+  synchronized boolean owesAnswers() {
+    boolean hasCompleteRequest =
+        exchanges.values().stream().anyMatch(e -> e.complete && !e.answered);
+    boolean mayHaveUnparsedRequest = state == State.OPEN && (parsing || UnreadBytes.on(channel));
+    return state != State.CLOSED
+        && (hasCompleteRequest || mayHaveUnparsedRequest || !outbox.idle());
   }
 
   /** Since when it has been idle; {@code Long.MAX_VALUE} where a request is open. One that never asked comes first. */
   synchronized long idleSince() {
     return state != State.OPEN
         ? 0
-        : unanswered > 0 ? Long.MAX_VALUE : requests == 0 ? connectedAt - SILENT_FIRST : idleSince;
+        : unansweredRequests > 0
+            ? Long.MAX_VALUE
+            : answeredRequests == 0 ? connectedAt - NEVER_USED_IDLE_BONUS_MICROS : idleSince;
   }
 
   /** True once a thread reads it: closing it frees one. */
@@ -677,36 +684,36 @@
     return hasThread;
   }
 
-  void closeIfStuck(long now, long most) {
+  void closeIfWriteStuck(long now, long timeout) {
     long since = outbox.writingSince();
-    if (since > 0 && now - since > most) {
+    if (since > 0 && now - since > timeout) {
       close(CloseReason.CLIENT_DOES_NOT_READ);
     }
   }
 
   /** Ends the connection for a reason of its own. */
-  private void close(CloseReason why) {
-    endsBecause(why);
+  private void close(CloseReason reason) {
+    setCloseReason(reason);
     close();
   }
 
   /** Ends the connection; clients of calls that are open have left. */
   void close() {
-    List<NodeCall> left = new ArrayList<>();
-    CloseReason why;
+    List<NodeCall> abandonedCalls = new ArrayList<>();
+    CloseReason reason;
     synchronized (this) {
       if (state == State.CLOSED) {
         return;
       }
       state = State.CLOSED;
-      open.values().stream()
+      exchanges.values().stream()
           .filter(e -> !e.answered && e.call != null)
-          .forEach(e -> left.add(e.call));
-      open.values().forEach(e -> front.giveBack(e.release() + EXCHANGE_BYTES));
-      open.clear();
-      front.giveBack(unwritten);
-      unwritten = 0;
-      why = closedBecause == null ? CloseReason.STOPPING : closedBecause;
+          .forEach(e -> abandonedCalls.add(e.call));
+      exchanges.values().forEach(e -> front.giveBack(e.release() + REQUEST_OVERHEAD_BYTES));
+      exchanges.clear();
+      front.giveBack(unwrittenBytes);
+      unwrittenBytes = 0;
+      reason = closeReason == null ? CloseReason.STOPPING : closeReason;
     }
     outbox.close();
     try {
@@ -714,7 +721,7 @@
     } catch (IOException e) {
       // Nothing is left to release.
     }
-    front.closed(channel, why, left.size());
-    left.forEach(front::gone);
+    front.connectionClosed(channel, reason, abandonedCalls.size());
+    abandonedCalls.forEach(front::clientGone);
   }
 }
--- a/node/src/main/java/gorseladder/node/front/RequestReader.java
+++ b/node/src/main/java/gorseladder/node/front/RequestReader.java
@@ -16,13 +16,13 @@
  */
 public final class RequestReader {
   /** Bytes of a request's body at the most. */
-  public static final int MOST_BODY = 16_384;
+  public static final int MAX_BODY_BYTES = 16_384;
 
-  private static final int MOST_KEY = 128;
-  private static final String PREFIX = "/svc/";
-  private static final double MOST_FIGURE = 1e7;
+  private static final int MAX_KEY_CHARS = 128;
+  private static final String PATH_PREFIX = "/svc/";
+  private static final double MAX_FACT_VALUE = 1e7;
   /** A client's clock and rounding may put its time a little past the class's. */
-  private static final long TIME_SLACK = 10_000;
+  private static final long TIMEOUT_SLACK_MICROS = 10_000;
 
   private final Map<String, RequestClass> classes = new HashMap<>();
   private final Set<String> tenants;
@@ -57,9 +57,9 @@
    * @throws Unusable where anything that is needed is missing, out of range or unknown
    */
   public Facts read(Map<String, String> params, byte[] body, long arrivedAt) throws Unusable {
-    String script = params.getOrDefault("SCRIPT_NAME", "");
+    String path = params.getOrDefault("SCRIPT_NAME", "");
     RequestClass requestClass =
-        script.startsWith(PREFIX) ? classes.get(script.substring(PREFIX.length())) : null;
+        path.startsWith(PATH_PREFIX) ? classes.get(path.substring(PATH_PREFIX.length())) : null;
     if (requestClass == null) {
       throw new Unusable(Reason.UNKNOWN_PATH, "no class has this path");
     }
@@ -67,26 +67,27 @@
     if (length != null && !length.isEmpty() && !length.equals(Integer.toString(body.length))) {
       throw new Unusable(Reason.BAD_PAYLOAD, "CONTENT_LENGTH does not fit the body");
     }
-    String id = hex(params, "HTTP_X_REQUEST_ID");
-    String function = hex(params, "HTTP_X_OBJECT");
+    String id = hexId(params, "HTTP_X_REQUEST_ID");
+    String function = hexId(params, "HTTP_X_OBJECT");
     String tenant = params.getOrDefault("HTTP_X_TENANT", "");
     if (!tenants.isEmpty() && !tenants.contains(tenant)) {
-      throw bad("no tenant is named so");
+      throw badPayload("no tenant is named so");
     }
     String retry = params.get("HTTP_X_RETRY");
     if (retry != null && !retry.equals("1")) {
-      throw bad("HTTP_X_RETRY is not 1");
+      throw badPayload("HTTP_X_RETRY is not 1");
     }
-    long time = Math.round(number(params.get("HTTP_X_TIMEOUT_MS"), "HTTP_X_TIMEOUT_MS") * 1000);
-    if (time <= 0 || time > requestClass.deadline() + TIME_SLACK) {
-      throw bad("HTTP_X_TIMEOUT_MS is out of range");
+    long timeout = Math.round(number(params.get("HTTP_X_TIMEOUT_MS"), "HTTP_X_TIMEOUT_MS") * 1000);
+    if (timeout <= 0 || timeout > requestClass.deadline() + TIMEOUT_SLACK_MICROS) {
+      throw badPayload("HTTP_X_TIMEOUT_MS is out of range");
     }
-    Map<String, Double> figures = figures(params.get("HTTP_X_FACTS"));
-    double memory = figure(figures, "memory_mb", 0, MOST_FIGURE);
-    double lanes = figure(figures, "lanes", 1, 1_000);
-    double load = figures.containsKey("load_ms") ? figure(figures, "load_ms", 0, MOST_FIGURE) : 0;
+    Map<String, Double> facts = parseFacts(params.get("HTTP_X_FACTS"));
+    double memory = requiredFact(facts, "memory_mb", 0, MAX_FACT_VALUE);
+    double lanes = requiredFact(facts, "lanes", 1, 1_000);
+    double load =
+        facts.containsKey("load_ms") ? requiredFact(facts, "load_ms", 0, MAX_FACT_VALUE) : 0;
     if (lanes != Math.rint(lanes)) {
-      throw bad("lanes is no whole number");
+      throw badPayload("lanes is no whole number");
     }
     return new Facts(
         id,
@@ -99,7 +100,7 @@
         Math.round(load * 1000),
         retry != null,
         arrivedAt,
-        arrivedAt + time);
+        arrivedAt + timeout);
   }
 
   /**
@@ -107,27 +108,28 @@
    *
    * @throws Unusable where it is no word of a runner's line
    */
-  public static String key(Map<String, String> params) throws Unusable {
+  public static String idempotencyKey(Map<String, String> params) throws Unusable {
     String key = params.get("HTTP_IDEMPOTENCY_KEY");
     if (key != null
         && (key.isEmpty()
-            || key.length() > MOST_KEY
+            || key.length() > MAX_KEY_CHARS
             || !key.chars().allMatch(c -> c > ' ' && c < 127 && c != ',' && c != '='))) {
-      throw bad("HTTP_IDEMPOTENCY_KEY is no word of " + MOST_KEY + " characters at the most");
+      throw badPayload(
+          "HTTP_IDEMPOTENCY_KEY is no word of " + MAX_KEY_CHARS + " characters at the most");
     }
     return key;
   }
 
-  private static Unusable bad(String text) {
+  private static Unusable badPayload(String text) {
     return new Unusable(Reason.BAD_PAYLOAD, text);
   }
 
-  private static String hex(Map<String, String> params, String name) throws Unusable {
+  private static String hexId(Map<String, String> params, String name) throws Unusable {
     String value = params.get(name);
     if (value == null
         || value.length() != 16
         || !value.chars().allMatch(c -> c >= '0' && c <= '9' || c >= 'a' && c <= 'f')) {
-      throw bad(name + " is not 16 hex digits");
+      throw badPayload(name + " is not 16 hex digits");
     }
     return value;
   }
@@ -135,39 +137,40 @@
   /** Plain decimal numbers alone: {@code Double.parseDouble} would take NaN, hexadecimal and exponents too. */
   private static double number(String text, String name) throws Unusable {
     if (text == null || text.length() > 20 || text.isEmpty()) {
-      throw bad(name + " is missing or too long");
+      throw badPayload(name + " is missing or too long");
     }
-    int points = 0;
+    int decimalPoints = 0;
     for (int i = 0; i < text.length(); i++) {
       char c = text.charAt(i);
-      points += c == '.' ? 1 : 0;
-      if ((c < '0' || c > '9') && (c != '.' || i == 0 || i == text.length() - 1) || points > 1) {
-        throw bad(name + " is no number");
+      decimalPoints += c == '.' ? 1 : 0;
+      if ((c < '0' || c > '9') && (c != '.' || i == 0 || i == text.length() - 1)
+          || decimalPoints > 1) {
+        throw badPayload(name + " is no number");
       }
     }
     return Double.parseDouble(text);
   }
 
-  private static Map<String, Double> figures(String text) throws Unusable {
-    Map<String, Double> figures = new HashMap<>();
+  private static Map<String, Double> parseFacts(String text) throws Unusable {
+    Map<String, Double> facts = new HashMap<>();
     for (String pair : text == null ? new String[0] : text.split(";", -1)) {
       int colon = pair.indexOf(':');
       if (colon < 1) {
-        throw bad("HTTP_X_FACTS is no list of figures");
+        throw badPayload("HTTP_X_FACTS is no list of figures");
       }
       String name = pair.substring(0, colon);
-      if (figures.put(name, number(pair.substring(colon + 1), name)) != null) {
-        throw bad(name + " stands twice");
+      if (facts.put(name, number(pair.substring(colon + 1), name)) != null) {
+        throw badPayload(name + " stands twice");
       }
     }
-    return figures;
+    return facts;
   }
 
-  private static double figure(Map<String, Double> figures, String name, double least, double most)
+  private static double requiredFact(Map<String, Double> facts, String name, double min, double max)
       throws Unusable {
-    Double value = figures.get(name);
-    if (value == null || value < least || value > most) {
-      throw bad(name + " is missing or out of range");
+    Double value = facts.get(name);
+    if (value == null || value < min || value > max) {
+      throw badPayload(name + " is missing or out of range");
     }
     return value;
   }
--- a/node/src/main/java/gorseladder/node/runners/AttemptRequest.java
+++ b/node/src/main/java/gorseladder/node/runners/AttemptRequest.java
@@ -59,7 +59,7 @@
         until,
         !gate.maySendCall(worker()),
         gate.restartedSince(worker(), call.attempt(number).listUpdatesAtDecision()),
-        Math.max(call.seenFrom(), links.clientsSeenFrom(now)),
+        Math.max(call.clientSeenFrom(), links.clientsSeenFrom(now)),
         links.mayDuplicate());
     return call.trySend(number, look, now);
   }
@@ -72,7 +72,7 @@
         call.facts().requestClass().name(),
         call.facts().function(),
         timePassed,
-        call.key(),
+        call.idempotencyKey(),
         call.facts().body());
   }
 
--- a/node/src/main/java/gorseladder/node/runners/Link.java
+++ b/node/src/main/java/gorseladder/node/runners/Link.java
@@ -63,7 +63,7 @@
       if (carrying < settings.multiplex()
           && c.idle(now) < settings.idle()
           && c.mayCarry(request.id())
-          && (call == null || !call.wasOn(c))) {
+          && (call == null || !call.wasCarriedBy(c))) {
         may.add(c);
         candidates.add(new Candidate(carrying, c.idle(now)));
       }
--- a/node/src/main/java/gorseladder/node/runners/RunnerLinks.java
+++ b/node/src/main/java/gorseladder/node/runners/RunnerLinks.java
@@ -109,9 +109,9 @@
     this.rules = rules;
     this.watchdog = watchdog;
     this.settings = new LinkSettings(
-        told.connect(),
-        ConnectionChoice.localIdleLimit(told.idle()),
-        told.multiplex(),
+        told.connectTimeout(),
+        ConnectionChoice.localIdleLimit(told.idleTimeout()),
+        told.maxCallsPerConnection(),
         mostAnswer,
         new Semaphore(descriptors),
         () -> channels.open(),
@@ -194,11 +194,11 @@
   }
 
   boolean tellsNote() {
-    return told.tellsNote();
+    return told.reportsCopyStatus();
   }
 
   boolean tellsCrowd() {
-    return told.tellsCrowd();
+    return told.reportsConcurrency();
   }
 
   /**
--- a/node/src/test/java/gorseladder/node/WarmUpTest.java
+++ b/node/src/test/java/gorseladder/node/WarmUpTest.java
@@ -27,9 +27,9 @@
 /** Guards against a warm-up that stops early and leaves the first calls of clients to cold code. */
 class WarmUpTest {
   private static final long SECOND = 1_000_000;
-  private static final int STACK = 128 << 10;
+  private static final int STACK_BYTES = 128 << 10;
   /** So that what is asked does not depend on how busy the machine is. */
-  private static final long MOST = 60 * SECOND;
+  private static final long MAX_MICROS = 60 * SECOND;
 
   private static RequestClass requestClass(String name, Effect effect) {
     return new RequestClass(name, effect, Group.ALL, SECOND, SECOND, 2 * SECOND, 1, 0.2, false);
@@ -72,11 +72,16 @@
   }
 
   private static int run(List<WorkerEntry> workers) {
-    try (Watchdog watchdog = new Watchdog("watchdog", STACK);
-        ThreadCache threads = new ThreadCache("connection", 4, STACK)) {
-      StallDetector pauses = new StallDetector(watchdog);
+    try (Watchdog watchdog = new Watchdog("watchdog", STACK_BYTES);
+        ThreadCache threads = new ThreadCache("connection", 4, STACK_BYTES)) {
+      StallDetector stallDetector = new StallDetector(watchdog);
       return WarmUp.run(
-          config(), new WorkerListUpdate(ListKind.SAVED, workers), watchdog, pauses, threads, MOST);
+          config(),
+          new WorkerListUpdate(ListKind.SAVED, workers),
+          watchdog,
+          stallDetector,
+          threads,
+          MAX_MICROS);
     }
   }
 
--- a/node/src/test/java/gorseladder/node/front/FrontConnectionTest.java
+++ b/node/src/test/java/gorseladder/node/front/FrontConnectionTest.java
@@ -46,10 +46,10 @@
 
   private final AtomicInteger sent = new AtomicInteger();
   private final AtomicLong arrivedAt = new AtomicLong();
-  private final AtomicInteger pauses = new AtomicInteger();
-  private Runnable atRead = () -> {};
-  private volatile Runnable atWrite = () -> {};
-  private volatile Runnable atSend = () -> {};
+  private final AtomicInteger idleCount = new AtomicInteger();
+  private Runnable onRead = () -> {};
+  private volatile Runnable beforeWrite = () -> {};
+  private volatile Runnable onSend = () -> {};
   private final Watchdog watchdog = new Watchdog("watchdog", 128 << 10);
   private final RuleLog rules = new RuleLog();
   private Core<NodeCall> core;
@@ -82,7 +82,7 @@
           @Override
           public void send(NodeCall call, int attempt, String worker, long timeout) {
             sent.incrementAndGet();
-            atSend.run();
+            onSend.run();
           }
 
           @Override
@@ -99,7 +99,7 @@
 
           @Override
           public void beforeIdle() {
-            pauses.incrementAndGet();
+            idleCount.incrementAndGet();
           }
         },
         100,
@@ -111,13 +111,13 @@
     RequestReader reader = new RequestReader(settings);
     front = new FastCgiFront(
         (params, body, at) -> {
-          atRead.run();
+          onRead.run();
           arrivedAt.set(at);
           return reader.read(params, body, at);
         },
         core,
         task -> {
-          atWrite.run();
+          beforeWrite.run();
           task.run();
         },
         10,
@@ -145,7 +145,7 @@
   }
 
   /** Writes a whole request and waits until the system holds it, unread. */
-  private void ask() throws IOException {
+  private void sendUnreadRequest() throws IOException {
     client
         .getOutputStream()
         .write(RecordWriter.request(1, true, Map.of("SCRIPT_NAME", "/status/live"), new byte[0]));
@@ -154,7 +154,7 @@
     }
   }
 
-  private void readAll() {
+  private void startReading() {
     Thread thread = new Thread(() -> {
       try {
         connection.run();
@@ -166,7 +166,7 @@
     thread.start();
   }
 
-  private String answer() throws IOException {
+  private String readAnswer() throws IOException {
     client.setSoTimeout(2_000);
     byte[] bytes = new byte[1_000];
     int count = client.getInputStream().read(bytes);
@@ -181,21 +181,21 @@
    */
   @Test
   void whatComesWhileTheThreadIsBusyCountsFromThen() throws Exception {
-    readAll();
+    startReading();
     CountDownLatch busy = new CountDownLatch(1);
-    CountDownLatch goesOn = new CountDownLatch(1);
-    atRead = () -> {
+    CountDownLatch released = new CountDownLatch(1);
+    onRead = () -> {
       busy.countDown();
-      await(goesOn);
+      await(released);
     };
     client.getOutputStream().write(request(1));
     busy.await();
     long sentAt = Clock.micros();
     client.getOutputStream().write(request(2));
     Thread.sleep(300);
-    atRead = () -> {};
+    onRead = () -> {};
     arrivedAt.set(0);
-    goesOn.countDown();
+    released.countDown();
     long until = Clock.micros() + SECOND;
     while (sent.get() < 2 && Clock.micros() < until) {
       Thread.sleep(1);
@@ -212,21 +212,21 @@
    */
   @Test
   void aCallThatTheCoreHasNotLookedAtByItsTimeIsRefusedThen() throws Exception {
-    CountDownLatch goesOn = new CountDownLatch(1);
-    atSend = () -> await(goesOn);
-    readAll();
+    CountDownLatch released = new CountDownLatch(1);
+    onSend = () -> await(released);
+    startReading();
     client.getOutputStream().write(request(1));
     while (sent.get() < 1) {
       Thread.onSpinWait();
     }
     client.getOutputStream().write(request(2, 30));
-    while (front.held() < 2) {
+    while (front.heldCallCount() < 2) {
       Thread.onSpinWait();
     }
     Thread.sleep(40);
-    front.check();
-    String answer = answer();
-    goesOn.countDown();
+    front.checkTimeouts();
+    String answer = readAnswer();
+    released.countDown();
     assertTrue(answer.contains("Status: 503"), answer);
   }
 
@@ -255,23 +255,23 @@
 
   @Test
   void aLookAtIdlenessSeesWhatTheSystemHoldsUnread() throws Exception {
-    ask();
-    connection.check(Clock.micros() + 60 * SECOND, 2 * SECOND, 6 * SECOND);
-    readAll();
-    assertTrue(answer().contains("Status: 503"), "its thread had not begun");
+    sendUnreadRequest();
+    connection.checkTimeouts(Clock.micros() + 60 * SECOND, 2 * SECOND, 6 * SECOND);
+    startReading();
+    assertTrue(readAnswer().contains("Status: 503"), "its thread had not begun");
   }
 
   @Test
   void roomIsNotMadeByAConnectionWithARequestUnread() throws Exception {
-    ask();
-    assertFalse(connection.closeIfFree());
-    readAll();
-    assertTrue(answer().contains("Status: 503"));
+    sendUnreadRequest();
+    assertFalse(connection.closeIfIdle());
+    startReading();
+    assertTrue(readAnswer().contains("Status: 503"));
     // Its thread may still be in the write that the answer came from.
     long until = Clock.micros() + SECOND;
-    boolean closed = connection.closeIfFree();
+    boolean closed = connection.closeIfIdle();
     while (!closed && Clock.micros() < until) {
-      closed = connection.closeIfFree();
+      closed = connection.closeIfIdle();
     }
     assertTrue(closed, "nothing is asked now");
   }
@@ -281,13 +281,13 @@
    */
   @Test
   void aStopAnswersWhatIsUnreadAndTakesNothingAfterTheHalfClose() throws Exception {
-    ask();
+    sendUnreadRequest();
     connection.drain();
-    readAll();
-    assertTrue(answer().contains("Status: 503"));
+    startReading();
+    assertTrue(readAnswer().contains("Status: 503"));
     connection.drain();
-    assertEquals("", answer(), "the end");
-    atRead = sent::incrementAndGet;
+    assertEquals("", readAnswer(), "the end");
+    onRead = sent::incrementAndGet;
     client
         .getOutputStream()
         .write(RecordWriter.request(2, true, Map.of("SCRIPT_NAME", "/svc/safe"), new byte[0]));
@@ -302,7 +302,7 @@
   @Test
   void aCallTakenOnAConnectionThatJustEndedIsNotSent() throws Exception {
     CountDownLatch read = new CountDownLatch(1);
-    atRead = () -> {
+    onRead = () -> {
       connection.close();
       read.countDown();
     };
@@ -323,17 +323,17 @@
                 "HTTP_X_FACTS",
                 "memory_mb:10;lanes:1"),
             new byte[3]));
-    readAll();
+    startReading();
     read.await();
     assertTimeoutPreemptively(Duration.ofSeconds(5), () -> {
-      while (front.held() > 0) {
+      while (front.heldCallCount() > 0) {
         Thread.onSpinWait();
       }
       // By the second time the core has nothing to do it has looked at all that was put before
       // the first.
-      int before = pauses.get();
+      int before = idleCount.get();
       core.workerListChanged(new WorkerListUpdate(ListKind.DELTA, List.of()));
-      while (pauses.get() < before + 2) {
+      while (idleCount.get() < before + 2) {
         Thread.sleep(1);
       }
     });
@@ -341,7 +341,7 @@
   }
 
   /** Takes so many answers that the system might not take another one at once. */
-  private void answerSoMuchThatAThreadOfThePoolWrites() throws IOException {
+  private void fillSendBuffer() throws IOException {
     int records = 600;
     byte[] unknown = new byte[8];
     unknown[0] = 1;
@@ -359,23 +359,23 @@
    */
   @Test
   void aRefusalIsWrittenThoughNoWriterRuns() throws Exception {
-    CountDownLatch never = new CountDownLatch(1);
-    atWrite = () -> {
+    CountDownLatch blocked = new CountDownLatch(1);
+    beforeWrite = () -> {
       try {
-        never.await();
+        blocked.await();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
     };
-    readAll();
+    startReading();
     client
         .getOutputStream()
         .write(RecordWriter.request(1, true, Map.of("SCRIPT_NAME", "/svc/none"), new byte[0]));
     try {
-      String told = answer();
-      assertTrue(told.contains("Status: 404"), told);
+      String answers = readAnswer();
+      assertTrue(answers.contains("Status: 404"), answers);
     } finally {
-      never.countDown();
+      blocked.countDown();
     }
   }
 
@@ -385,13 +385,13 @@
   @Test
   void whatWasReadIsAnsweredThoughTheStopLooksBeforeItIsLookedAt() throws Exception {
     CountDownLatch reading = new CountDownLatch(1);
-    CountDownLatch looked = new CountDownLatch(1);
-    readAll();
-    answerSoMuchThatAThreadOfThePoolWrites();
-    atWrite = () -> {
+    CountDownLatch released = new CountDownLatch(1);
+    startReading();
+    fillSendBuffer();
+    beforeWrite = () -> {
       reading.countDown();
       try {
-        looked.await();
+        released.await();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -410,15 +410,15 @@
       connection.drain();
       Thread.sleep(10);
     }
-    atWrite = () -> {};
-    looked.countDown();
-    String told = answer();
-    String more = told;
-    while (!more.isEmpty() && !told.contains("Status")) {
-      more = answer();
-      told += more;
+    beforeWrite = () -> {};
+    released.countDown();
+    String answers = readAnswer();
+    String next = answers;
+    while (!next.isEmpty() && !answers.contains("Status")) {
+      next = readAnswer();
+      answers += next;
     }
-    assertTrue(told.contains("Status: 503"), "the request that was read got no answer");
+    assertTrue(answers.contains("Status: 503"), "the request that was read got no answer");
   }
 
   /**
@@ -432,13 +432,13 @@
         .getOutputStream()
         .write(RecordWriter.request(1, true, Map.of("SCRIPT_NAME", "/svc/none"), new byte[0]));
     Thread.sleep(300);
-    readAll();
-    assertTrue(answer().contains("Status: 404"));
+    startReading();
+    assertTrue(readAnswer().contains("Status: 404"));
     assertTrue(arrivedAt.get() <= accepted, "counted from when it was read");
     client
         .getOutputStream()
         .write(RecordWriter.request(2, true, Map.of("SCRIPT_NAME", "/svc/none"), new byte[0]));
-    assertTrue(answer().contains("Status: 404"));
+    assertTrue(readAnswer().contains("Status: 404"));
     assertTrue(arrivedAt.get() > accepted + 290_000, "read as it came");
   }
 }
--- a/soak/src/main/java/gorseladder/soak/PlantedFault.java
+++ b/soak/src/main/java/gorseladder/soak/PlantedFault.java
@@ -79,7 +79,7 @@
   NEWS_LOST(
       SoakRule.FOLLOW,
       "node/src/main/java/gorseladder/node/Reconfiguration.java",
-      "if (changed || signalled || unheard || failures > 0 || now < settlesUntil) {",
+      "if (changed || signalled || logSilent || failures > 0 || now < rereadUntil) {",
       "if (signalled) {",
       Trouble.NEWS_AMID_FAULT),
   SLOW_LOG_NOT_WAITED_FOR(
@@ -99,7 +99,7 @@
       SoakRule.END,
       "node/src/main/java/gorseladder/node/Node.java",
       "LOG.info(\"{} stops after {} ms; {}\"",
-      "sleepUntil(kill + 400_000); LOG.info(\"{} stops after {} ms; {}\"",
+      "sleepUntil(killAt + 400_000); LOG.info(\"{} stops after {} ms; {}\"",
       Trouble.STOP),
   THREADS_NOT_SHARED(
       SoakRule.FINAL_ANSWER,
--- a/testbed/src/test/java/gorseladder/testbed/platform/CrossingsTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/platform/CrossingsTest.java
@@ -123,10 +123,10 @@
     aborts.send(1, FastCgiClient.params("safe", id(2), FUNCTION, 4_900), body(2));
     FastCgiClient stays = client();
     stays.send(1, FastCgiClient.params("safe", id(3), FUNCTION, 4_900), body(3));
-    assertTrue(within(1_000, () -> node.callsOut() == 3), node.summary());
+    assertTrue(within(1_000, () -> node.callsInFlight() == 3), node.summary());
     closes.close();
     aborts.write(RecordWriter.abort(1));
-    assertTrue(within(1_000, () -> node.callsOut() == 1), node.summary());
+    assertTrue(within(1_000, () -> node.callsInFlight() == 1), node.summary());
     runners.get(0).comeUp();
     assertEquals(200, stays.await(1, 4_000).status());
     assertEquals(List.of(id(3)), arrivals().stream().map(Arrival::id).toList());
@@ -231,7 +231,7 @@
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       address = (InetSocketAddress) free.getLocalSocketAddress();
     }
-    node.changeLogAt(address);
+    node.followChangeLogAt(address);
     log.close();
     FastCgiClient client = client();
     client.send(1, FastCgiClient.params("safe", id(1), FUNCTION, 1_500), body(1));
--- a/testbed/src/test/java/gorseladder/testbed/platform/DispatcherFixture.java
+++ b/testbed/src/test/java/gorseladder/testbed/platform/DispatcherFixture.java
@@ -158,7 +158,7 @@
     }
     if (node != null) {
       node.close();
-      assertEquals(Map.of(), node.rulesBroken(), "rules broken, as the dispatcher itself saw");
+      assertEquals(Map.of(), node.brokenRules(), "rules broken, as the dispatcher itself saw");
     }
     if (log != null) {
       log.close();
--- a/testbed/src/test/java/gorseladder/testbed/platform/NodePathTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/platform/NodePathTest.java
@@ -87,7 +87,7 @@
     assertTrue(
         kinds[0] > calls / 2 && kinds[2] > 0,
         "served, refused, failed: " + kinds[0] + " " + kinds[1] + " " + kinds[2]);
-    assertTrue(within(3_000, () -> node.idle()), node.summary());
+    assertTrue(within(3_000, () -> node.isIdle()), node.summary());
   }
 
   private static Map<String, Integer> notOnce(Map<String, Integer> counts) {
@@ -171,7 +171,7 @@
     PlatformChangeLog next = new PlatformChangeLog(events);
     log.close();
     log = next;
-    node.changeLogAt(next.address());
+    node.followChangeLogAt(next.address());
     next.add(PlatformChangeLog.event(5, false, "r0", runners.get(0).address(), "left"));
     assertTrue(within(3_000, () -> !node.runners().contains("r0")), "after a move");
     assertEquals(List.of(4L), next.asked());
@@ -288,7 +288,7 @@
     assertTrue(within(1_000, () -> arrivals().size() == 1));
     client.write(RecordWriter.abort(1));
     assertTrue(within(1_000, () -> runners.get(0).halts() == 1));
-    assertTrue(within(1_000, () -> node.idle()));
+    assertTrue(within(1_000, () -> node.isIdle()));
   }
 
   @Test
@@ -373,7 +373,7 @@
       }
     }
     assertTrue(
-        within(4_000, () -> node.runners().size() == 3 && node.connections() == 0 && node.idle()),
+        within(4_000, () -> node.runners().size() == 3 && node.connections() == 0 && node.isIdle()),
         node.summary());
     assertTrue(arrivals().size() > 10_000, arrivals().size() + " arrived");
   }
--- a/testbed/src/test/java/gorseladder/testbed/platform/PlantedNodeFaultsTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/platform/PlantedNodeFaultsTest.java
@@ -50,12 +50,12 @@
       quoteCharacter = '`',
       value = {
         "no fault####nothingIsSentForAClientThatLeftWhileItsCallWaited",
-        "client gone ignored#front/FrontConnection.java#left.forEach(front::gone);#"
+        "client gone ignored#front/FrontConnection.java#abandonedCalls.forEach(front::clientGone);#"
             + "#nothingIsSentForAClientThatLeftWhileItsCallWaited",
         "idle close without looking#front/FrontConnection.java#if (!verdict.allowed()) {#if (state == null) {"
             + "#whatIsHalfReadWhenTheStopBeginsIsServed",
-        "connections counted late#front/FastCgiFront.java#connections.size() >= mostConnections && !makeRoom()#false"
-            + "#idleClientsNeverTakeMoreThanTheirShareOfDescriptors",
+        "connections counted late#front/FastCgiFront.java#connections.size() >= maxConnections && !closeLongestIdle()"
+            + "#false#idleClientsNeverTakeMoreThanTheirShareOfDescriptors",
         "a link kept after its runner went"
             + "#runners/RunnerLinks.java#before != null && before.address().equals(address)#before != null"
             + "#aRunnerThatGoesAndComesBackIsReached",
