--- a/node/src/main/java/gorseladder/node/CallPath.java
+++ b/node/src/main/java/gorseladder/node/CallPath.java
@@ -16,18 +16,20 @@
 import java.util.function.Consumer;
 
 /**
- * What a call passes in a dispatcher, put together: front, core, runner links and the threads that write. It listens
- * nowhere and knows no runner until it is told. Any thread.
+ * The components that a call passes in a dispatcher: front, core, runner links and the threads that write. It accepts
+ * no connections until the front listens, and knows no runner until one is reported.
+ *
+ * <p>Thread safe.
  */
 final class CallPath implements AutoCloseable {
   private static final int STACK_BYTES = 128 << 10;
   private static final int CORE_STACK_BYTES = 512 << 10;
   private static final int MAX_WRITERS = 64;
-  /** Descriptors for the program itself: its files, listener, change log, peers, and what the machine opens. */
+  /** Descriptors for files, the listener, the change log, peers and the Java runtime. */
   private static final int RESERVED_DESCRIPTORS = 48;
 
   private static final int MAX_ANSWER_BYTES = 1 << 20;
-  /** Part of the memory told, and of the heap, that clients may have the front keep. */
+  /** Buffers for clients get 1/8 of the configured memory, but at most 1/4 of the heap. */
   private static final int MEMORY_DIVISOR = 8;
 
   private static final int HEAP_DIVISOR = 4;
@@ -39,10 +41,10 @@
   private final FastCgiFront front;
 
   /**
-   * Starts the core's thread and the writers.
+   * Starts the thread of the core and the writers.
    *
-   * @param threads each connection has one
-   * @param peers is told what every other dispatcher is to hear, on the core's thread
+   * @param threads one for each connection
+   * @param peerSender receives the messages to all other dispatchers, on the thread of the core
    */
   CallPath(
       NodeConfig config,
@@ -99,7 +101,7 @@
     links.keepWithin(front.budget(), front::reclaimMemory);
   }
 
-  /** Carries out what the core's thread decides. */
+  /** Carries out the decisions of the core. */
   private final class Outbound implements Core.Outbound<NodeCall> {
     @Override
     public void send(NodeCall call, int attempt, String worker, long timeout) {
@@ -133,7 +135,7 @@
 
     @Override
     public void subscribeWorkerList() {
-      // The change log is followed from the start on and never given up.
+      // The change log is followed from the start until the end.
     }
   }
 
@@ -153,7 +155,7 @@
     return front;
   }
 
-  /** Ends connections, then threads; what is still held gets no answer. */
+  /** Closes the connections, then stops the threads; calls that are still held get no answer. */
   @Override
   public void close() {
     front.close();
--- a/node/src/main/java/gorseladder/node/ChangeLogAddress.java
+++ b/node/src/main/java/gorseladder/node/ChangeLogAddress.java
@@ -8,8 +8,8 @@
 import java.util.Arrays;
 
 /**
- * The change log's address as the configuration file names it. The file is read at each look for a while, and its text
- * mostly stands as it was: the same text is not parsed again. For one thread.
+ * Reads the address of the change log from the configuration file. The file is read often after a change and mostly has
+ * the same content, which is then not parsed again. Not thread safe.
  */
 final class ChangeLogAddress {
   private final Path file;
@@ -21,9 +21,9 @@
   }
 
   /**
-   * Reads it.
+   * Reads the address.
    *
-   * @throws BadInput where the file cannot be read or names no address
+   * @throws BadInput if the file cannot be read or has no valid address
    */
   InetSocketAddress read() {
     byte[] current = readFile();
--- a/node/src/main/java/gorseladder/node/Node.java
+++ b/node/src/main/java/gorseladder/node/Node.java
@@ -25,36 +25,37 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One dispatcher of the platform: front, core, runner links, change log and peers, put together and taken apart. */
+/** One dispatcher of the platform: starts, connects and stops front, core, runner links, change log and peers. */
 public final class Node implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Node.class);
   private static final int STACK_BYTES = 128 << 10;
-  /** Threads for connections, of clients and to runners, that stand ready from the start. */
+  /** Threads for connections of clients and to runners that exist from the start. */
   private static final int MIN_IDLE_THREADS = 16;
 
   private static final long CHECK_INTERVAL_MICROS = 200_000;
-  /** A pause of the process, in microseconds, that may have made answers late and is worth a line. */
+  /** A stall of the process that may have delayed answers and is logged. */
   private static final long REPORTED_STALL_MICROS = 150_000;
-  /** After SIGTERM new connections and requests still come for 0.6 s at the most; a margin on top. */
+  /** After SIGTERM new connections and requests arrive for up to 0.6 s; this adds a margin. */
   private static final long ACCEPT_AFTER_STOP_MICROS = 900_000;
   /**
-   * The longest deadline counts as so much at the most when SIGKILL is timed, and comes no sooner than {@link #KILLED}.
+   * SIGKILL comes no sooner than the longest deadline, of which at most this counts, plus {@link #KILL_GRACE_MICROS}
+   * after SIGTERM.
    */
   private static final long MAX_COUNTED_DEADLINE_MICROS = 3_000_000;
 
   private static final long KILL_GRACE_MICROS = 700_000;
-  /** So long before SIGKILL what is still held gets its final answer. */
+  /** Time before SIGKILL at which all calls still held get their final answer. */
   private static final long ANSWER_BEFORE_KILL_MICROS = 400_000;
   /**
-   * So long before SIGKILL it ends where clients are owed nothing and only have not closed. Guards against an end of
-   * the process that takes longer than usual, as on a busy machine.
+   * Time before SIGKILL at which the process exits if no client waits for an answer and some have just not closed their
+   * connections. Leaves time for an exit that takes longer than usual, as on a busy machine.
    */
   private static final long EXIT_BEFORE_KILL_MICROS = 300_000;
-  /** So long before SIGKILL it ends though clients are owed something: what is left is not answered in time. */
+  /** Time before SIGKILL at which the process exits even if clients wait; their answers would be too late. */
   private static final long LATEST_EXIT_BEFORE_KILL_MICROS = 50_000;
 
   private static final long DRAIN_POLL_MICROS = 5_000;
-  /** Seconds between two lines of what it holds; 0, as usual, for none. */
+  /** Seconds between two summaries in the log; 0, the default, for none. */
   private static final long SUMMARY_INTERVAL_SECONDS = Long.getLong("gorseladder.node.summary", 0);
 
   private final NodeConfig config;
@@ -73,15 +74,15 @@
   private long summaryAt;
   private volatile boolean closed;
   private volatile Supplier<String> configurationSummary = () -> "none";
-  /** News of the list told to the core; the thread's that follows the change log. */
+  /** Number of worker list updates passed to the core; used by the thread that follows the change log. */
   private long listUpdateCount;
-  /** The list as it was known at the start. */
+  /** The worker list as it was known at the start. */
   private volatile WorkerListUpdate initialList;
 
   /**
    * Starts a dispatcher; it is live when this returns.
    *
-   * @throws IOException where an address cannot be listened on; the text says which
+   * @throws IOException if it cannot listen at an address; the message names the address
    */
   public Node(NodeConfig config) throws IOException {
     this.config = config;
@@ -165,7 +166,7 @@
     });
   }
 
-  /** Where it was told to, says what it holds now and then, with its own pauses since the last time. */
+  /** Logs a summary at the configured interval, with the longest stall since the last one. */
   private void logSummary() {
     if (SUMMARY_INTERVAL_SECONDS > 0 && Clock.micros() >= summaryAt) {
       summaryAt = Clock.micros() + SUMMARY_INTERVAL_SECONDS * 1_000_000;
@@ -179,52 +180,52 @@
     }
   }
 
-  /** Where clients connect. */
+  /** The address to which clients connect. */
   public InetSocketAddress address() {
     return front.address();
   }
 
-  /** The configuration was replaced: follows the change log where it is now. */
+  /** Follows the change log at this address from now on, after a change of the configuration. */
   public void followChangeLogAt(InetSocketAddress address) {
     changeLog.moveTo(address);
   }
 
-  /** Where the change log is followed. */
+  /** The address at which the change log is followed. */
   public InetSocketAddress changeLogAddress() {
     return changeLog.address();
   }
 
-  /** True while the change log tells something. */
+  /** Whether the change log currently sends events. */
   public boolean isChangeLogHeard() {
     return changeLog.isHeard();
   }
 
-  /** Has something more told in the line of {@link #summary}. */
+  /** Sets the source of the text about the configuration in {@link #summary}. */
   public void setConfigurationSummary(Supplier<String> summary) {
     configurationSummary = summary;
   }
 
-  /** True where no call is held and no attempt is out. */
+  /** Whether no call is held and no attempt is in progress. */
   public boolean isIdle() {
     return front.heldCallCount() == 0 && links.callsOut() == 0;
   }
 
-  /** Calls with an attempt out, also one that still waits for its connection. */
+  /** Number of calls with an attempt in progress, including those that wait for a connection. */
   public int callsInFlight() {
     return links.callsOut();
   }
 
-  /** Runners that links are kept to. */
+  /** The runners to which links exist. */
   public Set<String> runners() {
     return links.runners();
   }
 
-  /** Clients' connections that are open. */
+  /** Number of open client connections. */
   public int connections() {
     return front.connections();
   }
 
-  /** What it holds, believes and counted, for the log. */
+  /** The state and the counts of all components, for the log. */
   public String summary() {
     return "front: " + front.summary() + "; links: " + links.summary() + "; change log: "
         + changeLog.summary() + "; configuration: " + configurationSummary.get() + "; pauses "
@@ -232,16 +233,16 @@
         + "; rules broken " + rules.counts();
   }
 
-  /** How often a rule was broken as far as this dispatcher can see; empty where none was. */
+  /** How often each rule was broken, as far as this dispatcher can detect it; empty if none was. */
   public Map<Rule, Long> brokenRules() {
     return rules.counts();
   }
 
   /**
-   * Stops in order. It goes on taking until no new calls can come, accepts what the system holds and closes the
-   * listener; then each connection is half-closed as soon as nothing is asked on it. What is still held a moment before
-   * SIGKILL may come gets its final answer there and then. Returns when all connections have ended, or soon after that
-   * moment: at once where nothing is owed any more.
+   * Stops gracefully. The dispatcher accepts requests until no new ones can arrive, accepts the connections that the
+   * system has queued and closes the listener; then each connection is half-closed as soon as it has no open request.
+   * Shortly before SIGKILL may come, all calls still held get their final answer. Returns when all connections have
+   * ended, or soon after those answers: at once if no client waits for one any more.
    */
   public void stop() throws InterruptedException {
     long start = Clock.micros();
@@ -255,8 +256,9 @@
     front.stopAccepting();
     boolean refused = false;
     while (!front.drain()) {
-      // Looked at first: after a pause of the process it may be later than any of the bounds, and
-      // what is held is still to be answered.
+      // Checked first: after a stall of the process all of these times may have passed, and the
+      // calls
+      // that are held must still be answered.
       if (!refused && Clock.micros() >= refuseAt) {
         refused = true;
         core.refuseAll();
@@ -272,9 +274,9 @@
   }
 
   private static void sleepUntil(long time) throws InterruptedException {
-    long left = time - Clock.micros();
-    if (left > 0) {
-      Thread.sleep(left / 1000, (int) (left % 1000) * 1000);
+    long remaining = time - Clock.micros();
+    if (remaining > 0) {
+      Thread.sleep(remaining / 1000, (int) (remaining % 1000) * 1000);
     }
   }
 
--- a/node/src/main/java/gorseladder/node/NodeCall.java
+++ b/node/src/main/java/gorseladder/node/NodeCall.java
@@ -7,37 +7,40 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 
-/** A call of the platform: it is answered on the connection it came on, and nothing of it is kept after its end. */
+/**
+ * A call of the platform. It is answered on the connection on which it arrived, and nothing of it is stored afterwards.
+ */
 public final class NodeCall extends Call {
   private final String idempotencyKey;
   private final long clientSeenFrom;
   private final long readAt = Clock.micros();
-  private final BiConsumer<NodeCall, FinalAnswer> onEnd;
+  private final BiConsumer<NodeCall, FinalAnswer> onFinalAnswer;
   /**
-   * Connections that carried its id: an id goes at most once over one, so that no late answer is taken for another's.
+   * Connections that carried its id. An id is sent at most once on a connection, so that a late answer cannot be taken
+   * for that of another attempt.
    */
   private final Set<Object> carriers = new HashSet<>();
 
   /**
-   * A call just taken.
+   * Creates an accepted call.
    *
-   * @param key the client's idempotency key, passed on to the runner unchanged; null where it gave none
-   * @param seenFrom from when on it is known whether its client is still there; 0 for always
-   * @param onEnd hears its final answer once
+   * @param idempotencyKey key of the client, passed on to the runner unchanged; null if there is none
+   * @param clientSeenFrom from when on it is known whether its client is still there; 0 for always
+   * @param onFinalAnswer called once with its final answer
    */
   public NodeCall(
       long id,
       Facts facts,
       String idempotencyKey,
       long clientSeenFrom,
-      BiConsumer<NodeCall, FinalAnswer> onEnd) {
+      BiConsumer<NodeCall, FinalAnswer> onFinalAnswer) {
     super(id, facts);
     this.idempotencyKey = idempotencyKey;
     this.clientSeenFrom = clientSeenFrom;
-    this.onEnd = onEnd;
+    this.onFinalAnswer = onFinalAnswer;
   }
 
-  /** The client's idempotency key, or null. */
+  /** Key of the client, or null. */
   public String idempotencyKey() {
     return idempotencyKey;
   }
@@ -47,27 +50,27 @@
     return clientSeenFrom;
   }
 
-  /** When it was read whole. */
+  /** When the request was read completely. */
   public long readAt() {
     return readAt;
   }
 
   @Override
   protected void onFinalAnswer(FinalAnswer end) {
-    onEnd.accept(this, end);
+    onFinalAnswer.accept(this, end);
   }
 
-  /** Notes that a connection is to carry an attempt. */
+  /** Records that a connection will carry an attempt. */
   public synchronized void claim(Object connection) {
     carriers.add(connection);
   }
 
-  /** Takes a claim back: nothing of the call was written on that connection. */
+  /** Withdraws a claim; nothing of the call was written on that connection. */
   public synchronized void release(Object connection) {
     carriers.remove(connection);
   }
 
-  /** True where the connection carried this call before. */
+  /** Whether the connection carried this call before. */
   public synchronized boolean wasCarriedBy(Object connection) {
     return carriers.contains(connection);
   }
--- a/node/src/main/java/gorseladder/node/NodeConfig.java
+++ b/node/src/main/java/gorseladder/node/NodeConfig.java
@@ -18,12 +18,12 @@
 import java.util.Map;
 
 /**
- * What the platform tells a dispatcher at its start: three variables and one JSON file ("What a dispatcher is told" of
- * the platform's deployment page). Times are microseconds.
+ * The configuration of a dispatcher: three environment variables and a JSON file ("What a dispatcher is told" in the
+ * deployment documentation of the platform). Times are in microseconds.
  *
  * @param seed for random numbers
- * @param peersAll where a datagram to every other dispatcher goes; null where there are none
- * @param known the change log's events up to the start
+ * @param peersAll the address for datagrams to all other dispatchers; null if there are none
+ * @param knownEvents events of the change log up to the start
  */
 public record NodeConfig(
     String name,
@@ -41,7 +41,7 @@
     Links links,
     int maxHeldCalls) {
 
-  /** What runner links are told of connections. */
+  /** Settings of the connections to runners. */
   public record Links(
       long connectTimeout,
       long idleTimeout,
@@ -49,7 +49,7 @@
       boolean reportsCopyStatus,
       boolean reportsConcurrency) {}
 
-  /** The variable that names the configuration file. */
+  /** The environment variable with the path of the configuration file. */
   static final String CONFIG_FILE_VARIABLE = "ROUTER_CONFIG";
 
   private static final long BYTES_PER_MEGABYTE = 1 << 20;
@@ -57,7 +57,7 @@
   private static final int MAX_PORT_DIGITS = 5;
   private static final int MIN_IPV4_CHARS = 7;
   private static final int MAX_IPV4_CHARS = 15;
-  /** With the brackets. */
+  /** Includes the brackets. */
   private static final int MIN_IPV6_CHARS = 4;
 
   private static final int MAX_IPV6_CHARS = 47;
@@ -67,7 +67,7 @@
   /**
    * Reads the configuration.
    *
-   * @throws BadInput where anything is missing or wrong; the text names the variable, or the file and the place in it
+   * @throws BadInput if a value is missing or wrong; the message names the variable, or the file and the field
    */
   public static NodeConfig read(Map<String, String> environment) {
     String name = variable(environment, "ROUTER_NAME");
@@ -82,9 +82,9 @@
   }
 
   /**
-   * Reads only the change log's address, as a replaced file names it.
+   * Reads only the address of the change log, after a change of the file.
    *
-   * @throws BadInput where there is none
+   * @throws BadInput if there is no valid address
    */
   static InetSocketAddress readChangeLog(Path file, byte[] content) {
     return address(Fields.text(parseObject(file, content), "changelog"), file + ": changelog");
@@ -129,7 +129,7 @@
         (int) Fields.number(siteLimits, "mostHeld", 20_000));
   }
 
-  /** A file that is there and cannot be read just now is tried again: without it there is no start. */
+  /** Reads the file. If it exists but cannot be read, this is retried: the dispatcher cannot start without it. */
   private static byte[] readAtStart(Path file) {
     try {
       return Retry.whileTransient(
@@ -142,7 +142,7 @@
     }
   }
 
-  /** What is told of a configuration that cannot be read. */
+  /** The error for a configuration file that cannot be read. */
   static BadInput cannotRead(IOException cause) {
     return new BadInput("ROUTER_CONFIG: cannot read " + cause.getMessage());
   }
@@ -180,17 +180,20 @@
     return config.get(key) instanceof String text ? address(text, key) : null;
   }
 
-  /** A numeric address and port. Not the settings' reader of addresses: its library would be loaded at each start. */
+  /**
+   * Parses a numeric address and port. The address parser of the settings is not used, since its library would then be
+   * loaded at each start.
+   */
   public static InetSocketAddress address(String text, String where) {
     if (!isAddress(text)) {
-      throw new BadInput("'" + where + "' is no address and port: " + text);
+      throw new BadInput("'" + where + "' is not an address and port: " + text);
     }
     int colon = text.lastIndexOf(':');
     return new InetSocketAddress(
         text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
   }
 
-  /** True for a numeric host, a colon and a port. */
+  /** Whether the text is a numeric host, a colon and a port. */
   static boolean isAddress(String text) {
     int colon = text.lastIndexOf(':');
     return colon >= 0
@@ -205,7 +208,7 @@
         && Integer.parseInt(text) <= MAX_PORT;
   }
 
-  /** Digits and points, or digits, points and colons in brackets: what is never looked up by name. */
+  /** Digits and dots, or hexadecimal digits, dots and colons in brackets: such a host is never resolved by name. */
   private static boolean isNumericHost(String host) {
     int length = host.length();
     if (host.startsWith("[") && host.endsWith("]")) {
--- a/node/src/main/java/gorseladder/node/NodeMain.java
+++ b/node/src/main/java/gorseladder/node/NodeMain.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Runs one dispatcher of the platform until it is told to stop: SIGTERM stops it in order, SIGHUP has it read its
- * configuration again. Signals are noticed from the first moment on, since the machine's own way would end the process.
+ * Runs one dispatcher of the platform. SIGTERM stops it gracefully, SIGHUP reloads its configuration. Signals are
+ * handled from the start of the process, because their default action would end it.
  */
 public final class NodeMain {
   /** Exit codes. */
@@ -19,22 +19,21 @@
 
   private NodeMain() {}
 
-  /** The dispatcher as a process, without the command line around it. */
+  /** Runs the dispatcher and exits, without the options of the command line program. */
   public static void main(String[] args) throws InterruptedException {
     System.exit(run());
   }
 
-  /** Runs until SIGTERM or SIGINT and returns the exit code; one line on standard error where it cannot start. */
+  /** Runs until SIGTERM or SIGINT and returns the exit code; prints one line to standard error if it cannot start. */
   public static int run() throws InterruptedException {
-    // Read by the logging's configuration: what the dispatcher says is seldom and worth
-    // keeping.
+    // Read by the logging configuration; the messages of the dispatcher at INFO are few.
     if (System.getProperty("gorseladder.log.level") == null) {
       System.setProperty("gorseladder.log.level", "INFO");
     }
     ProcessSignals signals = ProcessSignals.listenForStopAndReload();
     Map<String, String> environment = System.getenv();
     try (Node node = new Node(NodeConfig.read(environment));
-        // Where it was replaced during the start, the file may have been read before that.
+        // Reads the file again, since it may have been replaced after it was read.
         Reconfiguration reconfiguration = new Reconfiguration(
             Path.of(environment.get(NodeConfig.CONFIG_FILE_VARIABLE)),
             new ChangeLogAddress(Path.of(environment.get(NodeConfig.CONFIG_FILE_VARIABLE)))::read,
--- a/node/src/main/java/gorseladder/node/Reconfiguration.java
+++ b/node/src/main/java/gorseladder/node/Reconfiguration.java
@@ -17,31 +17,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps the address of the change log that is in force equal to the one that the configuration file names. The file is
- * read when a signal asks for it, when it was replaced or changed, again and again while it cannot be read, and while
- * the log at the address in force says nothing.
+ * Applies changes of the change log address in the configuration file. The file is read when a signal requests it, when
+ * the file was replaced or changed, repeatedly while it cannot be read, and while the change log at the current address
+ * sends nothing.
  *
- * <p>Guards against news that is told once: a signal that is lost, or a file that cannot be opened or is half written
- * at that moment, would leave the dispatcher at an address that tells nothing any more, for good. It could harm where a
- * file is laid down that is not meant to hold yet: it holds within {@link #LOOK_MILLIS}, with or without the signal.
+ * <p>A signal alone is not enough: if it is lost, or the file cannot be opened or is half written at that moment, the
+ * dispatcher would stay at an address that sends nothing any more. The cost is that a file which is put there too early
+ * takes effect within {@link #CHECK_INTERVAL_MILLIS}, with or without a signal.
  *
- * <p>One thread of its own that reads and applies, so that what was read earlier is never applied later. {@link #ask}
- * is for any thread.
+ * <p>One thread of its own reads and applies the file, so that an older content is never applied after a newer one.
+ * {@link #requestReload} may be called on any thread.
  */
 final class Reconfiguration implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Reconfiguration.class);
-  /** Between two looks at the file. */
+  /** Interval between two checks of the file. */
   private static final long CHECK_INTERVAL_MILLIS = 200;
-  /** For so long after a change was seen the file is read at every look: one more change may not show in its times. */
+  /**
+   * For this long after a change the file is read at every check, since one more change may not be visible in its
+   * timestamps.
+   */
   private static final long REREAD_AFTER_CHANGE_MICROS = 1_000_000;
-  /** Between two readings of an unchanged file while the log says nothing. */
+  /** Interval at which an unchanged file is read while the change log is silent. */
   private static final long REREAD_WHILE_SILENT_MICROS = 1_000_000;
-  /** A line for the first failure, and then for each so many. */
+  /** One warning is logged per this many consecutive failures, at the first of them. */
   private static final int FAILURES_PER_WARNING = 50;
 
   /**
-   * What tells one state of the file from the next. Compared by its own code: that of a record is made at run time, at
-   * the first comparison.
+   * The attributes that show a change of the file. Has its own {@code equals}, because that of a record is generated at
+   * run time, at the first comparison.
    */
   private record FileState(Object key, long modifiedNanos, long size) {
     @Override
@@ -74,13 +77,13 @@
   private volatile String lastOutcome = "none";
 
   /**
-   * Begins to look.
+   * Starts the checks.
    *
    * @param file the configuration file
-   * @param reader reads the address from it and throws {@link BadInput} where it cannot be used
-   * @param inForce the address that is followed at present
-   * @param follower is told another address
-   * @param heard false while the log at the address in force says nothing
+   * @param reader reads the address from the file and throws {@link BadInput} if the file is not usable
+   * @param currentAddress the address that is followed at present
+   * @param follower receives a changed address
+   * @param logHeard false while the change log at the current address sends nothing
    */
   Reconfiguration(
       Path file,
@@ -97,7 +100,7 @@
     Threads.start("configuration", stackBytes, this::run);
   }
 
-  /** A new configuration is there. */
+  /** Requests that the file is read now. */
   synchronized void requestReload() {
     reloadRequested = true;
     notifyAll();
@@ -113,7 +116,7 @@
     }
   }
 
-  /** Waits for the next look; false once closed. */
+  /** Waits for the next check; returns false once closed. */
   private synchronized boolean await() throws InterruptedException {
     if (!reloadRequested && !closed) {
       wait(CHECK_INTERVAL_MILLIS);
@@ -140,7 +143,7 @@
     return requested;
   }
 
-  /** The file's state; null where it cannot be had just now. */
+  /** The current state of the file; null if it cannot be determined. */
   private FileState fileState() {
     try {
       BasicFileAttributes a = Files.readAttributes(file, BasicFileAttributes.class);
@@ -182,7 +185,7 @@
     }
   }
 
-  /** How readings went so far, for the log. */
+  /** Counts and the last outcome of the reloads, for the log. */
   String summary() {
     return reloads + " reloads, " + failedReloads + " failed, the last one: " + lastOutcome;
   }
--- a/node/src/main/java/gorseladder/node/RouterWarmUp.java
+++ b/node/src/main/java/gorseladder/node/RouterWarmUp.java
@@ -23,13 +23,13 @@
 import java.util.Map;
 
 /**
- * Has a router of its own decide calls on a clock of its own, among all workers that are told: answers of every
- * outcome, timers that look at what waits, clients that leave and calls whose time is over. Not thread safe.
+ * Exercises a separate router with its own clock and all workers of the list: answers with every outcome, timers of
+ * waiting calls, clients that leave and calls past their deadline. Not thread safe.
  */
 final class RouterWarmUp {
   private static final int FUNCTIONS = 8;
   private static final int LANES = 2;
-  /** Between two calls, in microseconds of its clock. */
+  /** Interval between two calls on the clock of the warm-up. */
   private static final long CALL_INTERVAL_MICROS = 100_000;
 
   private static final long LATENCY_MICROS = 20_000;
@@ -59,7 +59,7 @@
     }
   }
 
-  /** Plays the call of that number, from 1, to its end. */
+  /** Simulates the call with this number, from 1, to its end. */
   void playCall(int number) {
     now += CALL_INTERVAL_MICROS;
     List<RequestClass> classes = settings.classes();
@@ -86,7 +86,7 @@
     sends.clear();
   }
 
-  /** Runs those that are set now; a timer that sets itself again waits for the next call. */
+  /** Runs the timers that are set now; a timer that sets itself again waits for the next call. */
   private void runTimers() {
     for (int left = timers.size(); left > 0; left--) {
       router.on(now, new TimerDue(timers.removeFirst().token()), this::collect);
@@ -103,7 +103,7 @@
     }
   }
 
-  /** Ends each attempt, most of them well; what is sent again meets the next outcome. */
+  /** Ends each attempt, every second one successfully; a repeated attempt gets the next outcome. */
   private void answerAll(int number) {
     for (int attempt = 0; !sends.isEmpty(); attempt++) {
       Send send = sends.removeFirst();
--- a/node/src/main/java/gorseladder/node/WarmUp.java
+++ b/node/src/main/java/gorseladder/node/WarmUp.java
@@ -20,31 +20,30 @@
 import org.slf4j.helpers.NOPLogger;
 
 /**
- * Sends calls of every kind through a path of its own before the dispatcher is live: front, core, router and runner
- * links as they are, with the list that is told, on connections in memory. Nothing of it leaves the process, is counted
- * or outlasts it.
+ * Sends calls of every kind through a separate call path before the dispatcher is live: real front, core, router and
+ * runner links with the real worker list, over connections in memory. Nothing of it leaves the process, is counted, or
+ * remains.
  *
- * <p>Guards against first calls that take long: code that was never run has to be loaded, linked, interpreted and
- * compiled, which at a tenth of a core kept the core's thread busy for seconds. It could harm a start that has hardly
- * any processor time, by {@link #MOST} at the most.
+ * <p>Code that runs for the first time must be loaded, linked, interpreted and compiled; with a tenth of a core that
+ * kept the thread of the core busy for seconds, and the first calls waited. The cost is a later start on a machine with
+ * little processor time, by at most {@link #MAX_MICROS}.
  */
 final class WarmUp implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(WarmUp.class);
   /**
-   * Classes of the Java machine that are set up when something fails for the first time, and read a file for it. Guards
-   * against a file that cannot be opened just then: such a class is of no use for good, and each connect that fails
-   * later ends in an Error.
+   * Classes of the Java runtime that are initialized at the first failure and then read a file. If that file cannot be
+   * opened at that moment, the class stays unusable, and each later connect that fails ends in an Error.
    */
   private static final List<String> PRELOADED_CLASSES =
       List.of("java.security.Security", "sun.net.util.SocketExceptions");
 
-  /** Calls in all; the Java machine compiles what was called 200 times. */
+  /** Total calls; the Java runtime compiles methods after 200 invocations. */
   static final int CALLS = 300;
-  /** Workers at the most: each has connections, and each connection a thread. */
+  /** Limit of the workers: each has connections, and each connection a thread. */
   private static final int MAX_WORKERS = 8;
   /** Calls that are open at a time. */
   private static final int BATCH_CALLS = 6;
-  /** How long it may last in all, in microseconds; a restarted dispatcher has 6 s to be live. */
+  /** Limit of the total duration; a restarted dispatcher has 6 s to be live. */
   static final long MAX_MICROS = 3_000_000;
 
   private final NodeConfig config;
@@ -71,11 +70,11 @@
   }
 
   /**
-   * Runs it; a step that fails ends it.
+   * Runs the warm-up; a step that fails ends it.
    *
    * @param list the workers as they are known at the start
-   * @param most how long it may last, in microseconds
-   * @return how many calls were answered
+   * @param maxMicros limit of the duration
+   * @return the number of calls that were answered
    */
   static int run(
       NodeConfig config,
@@ -92,7 +91,7 @@
     }
   }
 
-  /** Where the class cannot be had the machine has another way, and sets that up itself. */
+  /** Loads a class. If this runtime does not have it, it uses another one and initializes that itself. */
   private static void preload(String name) {
     try {
       Class.forName(name);
@@ -101,7 +100,7 @@
     }
   }
 
-  /** Calls that are decided among all workers. */
+  /** Has a router decide calls among all workers. */
   private void warmUpRouter(WorkerListUpdate list) {
     RouterWarmUp router = new RouterWarmUp(config.routerSettings(), list.entries());
     for (int number = 1; number <= CALLS && Clock.micros() < deadline; number++) {
@@ -113,7 +112,7 @@
     try {
       path.front().serve(channel);
     } catch (IOException e) {
-      // It was closed, as it is at the end.
+      // The connection was closed at the end of the warm-up.
     }
   }
 
@@ -133,7 +132,7 @@
     stop();
   }
 
-  /** Sends some calls at once; false where their answers have not come by the end. */
+  /** Sends a batch of calls at once; returns false if they are not answered by the deadline. */
   private boolean sendBatch() {
     for (int i = 1; i <= BATCH_CALLS; i++) {
       channel.deliver(WarmUpCall.records(answered + i, config.routerSettings()));
@@ -146,7 +145,7 @@
     }
   }
 
-  /** One worker after the other drains, goes and comes back; others tell that it is sick. */
+  /** Drains, removes and restores one worker after the other; each is also reported as sick by another dispatcher. */
   private void changeList(List<WorkerEntry> workers, int step) {
     if (workers.size() > 1) {
       Phase[] phases = Phase.values();
@@ -171,7 +170,7 @@
     path.core().workerListChanged(new WorkerListUpdate(kind, entries));
   }
 
-  /** The steps of an orderly stop, as far as they need no listener. */
+  /** The steps of a graceful stop that need no listener. */
   private void stop() {
     path.links().check();
     path.front().checkTimeouts();
--- a/node/src/main/java/gorseladder/node/WarmUpCall.java
+++ b/node/src/main/java/gorseladder/node/WarmUpCall.java
@@ -7,9 +7,12 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The requests of a warm-up by their numbers, from 1: what each asks for and what becomes of it. Pure; any thread. */
+/**
+ * The requests of a warm-up by their number, from 1: their content and their result. Without side effects and thread
+ * safe.
+ */
 final class WarmUpCall {
-  /** What becomes of a request. */
+  /** The result of a request. */
   enum Kind {
     SERVED,
     LOADED,
@@ -23,12 +26,12 @@
     UNUSABLE
   }
 
-  /** Every so manieth request is one of the rare kinds, in their order. */
+  /** Every fourth request has one of the rare kinds, in their order. */
   private static final int RARE_KIND_INTERVAL = 4;
 
   private static final int FUNCTIONS = 8;
   private static final int BODY_BYTES = 200;
-  /** How long a client waits that gets no answer, in milliseconds. */
+  /** Timeout of a request that gets no answer. */
   private static final int UNANSWERED_TIMEOUT_MILLIS = 20;
 
   private WarmUpCall() {}
@@ -40,7 +43,7 @@
         : kinds[(int) (number / RARE_KIND_INTERVAL % kinds.length)];
   }
 
-  /** The records of a request, and those that take it back where its kind is so. */
+  /** The records of a request, including its abort if its kind asks for one. */
   static byte[] records(long number, Settings settings) {
     RequestClass requestClass =
         settings.classes().get((int) (number % settings.classes().size()));
--- a/node/src/main/java/gorseladder/node/WarmUpClient.java
+++ b/node/src/main/java/gorseladder/node/WarmUpClient.java
@@ -4,7 +4,7 @@
 import gorseladder.runtime.InMemoryChannel;
 import gorseladder.wire.fastcgi.RecordParser;
 
-/** The web server of a warm-up: counts the requests that were answered. Any thread. */
+/** The web server of a warm-up; counts the answered requests. Thread safe. */
 final class WarmUpClient implements InMemoryChannel.Peer {
   private static final int HEADER_BYTES = 8;
 
@@ -22,7 +22,7 @@
     notifyAll();
   }
 
-  /** Waits until so many requests in all are answered; false where that is not so by then. */
+  /** Waits until this many requests in total are answered; returns false if they are not by the deadline. */
   synchronized boolean await(long count, long deadline) throws InterruptedException {
     for (long left = deadline - Clock.micros(); answered < count && left > 0; ) {
       wait(left / 1_000 + 1);
--- a/node/src/main/java/gorseladder/node/WarmUpRunner.java
+++ b/node/src/main/java/gorseladder/node/WarmUpRunner.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Answers the commands of a warm-up in place of every runner, as the request's number says; a second attempt is served.
- * Any thread.
+ * Takes the place of all runners in a warm-up and answers each call by the kind of its number; the second attempt of a
+ * call is served. Thread safe.
  */
 final class WarmUpRunner implements InMemoryChannel.Peer {
   private static final String CRLF = "\r\n";
--- a/node/src/main/java/gorseladder/node/front/AnswerTimeline.java
+++ b/node/src/main/java/gorseladder/node/front/AnswerTimeline.java
@@ -1,19 +1,19 @@
 package gorseladder.node.front;
 
 /**
- * When one request passed each step on its way to its answer, so that a late answer can be explained. Times are
- * {@link gorseladder.runtime.Clock#micros()}.
+ * When a request passed each step on its way to its answer, to explain a late answer. Times are {@link
+ * gorseladder.runtime.Clock#micros()}.
  *
- * @param arrivedAt when its last byte may have come at the earliest
- * @param readAt when it was read whole
- * @param consideredAt when the core first looked at its call; 0 where it did not
+ * @param arrivedAt the earliest time at which its last byte may have arrived
+ * @param readAt when it was read completely
+ * @param consideredAt when the core first considered its call; 0 if it did not
  * @param endedAt when its call got the final answer
- * @param writtenAt when that was handed to the system
+ * @param writtenAt when that was handed to the operating system
  */
 record AnswerTimeline(
     long arrivedAt, long readAt, long consideredAt, long endedAt, long writtenAt) {
 
-  /** The steps with their milliseconds from the arrival. */
+  /** The steps with their milliseconds since the arrival. */
   @Override
   public String toString() {
     return "read +" + millis(readAt)
--- a/node/src/main/java/gorseladder/node/front/Arrival.java
+++ b/node/src/main/java/gorseladder/node/front/Arrival.java
@@ -4,14 +4,14 @@
 import gorseladder.stalls.StallWatch;
 
 /**
- * When a request arrived. After a pause of this process, or where its connection had to wait to be accepted, that may
- * be long before it was read, and its client may have left since.
+ * When a request arrived. After a stall of this process, or if its connection had to wait to be accepted, that may be
+ * long before it was read, and its client may have left since.
  *
- * @param at the earliest time at which it may have arrived; its client's time counts from there
- * @param clientSeenFrom from when on what its client did since is known; 0 for always
+ * @param at the earliest time at which it may have arrived; the time limit of its client starts there
+ * @param clientSeenFrom from when on events of its client are known to this process; 0 for always
  */
 record Arrival(long at, long clientSeenFrom) {
-  /** The arrival of a request whose last bytes were read just now. */
+  /** The arrival of a request whose last bytes were just read. */
   static Arrival of(ArrivalTimes times) {
     long earliestArrival = times.earliestArrival();
     long readAt = times.readAt();
--- a/node/src/main/java/gorseladder/node/front/CloseReason.java
+++ b/node/src/main/java/gorseladder/node/front/CloseReason.java
@@ -2,27 +2,27 @@
 
 import java.util.Locale;
 
-/** Why a connection of a client ended: the words of the log and of the counts. */
+/** Why a client connection ended; the lower-case names appear in the log and in the counts. */
 enum CloseReason {
   CLIENT_CLOSED,
-  /** It was reset, or timed out on the wire. */
+  /** It was reset or timed out. */
   BROKEN,
   BAD_RECORD,
   /** Too many requests were begun and never ended. */
   ENDLESS_REQUESTS,
-  /** A request was begun under the number of one that is open. */
+  /** A request was begun with the id of an open one. */
   NUMBER_IN_USE,
   CLIENT_DOES_NOT_READ,
-  /** All that was asked is answered, and the client wanted no more or the process stops. */
+  /** All requests are answered, and either the client asked to close or the process stops. */
   LAST_ANSWERED,
   IDLE,
-  /** Nothing was ever asked on it. */
+  /** It never had a request. */
   SILENT,
-  /** The one idle longest, where every descriptor for clients was taken. */
+  /** It had the longest idle time when the limit of client connections was reached. */
   FOR_ROOM,
   STOPPING;
 
-  /** True where it was this side that ended it though requests may have been open. */
+  /** Whether this side decided to close it, which it may do only without open requests. */
   boolean isOwnDecision() {
     return this == IDLE || this == SILENT || this == FOR_ROOM || this == LAST_ANSWERED;
   }
--- a/node/src/main/java/gorseladder/node/front/FastCgiFront.java
+++ b/node/src/main/java/gorseladder/node/front/FastCgiFront.java
@@ -33,31 +33,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The platform's front: FastCGI 1.0 over TCP, a thread for each connection. It turns requests into calls and final
- * answers into responses, and decides nothing about workers. Its own bounds are told ones or protect the process; what
- * passes them is refused at once and counted.
+ * The platform's entry point: FastCGI 1.0 over TCP with a thread for each connection. It turns requests into calls and
+ * final answers into responses; it makes no decisions about workers. Its limits are configured or protect the process;
+ * requests and connections beyond them are refused at once and counted.
  */
 public final class FastCgiFront implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(FastCgiFront.class);
-  /** Answered with 200 once calls can be served. */
+  /** Answered with status 200 once calls can be served. */
   static final String LIVENESS_PATH = "/status/live";
-  /** What a connection that says nothing gets before it is closed; its client is owed an end within 3 s. */
+  /** Limit for a connection without any request; its client must see the end within 3 s. */
   private static final long SILENT_TIMEOUT_MICROS = 2_000_000;
-  /** Clients close connections idle for 4 s; ours comes later, so that the two do not cross. */
+  /**
+   * Clients close connections after 4 s of idleness; this side waits longer, so that the two do not close at the same
+   * time.
+   */
   private static final long IDLE_TIMEOUT_MICROS = 6_000_000;
 
   private static final int MAX_CLOSED_PER_CHECK = 16;
   private static final long WRITE_TIMEOUT_MICROS = 2_000_000;
-  /** Past its client's time by more than the platform's slack an answer is counted as late. */
+  /** An answer counts as late if it is written this long after its deadline: more than the slack of the platform. */
   private static final long LATE_MARGIN_MICROS = 50_000;
 
-  /** Turns a request that arrived whole into a call's facts, as {@link RequestReader#read} does. */
+  /** Turns a complete request into the facts of a call, see {@link RequestReader#read}. */
   public interface Reader {
     Facts read(Map<String, String> params, byte[] body, long arrivedAt)
         throws RequestReader.Unusable;
   }
 
-  /** Hears of calls taken, before the core does. */
+  /** Notified of each accepted call before the core is. */
   public interface CallListener {
     void callTaken(NodeCall call);
   }
@@ -81,12 +84,12 @@
   private ThreadReclaimer threadReclaimer;
 
   /**
-   * A front that begins with {@link #listen}.
+   * Creates a front that starts with {@link #listen}.
    *
-   * @param mostConnections connections of clients at the most; beyond it the silent ones go first
-   * @param mostHeld calls held at the most, as the platform tells
-   * @param mostBytes bytes at the most that all clients together have this front keep: requests that are being read,
-   *     bodies of calls held, answers not written yet
+   * @param maxConnections limit of client connections; beyond it idle ones are closed, first those without any request
+   * @param maxHeldCalls limit of calls held, as configured by the platform
+   * @param maxBytes limit of the memory used for all clients: partial requests, bodies of calls held and answers that
+   *     are not written yet
    */
   public FastCgiFront(
       Reader reader,
@@ -110,9 +113,9 @@
   }
 
   /**
-   * Listens; calls are taken from now on.
+   * Starts accepting connections and calls.
    *
-   * @param shares ends a connection for a client that waits for a thread
+   * @param reclaimer closes an idle connection if a client waits for a thread
    */
   public void listen(
       InetSocketAddress address, int stackBytes, ThreadCache threads, ThreadReclaimer reclaimer)
@@ -122,12 +125,14 @@
     server = HttpServer.listen(address, "front", stackBytes, threads, new ConnectionHandler());
   }
 
-  /** Where it listens. */
+  /** The address on which the front listens. */
   public InetSocketAddress address() {
     return server.address();
   }
 
-  /** Connections are counted where they are accepted, one at a time: many at once cannot pass the bound together. */
+  /**
+   * Counts connections when they are accepted, one at a time, so that concurrent connections cannot exceed the limit.
+   */
   private final class ConnectionHandler implements HttpServer.Handler {
     @Override
     public boolean admit(SocketChannel channel, long waitedSince) {
@@ -135,8 +140,8 @@
         count("no room for a connection");
         return false;
       }
-      // It may have come in a pause that ended just before accepting began, however long it then
-      // takes to come to this one.
+      // It may have arrived during a stall of the process that ended just before accepting began,
+      // however long this connection waited after that.
       addConnection(channel, Math.min(waitedSince, stallDetector.earliestArrival(waitedSince)));
       return true;
     }
@@ -169,19 +174,21 @@
     return connection;
   }
 
-  /** Serves a connection that came by no listener until its end, on the calling thread. */
+  /** Serves a connection that was not accepted by the listener until it ends, on the calling thread. */
   public void serve(SocketChannel channel) throws IOException {
     addConnection(channel, Clock.micros()).run();
   }
-  /** A connection, and since when it was idle as it was looked at. */
+
+  /** A connection and a snapshot of the start of its idle time. */
   private record Candidate(FrontConnection connection, long idleSince) {}
 
-  /** Closes the connection that was idle longest, those that never asked first; false where every one is in use. */
+  /**
+   * Closes the connection with the longest idle time, first those without any request; returns false if all are in use.
+   */
   private boolean closeLongestIdle() {
     List<Candidate> candidates = new ArrayList<>();
     for (FrontConnection connection : connections.values()) {
-      // Read once: it changes with each answer, and what changes while it is sorted makes the sort
-      // fail.
+      // Read once: the value changes with each answer, and a change during the sort makes it fail.
       candidates.add(new Candidate(connection, connection.idleSince()));
     }
     candidates.removeIf(candidate -> candidate.idleSince() == Long.MAX_VALUE);
@@ -189,7 +196,7 @@
     return candidates.stream().anyMatch(candidate -> candidate.connection().closeIfIdle());
   }
 
-  /** Connections that hold a thread and on which nothing is asked. */
+  /** The connections that hold a thread and have no open request. */
   public List<IdleConnection> idleConnections(long now) {
     List<IdleConnection> idle = new ArrayList<>();
     for (FrontConnection connection : connections.values()) {
@@ -201,7 +208,7 @@
     return idle;
   }
 
-  /** A connection has ended, with so many requests that have no answer. */
+  /** Called when a connection has ended with this many unanswered requests. */
   void connectionClosed(SocketChannel channel, CloseReason reason, int openRequests) {
     connections.remove(channel);
     counts.count("closed: " + reason.word());
@@ -211,7 +218,7 @@
     }
   }
 
-  /** The earliest time at which something may have come that is read now. */
+  /** The earliest time at which bytes that are read now may have arrived. */
   long earliestArrival(long now) {
     return stallDetector.earliestArrival(now);
   }
@@ -229,11 +236,11 @@
   }
 
   /**
-   * Takes a request that arrived whole.
+   * Accepts a complete request as a call.
    *
-   * @param onEnd hears the final answer once; on any thread, perhaps before this returns
-   * @param taken hears of the call before it can end
-   * @throws RequestReader.Unusable where it cannot be used; nothing was taken then
+   * @param onFinalAnswer called once with the final answer; on any thread, possibly before this method returns
+   * @param onCallTaken called with the call before it can end
+   * @throws RequestReader.Unusable if the request cannot be used; nothing was accepted then
    */
   void acceptRequest(
       Map<String, String> params,
@@ -285,7 +292,7 @@
     }
   }
 
-  /** The final answer of a call was handed to the system. */
+  /** The final answer of a call was handed to the operating system. */
   void answerWritten(NodeCall call, long at) {
     Facts facts = call.facts();
     if (at > facts.deadlineAt() + LATE_MARGIN_MICROS) {
@@ -296,20 +303,20 @@
     rules.answered(facts.message(), at, facts.deadlineAt(), steps);
   }
 
-  /** The client of a call left. */
+  /** The client of a call has left. */
   void clientGone(NodeCall call) {
     call.finish(FinalAnswer.withoutRetryAdvice(Reason.GONE), Clock.micros());
     core.clientGone(call);
   }
 
-  // ---- bytes that clients have it keep
+  // ---- memory used for clients
 
-  /** Takes so many bytes of the budget where there is room. */
+  /** Takes bytes from the budget if the limit allows it. */
   boolean tryReserve(int bytes) {
     return bytes == 0 || budget.tryTake(bytes);
   }
 
-  /** The same; where there is no room the oldest half requests make some. */
+  /** Takes bytes from the budget; beyond the limit memory is reclaimed first. Returns false if there is too little. */
   boolean reserve(int bytes) {
     while (!tryReserve(bytes)) {
       if (!reclaimMemory()) {
@@ -319,22 +326,25 @@
     return true;
   }
 
-  /** What all clients have it keep; to be shared with whoever keeps bytes for runners. */
+  /** The budget of all memory used for clients, to be shared with the buffers for runners. */
   public ByteBudget budget() {
     return budget;
   }
 
-  /** Names who makes room for bytes of clients where no half request does. */
+  /** Sets what frees memory when there is no partial request to refuse. */
   public void setMemoryReclaimer(BooleanSupplier reclaimer) {
     memoryReclaimer = reclaimer;
   }
 
-  /** Past the bound of bytes, lets go of what is worth least; false where there is nothing. */
+  /**
+   * Frees memory of the budget: refuses partial requests, then asks the memory reclaimer. Returns false if nothing was
+   * freed.
+   */
   public boolean reclaimMemory() {
     return refuseOldestPartialRequests() || memoryReclaimer.getAsBoolean();
   }
 
-  /** Takes bytes of an answer, which is owed whether there is room or not; {@link #check} makes room later. */
+  /** Takes bytes for an answer, which is kept even beyond the limit; {@link #checkTimeouts} reclaims memory later. */
   void forceReserve(int bytes) {
     budget.forceTake(bytes);
   }
@@ -344,11 +354,11 @@
   }
 
   /**
-   * Refuses the half requests of the connection that has the oldest one; false where there is none.
+   * Refuses the partial requests of the connection that has the oldest one; returns false if there is none.
    *
-   * <p>Guards against clients that send requests without their ends: each is small, and all together were more than the
-   * memory. It could harm clients on slow lines while such a crowd is there; they are told that trying again is
-   * harmless.
+   * <p>Prevents clients that never complete their requests from exhausting the memory: each request is small, but all
+   * together were larger than the memory. While there are many such clients, requests of clients on slow lines may be
+   * refused too; the answer tells them that a retry is harmless.
    */
   boolean refuseOldestPartialRequests() {
     FrontConnection oldest = null;
@@ -366,7 +376,10 @@
     return oldest != null;
   }
 
-  /** Past the bound by answers that nobody reads, closes the connection that has most of them. */
+  /**
+   * While the budget is exceeded, frees memory; if nothing else can be freed, closes the connection with the most
+   * unwritten bytes.
+   */
   private void reclaimAnswerMemory() {
     for (int tries = 0; budget.used() > budget.limit() && tries < MAX_CLOSED_PER_CHECK; tries++) {
       if (!reclaimMemory()) {
@@ -378,14 +391,14 @@
     }
   }
 
-  /** Counts something for the log. */
+  /** Counts an event for the log. */
   void count(String what) {
     counts.count(what);
   }
 
   /**
-   * Refuses the calls whose time is over and which the core has not looked at: nothing of them has left, and their
-   * clients wait for an answer whatever keeps the core.
+   * Refuses calls past their deadline that the core has not considered: nothing of them was sent, and their clients
+   * must get an answer however long the core is busy.
    */
   private void refuseUnconsidered(long now) {
     for (NodeCall call : heldCalls.values()) {
@@ -395,7 +408,7 @@
     }
   }
 
-  /** Looks at the time limits of calls and connections; called now and then. */
+  /** Applies the time limits of calls and connections; called periodically. */
   public void checkTimeouts() {
     long now = Clock.micros();
     refuseUnconsidered(now);
@@ -406,34 +419,34 @@
     reclaimAnswerMemory();
   }
 
-  /** Calls held, connections, and what was counted, for the log. */
+  /** Numbers of calls held, connections and counted events, for the log. */
   public String summary() {
     return connections.size() + " connections, " + heldCalls.size() + " calls held, "
         + budget.used() + " bytes kept, " + counts;
   }
 
-  /** Calls that have no final answer. */
+  /** Number of calls without a final answer. */
   public int heldCallCount() {
     return heldCalls.size();
   }
 
-  /** True where a client may still wait for something: a call held, bytes unread, an answer not written. */
+  /** Whether a client may still wait for an answer: a call is held, bytes are unread, or an answer is not written. */
   public boolean owesAnswers() {
     return !heldCalls.isEmpty()
         || connections.values().stream().anyMatch(FrontConnection::owesAnswers);
   }
 
-  /** Connections that are open. */
+  /** Number of open connections. */
   public int connections() {
     return connections.size();
   }
 
-  /** Takes no new connections; open ones go on. */
+  /** Stops accepting connections; open ones remain. */
   public void stopAccepting() {
     server.stopAccepting();
   }
 
-  /** Tells every client of whom nothing is open that nothing more comes; true once all connections have ended. */
+  /** Half-closes each connection without an open request; returns true once all connections have ended. */
   public boolean drain() {
     connections.values().forEach(FrontConnection::drain);
     return connections.isEmpty();
--- a/node/src/main/java/gorseladder/node/front/FrontConnection.java
+++ b/node/src/main/java/gorseladder/node/front/FrontConnection.java
@@ -25,17 +25,18 @@
 import java.util.Map;
 
 /**
- * One connection of a web server. Its thread reads and parses; answers come from any thread and leave by the outbox.
- * Each request on it gets one answer, or the connection ends.
+ * A connection of a web server. Its thread reads and parses the records; any thread may answer, and the outbox writes
+ * the answers. Each request on the connection gets exactly one answer, or the connection ends.
  *
- * <p>Its life goes one way, each step under its lock: open; half-closed, when nothing is asked, nothing unread and
- * nothing more will be taken, so that what crosses on the wire meets an end and no reset; closed. What is looked at to
- * decide a step is looked at under the lock that takes it.
+ * <p>The state changes in one direction only, each time under the lock of this object: open, half-closed, closed. A
+ * connection is half-closed when it has no unanswered request and no unread bytes; it accepts nothing afterwards, so
+ * that a request in transit meets an orderly end and not a reset. All conditions of a change are checked under the lock
+ * that makes the change.
  */
 final class FrontConnection implements RecordParser.Sink {
   /**
-   * Read first, without the lock; less than any record. What is left of a request is then seen unread by whoever wants
-   * to close the connection, until {@link #looking} says that it is being looked at.
+   * Bytes of the first read, which is made without the lock; fewer than any record has. The rest of a request therefore
+   * remains visible as unread bytes to whoever wants to close the connection, until {@link #parsing} is set.
    */
   private static final int PEEK_BYTES = 1;
 
@@ -47,15 +48,17 @@
   private static final int MAX_PARAMS = 100;
   private static final int RESPONDER_ROLE = 1;
   private static final int MAX_QUEUED_BYTES = 1 << 20;
-  /** How long the other side may take to close after a half-close, in microseconds. */
+  /** How long the client may take to close after a half-close. */
   private static final long LINGER_MICROS = 1_000_000;
-  /** By how much a connection that never asked counts as idle for longer than one that did. */
+  /**
+   * Added to the idle time of a connection without any request, so that it is closed before connections that had one.
+   */
   private static final long NEVER_USED_IDLE_BONUS_MICROS = 600_000_000;
 
   private static final byte[] EMPTY = {};
-  /** What the first bytes of a request are given room for. */
+  /** Minimum size of the buffer of a request, once it has bytes. */
   private static final int MIN_BUFFER_BYTES = 256;
-  /** About what a request costs beside its bytes, until its last record has come. */
+  /** Approximate memory of a request beside its bytes, taken from the budget until its last record has arrived. */
   private static final int REQUEST_OVERHEAD_BYTES = 192;
 
   private enum State {
@@ -64,28 +67,26 @@
     CLOSED
   }
 
-  /**
-   * A request on this connection, from BEGIN_REQUEST to END_REQUEST; what still comes for it after that is passed over.
-   */
+  /** A request on this connection, from BEGIN_REQUEST to END_REQUEST; records that still arrive for it are ignored. */
   private static final class Exchange {
     private final int id;
     private final long startedAt = Clock.micros();
     private byte[] buffer = EMPTY;
     private int used;
     private Map<String, String> params;
-    /** Its last byte has come; from then on it is no half request. */
+    /** Whether its last byte has arrived; until then it is a partial request. */
     private boolean complete;
 
     private NodeCall call;
     private boolean answered;
-    /** Bytes of the front's budget that are taken for what it holds; the connection's lock's. */
+    /** Bytes taken from the budget of the front for the buffer; guarded by the lock of the connection. */
     private int reservedBytes;
 
     private Exchange(int id) {
       this.id = id;
     }
 
-    /** By how much the array has to grow for so many bytes more, within the bound. */
+    /** By how many bytes the buffer must grow to hold this many more, within the limit. */
     private int growthFor(int length, int limit) {
       int wanted = used + length;
       return wanted <= buffer.length
@@ -93,7 +94,7 @@
           : Math.min(limit, Math.max(MIN_BUFFER_BYTES, Math.max(wanted, 2 * used))) - buffer.length;
     }
 
-    /** Lets go of what it holds; returns the bytes to be given back. */
+    /** Drops the buffer and the parameters; returns the bytes to give back to the budget. */
     private int release() {
       int bytes = reservedBytes;
       reservedBytes = 0;
@@ -103,7 +104,7 @@
       return bytes;
     }
 
-    /** Adds bytes for which there is room. */
+    /** Appends bytes; the growth of the buffer is already taken from the budget. */
     private void append(byte[] bytes, int from, int length, int growth) {
       if (growth > 0) {
         buffer = Arrays.copyOf(buffer, buffer.length + growth);
@@ -123,26 +124,26 @@
   private long idleSince = connectedAt;
   private int answeredRequests;
   private int unansweredRequests;
-  /** It is being read; until then it waits for a thread. */
+  /** Whether a thread reads this connection; until then it waits for one. */
   private volatile boolean hasThread;
 
   private State state = State.OPEN;
   private long halfClosedAt;
-  /** Closes once nothing is open; it goes on taking what comes before. */
+  /** Whether the connection closes as soon as nothing is unanswered; requests that arrive before are accepted. */
   private boolean closesAfterAnswers;
-  /** Its thread has bytes that it has not looked at yet. */
+  /** Whether its thread holds bytes that it has not parsed yet. */
   private boolean parsing;
-  /** The thread's own. */
+  /** Used by the thread of the connection only. */
   private final ArrivalTimes arrivals;
-  /** Bytes of answers that are not written yet; they count against the front's budget. */
+  /** Bytes of answers that are not written yet; they count against the budget of the front. */
   private long unwrittenBytes;
-  /** Why it ends; the first reason that is told before its end counts. */
+  /** Why the connection ends; the first reason set is kept. */
   private CloseReason closeReason;
 
   /**
-   * A connection just accepted.
+   * Creates the state of a connection that was just accepted.
    *
-   * @param waitedSince since when it may have waited to be accepted, with what was sent on it
+   * @param waitedSince since when the connection, and data sent on it, may have waited to be accepted
    */
   FrontConnection(FastCgiFront front, SocketChannel channel, long waitedSince) {
     this.front = front;
@@ -152,7 +153,7 @@
     outbox.open(channel);
   }
 
-  /** Reads until the connection ends; the whole life of its thread. */
+  /** Reads until the connection ends; the calling thread serves only this connection. */
   void run() throws IOException {
     hasThread = true;
     ByteBuffer buffer = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
@@ -200,7 +201,7 @@
     }
   }
 
-  // ---- records, on the connection's thread
+  // ---- records, on the thread of the connection
 
   @Override
   public void begin(int id, int role, boolean keepsConnection) {
@@ -212,7 +213,7 @@
       return;
     }
     if (!front.reserve(REQUEST_OVERHEAD_BYTES)) {
-      // Not kept, so that what comes after it is passed over.
+      // Not stored, so that its further records are ignored.
       front.count("no room for a request");
       outbox.put(RecordWriter.endRequest(id, Status.OVERLOADED, 0));
       return;
@@ -222,8 +223,7 @@
         front.giveBack(REQUEST_OVERHEAD_BYTES);
       }
       if (state != State.OPEN) {
-        // It crossed our end on the wire; nothing is taken any more, and its client asks again
-        // elsewhere.
+        // It was in transit when the output was shut down; its client repeats it elsewhere.
         return;
       }
       Exchange previous = exchanges.get(id);
@@ -236,7 +236,7 @@
       }
     }
     if (inUse) {
-      // Two requests under one number: nobody could tell whose an answer is.
+      // Two requests with one id: their answers could not be told apart.
       close(CloseReason.NUMBER_IN_USE);
     } else if (tooManyOpen || role != RESPONDER_ROLE) {
       front.count(tooManyOpen ? "over 32 open" : "unknown role");
@@ -246,7 +246,10 @@
     }
   }
 
-  /** Requests answered early keep their number until their body ends; a client that never ends them is cut off. */
+  /**
+   * Whether too many ids are in use. A request that was answered early keeps its id until its body ends; a client that
+   * never ends them is disconnected.
+   */
   private synchronized boolean tooManyRequestIds() {
     return exchanges.size() >= MAX_REQUEST_IDS;
   }
@@ -279,8 +282,8 @@
   }
 
   /**
-   * Keeps bytes of a request that is still being read. They count against the front's budget, for which the oldest half
-   * requests of all connections make room.
+   * Buffers bytes of a partial request. They count against the budget of the front; when it is exhausted, the oldest
+   * partial requests of all connections are refused.
    */
   private void bufferBytes(
       Exchange e, byte[] bytes, int from, int length, int limit, Reason tooLarge) {
@@ -313,7 +316,7 @@
         if (e.answered || e.params != null) {
           return;
         }
-        // What was reserved stays so: the values are about as large.
+        // The reservation is kept: the parsed values take about as much memory.
         e.params = NameValues.read(e.buffer, e.used, MAX_PARAMS);
         e.buffer = EMPTY;
         e.used = 0;
@@ -388,7 +391,7 @@
     }
   }
 
-  /** Names the call of a request; where the connection has ended by now its client has left. */
+  /** Sets the call of a request. If the connection has ended meanwhile, its client has left. */
   private void callTaken(Exchange e, NodeCall call) {
     boolean clientLeft;
     synchronized (this) {
@@ -443,7 +446,7 @@
     remove(e);
   }
 
-  /** Answers what cannot be used; the rest of it is read on and passed over. */
+  /** Answers a request that cannot be used; the rest of the request is read and ignored. */
   private void reject(Exchange e, Reason reason) {
     front.count("unusable: " + reason.word());
     answer(e, reason);
@@ -458,7 +461,7 @@
     answer(e, bytes, null);
   }
 
-  /** Answers it once, as the end of that call; null where it was none. */
+  /** Answers a request once, as the result of a call or, if {@code call} is null, without one. */
   private void answer(Exchange e, byte[] bytes, NodeCall call) {
     boolean put;
     synchronized (this) {
@@ -470,8 +473,8 @@
       answeredRequests++;
       unansweredRequests--;
       idleSince = Clock.micros();
-      // Added while the lock is held: seen from outside nothing is open only once the last answer
-      // is on its way.
+      // Queued under the lock, so that no other thread sees the connection as idle before its last
+      // answer is queued.
       put = outbox.add(new AnswerBytes(bytes, call));
       if (put && closesAfterAnswers) {
         halfCloseIfIdle(CloseReason.LAST_ANSWERED);
@@ -484,13 +487,13 @@
     }
   }
 
-  /** An answer that waits to be written; until then it counts against the front's budget. */
+  /** An answer that waits to be written; until then it counts against the budget of the front. */
   private final class AnswerBytes implements Outbox.Item {
     private final byte[] bytes;
-    /** Null where it answers no call. */
+    /** The call that is answered, or null. */
     private final NodeCall call;
 
-    /** The connection's lock is held. */
+    /** The lock of the connection is held. */
     private AnswerBytes(byte[] bytes, NodeCall call) {
       this.bytes = bytes;
       this.call = call;
@@ -522,12 +525,12 @@
     }
   }
 
-  /** Bytes of answers that its client has not read yet. */
+  /** Bytes of answers that are not written yet. */
   synchronized long unwrittenBytes() {
     return unwrittenBytes;
   }
 
-  /** Closes it where answers wait for a client that does not read; false where none do. */
+  /** Closes the connection if answers wait for a client that does not read; returns false if none do. */
   boolean closeIfAnswersUnread() {
     if (unwrittenBytes() == 0) {
       return false;
@@ -536,25 +539,25 @@
     return true;
   }
 
-  /** A request that is over and of which nothing more can come. */
+  /** Removes an answered request for which no more records can arrive. */
   private synchronized void remove(Exchange e) {
     if (exchanges.remove(e.id, e)) {
       front.giveBack(REQUEST_OVERHEAD_BYTES);
     }
   }
 
-  // ---- its end
+  // ---- closing
 
-  /** Whether it may be closed from here now; the lock is held. */
+  /** Whether this side may close the connection now; the lock is held. */
   private Verdict mayClose() {
     return Permits.mayClose(new Permits.Closing(
         unansweredRequests, parsing || UnreadBytes.on(channel), !outbox.idle()));
   }
 
   /**
-   * Tells the other side that nothing more comes, where nothing is asked; the lock is held. That leaves before this
-   * returns: what comes after it crossed it on the wire. Where an answer is still being written it is tried again after
-   * that.
+   * Shuts down the output if no request is unanswered; the lock is held. The shutdown is sent before this method
+   * returns, so that whatever arrives afterwards was in transit. If an answer is still being written, this is tried
+   * again after the write.
    */
   private boolean halfCloseIfIdle(CloseReason reason) {
     if (state != State.OPEN) {
@@ -580,7 +583,7 @@
     }
   }
 
-  /** Requests that were read in part and wait for the rest; the lock is held. */
+  /** The oldest partial request, or null; the lock is held. */
   private Exchange oldestPartial() {
     Exchange oldest = null;
     for (Exchange e : exchanges.values()) {
@@ -591,13 +594,13 @@
     return oldest;
   }
 
-  /** Since when its oldest half request has been read; {@code Long.MAX_VALUE} where there is none. */
+  /** When its oldest partial request began; {@code Long.MAX_VALUE} if there is none. */
   synchronized long oldestPartialSince() {
     Exchange oldest = oldestPartial();
     return oldest == null ? Long.MAX_VALUE : oldest.startedAt;
   }
 
-  /** Refuses all requests that were read in part, to make room; what still comes of them is passed over. */
+  /** Refuses all partial requests to free their memory; records that still arrive for them are ignored. */
   void refusePartialRequests() {
     List<Exchange> partials;
     synchronized (this) {
@@ -611,10 +614,10 @@
   }
 
   /**
-   * Looks at its time limits.
+   * Applies the time limits, in microseconds.
    *
-   * @param silent how long a connection may say nothing at first, and a request may lack its rest
-   * @param idle how long it may be idle
+   * @param silentTimeout limit for the first request of a connection, and for the rest of a partial request
+   * @param idleTimeout limit for an idle connection
    */
   void checkTimeouts(long now, long silentTimeout, long idleTimeout) {
     boolean mustClose;
@@ -643,7 +646,7 @@
     }
   }
 
-  /** Closes at once where nothing is asked and every answer is written; false where something is. */
+  /** Closes the connection at once if nothing is unanswered, unread or unwritten; returns false otherwise. */
   boolean closeIfIdle() {
     synchronized (this) {
       if (state == State.CLOSED || !mayClose().allowed()) {
@@ -655,13 +658,19 @@
     return true;
   }
 
-  /** Takes what has come, answers what is open, then half-closes; asked again and again while the dispatcher stops. */
+  /**
+   * Accepts what has arrived, answers all open requests, then half-closes; called repeatedly while the dispatcher
+   * stops.
+   */
   synchronized void drain() {
     closesAfterAnswers = true;
     halfCloseIfIdle(CloseReason.STOPPING);
   }
 
-  /** True where a client may still wait for what it asked: a whole request, bytes unread, an answer not written. */
+  /**
+   * Whether a client may still wait for an answer: a complete request is unanswered, bytes are unread, or an answer is
+   * not written.
+   */
   synchronized boolean owesAnswers() {
     boolean hasCompleteRequest =
         exchanges.values().stream().anyMatch(e -> e.complete && !e.answered);
@@ -670,7 +679,10 @@
         && (hasCompleteRequest || mayHaveUnparsedRequest || !outbox.idle());
   }
 
-  /** Since when it has been idle; {@code Long.MAX_VALUE} where a request is open. One that never asked comes first. */
+  /**
+   * Since when the connection is idle; {@code Long.MAX_VALUE} if a request is open. Connections without any request
+   * come first.
+   */
   synchronized long idleSince() {
     return state != State.OPEN
         ? 0
@@ -679,7 +691,7 @@
             : answeredRequests == 0 ? connectedAt - NEVER_USED_IDLE_BONUS_MICROS : idleSince;
   }
 
-  /** True once a thread reads it: closing it frees one. */
+  /** Whether a thread reads this connection, which closing would free. */
   boolean hasThread() {
     return hasThread;
   }
@@ -691,13 +703,13 @@
     }
   }
 
-  /** Ends the connection for a reason of its own. */
+  /** Closes the connection for the given reason. */
   private void close(CloseReason reason) {
     setCloseReason(reason);
     close();
   }
 
-  /** Ends the connection; clients of calls that are open have left. */
+  /** Closes the connection; the clients of its open calls count as gone. */
   void close() {
     List<NodeCall> abandonedCalls = new ArrayList<>();
     CloseReason reason;
@@ -719,7 +731,7 @@
     try {
       channel.close();
     } catch (IOException e) {
-      // Nothing is left to release.
+      // The descriptor is released in any case.
     }
     front.connectionClosed(channel, reason, abandonedCalls.size());
     abandonedCalls.forEach(front::clientGone);
--- a/node/src/main/java/gorseladder/node/front/RequestReader.java
+++ b/node/src/main/java/gorseladder/node/front/RequestReader.java
@@ -11,29 +11,31 @@
 import java.util.stream.Collectors;
 
 /**
- * Turns the parameters of a request into a call's facts, or says why it cannot be used ("Clients to dispatchers" of the
- * platform's protocol). Whatever passes here is fit to be sent to a runner as it stands. Pure; any thread.
+ * Turns the parameters of a request into the facts of a call, or rejects it ("Clients to dispatchers" in the protocol
+ * of the platform). An accepted request can be sent to a runner unchanged.
+ *
+ * <p>Without side effects and thread safe.
  */
 public final class RequestReader {
-  /** Bytes of a request's body at the most. */
+  /** Limit of the body of a request. */
   public static final int MAX_BODY_BYTES = 16_384;
 
   private static final int MAX_KEY_CHARS = 128;
   private static final String PATH_PREFIX = "/svc/";
   private static final double MAX_FACT_VALUE = 1e7;
-  /** A client's clock and rounding may put its time a little past the class's. */
+  /** Clock differences and rounding may make the timeout of a client slightly longer than the deadline of the class. */
   private static final long TIMEOUT_SLACK_MICROS = 10_000;
 
   private final Map<String, RequestClass> classes = new HashMap<>();
   private final Set<String> tenants;
 
-  /** A reader for the classes and tenants of the settings. */
+  /** Creates a reader for the classes and tenants of the settings. */
   public RequestReader(Settings settings) {
     settings.classes().forEach(c -> classes.put(c.name(), c));
     tenants = settings.tenants().stream().map(Tenant::name).collect(Collectors.toUnmodifiableSet());
   }
 
-  /** A request that cannot be used; the reason is what it is answered with. */
+  /** A request that cannot be used. */
   public static final class Unusable extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -44,17 +46,17 @@
       this.reason = reason;
     }
 
-    /** What it is answered with. */
+    /** The reason with which the request is answered. */
     public Reason reason() {
       return reason;
     }
   }
 
   /**
-   * Reads a request that has arrived whole.
+   * Reads a complete request.
    *
-   * @param arrivedAt when its last byte was read, the start of its time
-   * @throws Unusable where anything that is needed is missing, out of range or unknown
+   * @param arrivedAt when its last byte arrived, from which its timeout counts
+   * @throws Unusable if a required value is missing, out of range or unknown
    */
   public Facts read(Map<String, String> params, byte[] body, long arrivedAt) throws Unusable {
     String path = params.getOrDefault("SCRIPT_NAME", "");
@@ -65,13 +67,13 @@
     }
     String length = params.get("CONTENT_LENGTH");
     if (length != null && !length.isEmpty() && !length.equals(Integer.toString(body.length))) {
-      throw new Unusable(Reason.BAD_PAYLOAD, "CONTENT_LENGTH does not fit the body");
+      throw new Unusable(Reason.BAD_PAYLOAD, "CONTENT_LENGTH is not the length of the body");
     }
     String id = hexId(params, "HTTP_X_REQUEST_ID");
     String function = hexId(params, "HTTP_X_OBJECT");
     String tenant = params.getOrDefault("HTTP_X_TENANT", "");
     if (!tenants.isEmpty() && !tenants.contains(tenant)) {
-      throw badPayload("no tenant is named so");
+      throw badPayload("unknown tenant");
     }
     String retry = params.get("HTTP_X_RETRY");
     if (retry != null && !retry.equals("1")) {
@@ -87,7 +89,7 @@
     double load =
         facts.containsKey("load_ms") ? requiredFact(facts, "load_ms", 0, MAX_FACT_VALUE) : 0;
     if (lanes != Math.rint(lanes)) {
-      throw badPayload("lanes is no whole number");
+      throw badPayload("lanes is not an integer");
     }
     return new Facts(
         id,
@@ -104,9 +106,9 @@
   }
 
   /**
-   * The idempotency key of a request, as it came; null where there is none.
+   * The idempotency key of a request, unchanged; null if there is none.
    *
-   * @throws Unusable where it is no word of a runner's line
+   * @throws Unusable if it cannot be sent as a word in a line to a runner
    */
   public static String idempotencyKey(Map<String, String> params) throws Unusable {
     String key = params.get("HTTP_IDEMPOTENCY_KEY");
@@ -115,7 +117,7 @@
             || key.length() > MAX_KEY_CHARS
             || !key.chars().allMatch(c -> c > ' ' && c < 127 && c != ',' && c != '='))) {
       throw badPayload(
-          "HTTP_IDEMPOTENCY_KEY is no word of " + MAX_KEY_CHARS + " characters at the most");
+          "HTTP_IDEMPOTENCY_KEY is not a word of " + MAX_KEY_CHARS + " characters or fewer");
     }
     return key;
   }
@@ -134,7 +136,10 @@
     return value;
   }
 
-  /** Plain decimal numbers alone: {@code Double.parseDouble} would take NaN, hexadecimal and exponents too. */
+  /**
+   * Parses plain decimal numbers only: {@code Double.parseDouble} would also accept NaN, hexadecimal numbers and
+   * exponents.
+   */
   private static double number(String text, String name) throws Unusable {
     if (text == null || text.length() > 20 || text.isEmpty()) {
       throw badPayload(name + " is missing or too long");
@@ -145,7 +150,7 @@
       decimalPoints += c == '.' ? 1 : 0;
       if ((c < '0' || c > '9') && (c != '.' || i == 0 || i == text.length() - 1)
           || decimalPoints > 1) {
-        throw badPayload(name + " is no number");
+        throw badPayload(name + " is not a number");
       }
     }
     return Double.parseDouble(text);
@@ -156,11 +161,11 @@
     for (String pair : text == null ? new String[0] : text.split(";", -1)) {
       int colon = pair.indexOf(':');
       if (colon < 1) {
-        throw badPayload("HTTP_X_FACTS is no list of figures");
+        throw badPayload("HTTP_X_FACTS is not a list of name:number pairs");
       }
       String name = pair.substring(0, colon);
       if (facts.put(name, number(pair.substring(colon + 1), name)) != null) {
-        throw badPayload(name + " stands twice");
+        throw badPayload(name + " is given twice");
       }
     }
     return facts;
--- a/node/src/test/java/gorseladder/node/ChangeLogAddressTest.java
+++ b/node/src/test/java/gorseladder/node/ChangeLogAddressTest.java
@@ -16,7 +16,7 @@
   @TempDir
   Path dir;
 
-  /** Guards against a file that is parsed at each look of the first second, when a dispatcher has most to do. */
+  /** Prevents parsing the file at each check of the first second, when a dispatcher is busiest. */
   @Test
   void theSameTextIsNotParsedAgain() throws Exception {
     Path file = dir.resolve("config.json");
--- a/node/src/test/java/gorseladder/node/NodeConfigTest.java
+++ b/node/src/test/java/gorseladder/node/NodeConfigTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 class NodeConfigTest {
-  private static final Pattern FORM =
+  private static final Pattern ADDRESS_PATTERN =
       Pattern.compile("([0-9.]{7,15}|\\[[0-9a-fA-F:.]{2,45}\\]):([0-9]{1,5})", Pattern.DOTALL);
   private static final String CHARACTERS = "0123456789.:[]afAFgG- ";
   private static final List<String> ADDRESSES = List.of(
@@ -37,24 +37,27 @@
       "127.0.0.1 :80",
       "127.0.0.1:80 ");
 
-  /** A name must never be looked up, since there is nobody to ask, and a port outside the range ends no start oddly. */
+  /**
+   * A host name must never be resolved, because no name server may exist, and a port out of range must be a clear
+   * error.
+   */
   @Test
   void onlyNumericAddressesAndPortsAreTaken() {
-    ADDRESSES.forEach(NodeConfigTest::assertAsTheForm);
+    ADDRESSES.forEach(NodeConfigTest::assertMatchesPattern);
     Random random = new Random(1);
     for (int i = 0; i < 20_000; i++) {
       StringBuilder text = new StringBuilder(ADDRESSES.get(random.nextInt(ADDRESSES.size())));
       int at = random.nextInt(text.length() + 1);
       int end = Math.min(text.length(), at + random.nextInt(3));
-      int other = random.nextInt(CHARACTERS.length());
-      text.replace(at, end, CHARACTERS.substring(other, other + 1));
-      assertAsTheForm(text.toString());
+      int character = random.nextInt(CHARACTERS.length());
+      text.replace(at, end, CHARACTERS.substring(character, character + 1));
+      assertMatchesPattern(text.toString());
     }
   }
 
-  private static void assertAsTheForm(String text) {
-    Matcher form = FORM.matcher(text);
-    boolean fits = form.matches() && Integer.parseInt(form.group(2)) <= 65_535;
-    assertEquals(fits, NodeConfig.isAddress(text), text);
+  private static void assertMatchesPattern(String text) {
+    Matcher matcher = ADDRESS_PATTERN.matcher(text);
+    boolean expected = matcher.matches() && Integer.parseInt(matcher.group(2)) <= 65_535;
+    assertEquals(expected, NodeConfig.isAddress(text), text);
   }
 }
--- a/node/src/test/java/gorseladder/node/WarmUpTest.java
+++ b/node/src/test/java/gorseladder/node/WarmUpTest.java
@@ -24,11 +24,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Guards against a warm-up that stops early and leaves the first calls of clients to cold code. */
+/** Prevents a warm-up that ends early, so that the first calls of clients meet code that is not compiled. */
 class WarmUpTest {
   private static final long SECOND = 1_000_000;
   private static final int STACK_BYTES = 128 << 10;
-  /** So that what is asked does not depend on how busy the machine is. */
+  /** Long enough that the result does not depend on the load of the machine. */
   private static final long MAX_MICROS = 60 * SECOND;
 
   private static RequestClass requestClass(String name, Effect effect) {
--- a/node/src/test/java/gorseladder/node/front/ArrivalTimesTest.java
+++ b/node/src/test/java/gorseladder/node/front/ArrivalTimesTest.java
@@ -11,9 +11,9 @@
 
   private final ArrivalTimes times = new ArrivalTimes(now -> now, ACCEPTED);
 
-  private long read(int unread, long looked, int count, long ended) {
-    times.beforeRead(unread, looked);
-    times.afterRead(count, ended);
+  private long read(int unread, long checkedAt, int count, long readAt) {
+    times.beforeRead(unread, checkedAt);
+    times.afterRead(count, readAt);
     return Arrival.of(times).at();
   }
 
@@ -27,7 +27,9 @@
     assertEquals(ACCEPTED + 900_000, read(0, ACCEPTED + 10, 100, ACCEPTED + 900_000));
   }
 
-  /** Soak seed 973: 301 ms with the first request, and what came meanwhile counted as new. */
+  /**
+   * Soak seed 973: the thread was busy with the first request for 301 ms, and what arrived meanwhile counted as new.
+   */
   @Test
   void whatComesWhileTheThreadIsBusyCountsFromTheReadBefore() {
     long first = ACCEPTED + 50_000;
@@ -41,9 +43,9 @@
   void whatFollowsWhatWasFoundUnreadCountsFromThatLook() {
     read(0, ACCEPTED, 100, ACCEPTED + 10);
     assertEquals(ACCEPTED + 10, read(300, ACCEPTED + 200_000, 200, ACCEPTED + 200_010));
-    // The last 100 of the 300 that had come by then.
+    // The last 100 of the 300 bytes that had arrived by then.
     assertEquals(ACCEPTED + 10, read(500, ACCEPTED + 300_000, 100, ACCEPTED + 300_010));
-    // Past them it came after that look.
+    // Bytes beyond those arrived after that check.
     assertEquals(ACCEPTED + 200_000, read(400, ACCEPTED + 400_000, 400, ACCEPTED + 400_010));
     assertEquals(ACCEPTED + 400_000, read(10, ACCEPTED + 500_000, 10, ACCEPTED + 500_010));
   }
--- a/node/src/test/java/gorseladder/node/front/FrontConnectionTest.java
+++ b/node/src/test/java/gorseladder/node/front/FrontConnectionTest.java
@@ -40,7 +40,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A request and the end of its connection at one moment: the thread that reads is started, or held, by the test. */
+/** Races between a request and the end of its connection: the tests start or block the reading thread themselves. */
 class FrontConnectionTest {
   private static final long SECOND = 1_000_000;
 
@@ -144,7 +144,7 @@
     assertEquals(Map.of(), rules.counts(), "rules broken");
   }
 
-  /** Writes a whole request and waits until the system holds it, unread. */
+  /** Sends a complete request and waits until the system holds it unread. */
   private void sendUnreadRequest() throws IOException {
     client
         .getOutputStream()
@@ -159,7 +159,7 @@
       try {
         connection.run();
       } catch (IOException e) {
-        // The client reads the end.
+        // The client sees the end of the connection.
       }
     });
     thread.setDaemon(true);
@@ -174,10 +174,10 @@
   }
 
   /**
-   * Soak seed 973: a deadline was passed on with 224 ms too much. While a connection's thread was busy with one request
-   * (no processor, locks, a full budget) the next came on the same connection; it was read as soon as the thread came
-   * back and counted as new then. In plays with a crowd beside busy processes the log of each read showed bytes that
-   * had waited while the read before was 301, 214 and 189 ms ago, taken as come that moment.
+   * Soak seed 973: a deadline was passed on 224 ms too long. While the thread of a connection was busy with one request
+   * (no processor time, locks, a full budget), the next one arrived on the same connection; it was read as soon as the
+   * thread was free and counted as new then. In runs with many clients beside busy processes, bytes had been unread for
+   * 301, 214 and 189 ms when they were read and counted as just arrived.
    */
   @Test
   void whatComesWhileTheThreadIsBusyCountsFromThen() throws Exception {
@@ -207,7 +207,7 @@
   }
 
   /**
-   * Guards against calls that get their final answer only when the core comes to them: one that was busy for half a
+   * Prevents calls from getting their final answer only when the core considers them: a core that was busy for half a
    * second answered requests with 27 ms left that much too late.
    */
   @Test
@@ -267,7 +267,7 @@
     assertFalse(connection.closeIfIdle());
     startReading();
     assertTrue(readAnswer().contains("Status: 503"));
-    // Its thread may still be in the write that the answer came from.
+    // Its thread may still be in the write of the answer.
     long until = Clock.micros() + SECOND;
     boolean closed = connection.closeIfIdle();
     while (!closed && Clock.micros() < until) {
@@ -277,7 +277,8 @@
   }
 
   /**
-   * What was unread when the stop began is answered, then the connection is half-closed; what comes after is not taken.
+   * A request that is unread when the stop begins is answered, then the connection is half-closed; later requests are
+   * not accepted.
    */
   @Test
   void aStopAnswersWhatIsUnreadAndTakesNothingAfterTheHalfClose() throws Exception {
@@ -298,7 +299,7 @@
     assertEquals(0, sent.get());
   }
 
-  /** The connection ends after its request was read and before the call has a name there: no attempt is made for it. */
+  /** The connection ends after its request was read and before its call is known to it: no attempt is made. */
   @Test
   void aCallTakenOnAConnectionThatJustEndedIsNotSent() throws Exception {
     CountDownLatch read = new CountDownLatch(1);
@@ -329,8 +330,8 @@
       while (front.heldCallCount() > 0) {
         Thread.onSpinWait();
       }
-      // By the second time the core has nothing to do it has looked at all that was put before
-      // the first.
+      // When the core is idle for the second time, it has processed all events that were queued
+      // before the first.
       int before = idleCount.get();
       core.workerListChanged(new WorkerListUpdate(ListKind.DELTA, List.of()));
       while (idleCount.get() < before + 2) {
@@ -340,7 +341,9 @@
     assertEquals(0, sent.get());
   }
 
-  /** Takes so many answers that the system might not take another one at once. */
+  /**
+   * Reads so many answers that a further answer might not fit the send buffer and is written by a thread of the pool.
+   */
   private void fillSendBuffer() throws IOException {
     int records = 600;
     byte[] unknown = new byte[8];
@@ -354,8 +357,8 @@
   }
 
   /**
-   * Guards against refusals that are ready and wait for the turn of another thread: with little processor that took
-   * hundreds of milliseconds. No thread of the pool runs here.
+   * Prevents refusals from waiting for another thread, which took hundreds of milliseconds on a busy processor. No
+   * thread of the pool runs in this test.
    */
   @Test
   void aRefusalIsWrittenThoughNoWriterRuns() throws Exception {
@@ -380,7 +383,8 @@
   }
 
   /**
-   * The stop looks while bytes were read and not looked at yet: what they ask is answered before the connection ends.
+   * The stop begins when bytes were read but not parsed yet: the requests in them are answered before the connection
+   * ends.
    */
   @Test
   void whatWasReadIsAnsweredThoughTheStopLooksBeforeItIsLookedAt() throws Exception {
@@ -396,8 +400,8 @@
         Thread.currentThread().interrupt();
       }
     };
-    // The answer to a management record of no known type holds the thread that reads, with a
-    // request read behind it.
+    // The answer to a management record of unknown type blocks the reading thread; a request behind
+    // the record was read with it.
     byte[] request =
         RecordWriter.request(1, true, Map.of("SCRIPT_NAME", "/status/live"), new byte[0]);
     byte[] both = new byte[8 + request.length];
@@ -422,8 +426,8 @@
   }
 
   /**
-   * What waited for its connection's thread has waited since the connection was accepted: its client's time counts from
-   * there.
+   * Bytes that waited for the thread of their connection may have waited since it was accepted: the time limit of the
+   * client starts there.
    */
   @Test
   void whatWaitedToBeReadArrivedWhenItsConnectionWasAccepted() throws Exception {
