--- a/wire/src/main/java/gorseladder/wire/changelog/ChangeLine.java
+++ b/wire/src/main/java/gorseladder/wire/changelog/ChangeLine.java
@@ -6,23 +6,24 @@
 import java.util.Map;
 
 /**
- * One line of the change log: a numbered event, or the last number alone ("The change log" of the platform's protocol).
+ * One line of the change log: a numbered event, or a heartbeat that holds only the last number (the platform's
+ * protocol, "The change log").
  *
- * @param seq the event's number, or the last one in the log
- * @param isEvent false where the line holds the last number alone
- * @param fleet the change of the list of runners, null where the line has none
+ * @param seq the event's number, or the last number in the log
+ * @param isEvent false for a heartbeat
+ * @param fleet the change of the list of runners, null if the line has none
  */
 public record ChangeLine(long seq, boolean isEvent, Fleet fleet) {
-  /** A change of the list; {@code all} where it is the whole list. */
+  /** A change of the list of runners. If {@code all} is true, the targets replace the whole list. */
   public record Fleet(boolean all, List<Map<String, Object>> targets) {}
 
   /**
-   * Reads a line.
+   * Parses a line.
    *
-   * @throws IllegalArgumentException where it is none
+   * @throws IllegalArgumentException if the line is invalid
    */
   public static ChangeLine read(byte[] line) {
-    if (line.length > 0 && line.length < 18 && digits(line)) {
+    if (line.length > 0 && line.length < 18 && isAllDigits(line)) {
       return new ChangeLine(
           Long.parseLong(new String(line, StandardCharsets.US_ASCII)), false, null);
     }
@@ -30,9 +31,9 @@
   }
 
   /**
-   * An event as the configuration holds it under {@code known}.
+   * Converts a parsed event, as the configuration holds it under {@code known}.
    *
-   * @throws IllegalArgumentException where it is none
+   * @throws IllegalArgumentException if the event is invalid
    */
   @SuppressWarnings("unchecked")
   public static ChangeLine of(Object event) {
@@ -53,12 +54,12 @@
             (List<?>) targets));
   }
 
-  /** The line with which a reader asks for every event after a number. */
+  /** Encodes the line with which a reader asks for all events after {@code seq}. */
   public static byte[] since(long seq) {
     return ("since " + seq + "\n").getBytes(StandardCharsets.US_ASCII);
   }
 
-  private static boolean digits(byte[] line) {
+  private static boolean isAllDigits(byte[] line) {
     for (byte b : line) {
       if (b < '0' || b > '9') {
         return false;
--- a/wire/src/main/java/gorseladder/wire/changelog/LineParser.java
+++ b/wire/src/main/java/gorseladder/wire/changelog/LineParser.java
@@ -4,41 +4,41 @@
 import java.util.function.Consumer;
 
 /**
- * Splits bytes into lines that end in a line feed, in pieces of any size; a carriage return before it is dropped. Grows
- * with the line up to a bound. Not thread safe.
+ * Splits a byte stream, fed in chunks of any size, into lines that end in LF; a CR before the LF is dropped. The buffer
+ * grows with the line up to a limit. Not thread safe.
  */
 public final class LineParser {
-  private static final int FIRST = 1_024;
+  private static final int INITIAL_BYTES = 1_024;
 
-  private final int most;
-  private byte[] line = new byte[FIRST];
-  private int has;
+  private final int maxLineBytes;
+  private byte[] line = new byte[INITIAL_BYTES];
+  private int lineLength;
 
-  /** A parser of lines of so many bytes at the most. */
-  public LineParser(int most) {
-    this.most = most;
+  public LineParser(int maxLineBytes) {
+    this.maxLineBytes = maxLineBytes;
   }
 
   /**
-   * Reads a piece and hands on each whole line without its end; a half line is kept for the next piece.
+   * Parses the next bytes and passes each complete line, without its line end, to the sink. An incomplete line is kept
+   * for the next call.
    *
-   * @throws IllegalArgumentException where a line is too long; nothing may be fed after that
+   * @throws IllegalArgumentException if a line is too long; the parser cannot be used afterwards
    */
   public void feed(byte[] bytes, int from, int length, Consumer<byte[]> sink) {
     for (int at = from; at < from + length; at++) {
       if (bytes[at] == '\n') {
-        int end = has > 0 && line[has - 1] == '\r' ? has - 1 : has;
+        int end = lineLength > 0 && line[lineLength - 1] == '\r' ? lineLength - 1 : lineLength;
         byte[] whole = Arrays.copyOf(line, end);
-        has = 0;
+        lineLength = 0;
         sink.accept(whole);
       } else {
-        if (has == most) {
-          throw new IllegalArgumentException("a line of more than " + most + " bytes");
+        if (lineLength == maxLineBytes) {
+          throw new IllegalArgumentException("a line of more than " + maxLineBytes + " bytes");
         }
-        if (has == line.length) {
-          line = Arrays.copyOf(line, Math.min(most, 2 * has));
+        if (lineLength == line.length) {
+          line = Arrays.copyOf(line, Math.min(maxLineBytes, 2 * lineLength));
         }
-        line[has++] = bytes[at];
+        line[lineLength++] = bytes[at];
       }
     }
   }
--- a/wire/src/main/java/gorseladder/wire/fastcgi/BadRecord.java
+++ b/wire/src/main/java/gorseladder/wire/fastcgi/BadRecord.java
@@ -1,10 +1,9 @@
 package gorseladder.wire.fastcgi;
 
-/** Bytes that are no FastCGI 1.0 records of a web server; the connection is of no further use. */
+/** Signals bytes from a web server that violate FastCGI 1.0. The connection cannot be used afterwards. */
 public final class BadRecord extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Says what was wrong. */
   public BadRecord(String text) {
     super(text, null, false, false);
   }
--- a/wire/src/main/java/gorseladder/wire/fastcgi/RecordParser.java
+++ b/wire/src/main/java/gorseladder/wire/fastcgi/RecordParser.java
@@ -3,18 +3,18 @@
 import java.util.Arrays;
 
 /**
- * Reads the records that a web server sends to a responder (FastCGI Specification 1.0, section 3.3 and section 8), in
- * pieces of any size. Streams are handed on as they come and never gathered here; the only bytes kept are a header and
- * the content of the short records, {@value #MOST_KEPT} bytes at the most.
+ * Incremental parser for the records that a web server sends to a responder (FastCGI Specification 1.0, sections 3.3
+ * and 8), fed in chunks of any size. Stream content is passed on as it arrives and not buffered. Only a header and the
+ * content of BEGIN_REQUEST and GET_VALUES records are kept, {@value #MAX_KEPT_BYTES} bytes at most.
  *
  * <p>Not thread safe.
  */
 public final class RecordParser {
-  /** Content of a management record at the most; a longer one is refused. */
-  private static final int MOST_KEPT = 1_024;
+  /** Maximum content of a GET_VALUES record; a longer one is rejected. */
+  private static final int MAX_KEPT_BYTES = 1_024;
 
-  private static final int HEADER = 8;
-  private static final int BEGIN_LENGTH = 8;
+  private static final int HEADER_BYTES = 8;
+  private static final int BEGIN_REQUEST_BYTES = 8;
 
   static final int VERSION = 1;
   static final int BEGIN_REQUEST = 1;
@@ -28,120 +28,120 @@
   static final int GET_VALUES_RESULT = 10;
   static final int UNKNOWN_TYPE = 11;
 
-  /** Hears what the records say; ids are 1 to 65535. Bytes are only valid during the call. */
+  /** Receives parsed records. Request ids are 1 to 65535. Byte arrays passed are valid only during the call. */
   public interface Sink {
-    /** BEGIN_REQUEST: the role (1 is the responder) and whether the connection is kept. */
+    /** BEGIN_REQUEST: the role (1 is the responder) and whether the connection stays open after the request. */
     void begin(int id, int role, boolean keepsConnection);
 
     /** ABORT_REQUEST. */
     void abort(int id);
 
-    /** A piece of the PARAMS stream. */
+    /** A chunk of the PARAMS stream. */
     void params(int id, byte[] bytes, int from, int length);
 
     /** The end of the PARAMS stream. */
     void paramsEnd(int id);
 
-    /** A piece of the STDIN stream. */
+    /** A chunk of the STDIN stream. */
     void stdin(int id, byte[] bytes, int from, int length);
 
     /** The end of the STDIN stream. */
     void stdinEnd(int id);
 
-    /** GET_VALUES: the name-value pairs as sent. */
+    /** GET_VALUES: the encoded name-value pairs. */
     void getValues(byte[] content);
 
-    /** A management record of a type that is not known, to be answered with UNKNOWN_TYPE (section 4.2). */
+    /** A management record of an unknown type, to be answered with UNKNOWN_TYPE (section 4.2). */
     void unknownType(int type);
   }
 
-  private final byte[] kept = new byte[MOST_KEPT];
-  private final byte[] header = new byte[HEADER];
-  private int headerHas;
-  private int keptHas;
-  private int contentLeft;
-  private int paddingLeft;
+  private final byte[] kept = new byte[MAX_KEPT_BYTES];
+  private final byte[] header = new byte[HEADER_BYTES];
+  private int headerLength;
+  private int keptLength;
+  private int contentRemaining;
+  private int paddingRemaining;
   private int type;
   private int id;
 
-  /** True between records. */
+  /** Returns true if no record is partly read. */
   public boolean isBetweenRecords() {
-    return headerHas == 0;
+    return headerLength == 0;
   }
 
   /**
-   * Reads a piece.
+   * Parses the next bytes.
    *
-   * @throws BadRecord where the bytes cannot be records; nothing may be fed after that
+   * @throws BadRecord if the bytes violate the protocol; the parser cannot be used afterwards
    */
   public void feed(byte[] bytes, int from, int length, Sink sink) throws BadRecord {
     int at = from;
     int end = from + length;
     while (at < end) {
-      if (headerHas < HEADER) {
-        header[headerHas++] = bytes[at++];
-        if (headerHas == HEADER) {
-          begins();
-          if (contentLeft == 0) {
-            contentDone(sink);
+      if (headerLength < HEADER_BYTES) {
+        header[headerLength++] = bytes[at++];
+        if (headerLength == HEADER_BYTES) {
+          parseHeader();
+          if (contentRemaining == 0) {
+            endRecord(sink);
           }
         }
-      } else if (contentLeft > 0) {
-        int part = Math.min(contentLeft, end - at);
-        content(bytes, at, part, sink);
+      } else if (contentRemaining > 0) {
+        int part = Math.min(contentRemaining, end - at);
+        handleContent(bytes, at, part, sink);
         at += part;
-        contentLeft -= part;
-        if (contentLeft == 0) {
-          contentDone(sink);
+        contentRemaining -= part;
+        if (contentRemaining == 0) {
+          endRecord(sink);
         }
       } else {
-        int part = Math.min(paddingLeft, end - at);
+        int part = Math.min(paddingRemaining, end - at);
         at += part;
-        paddingLeft -= part;
+        paddingRemaining -= part;
       }
-      if (headerHas == HEADER && contentLeft == 0 && paddingLeft == 0) {
-        headerHas = 0;
+      if (headerLength == HEADER_BYTES && contentRemaining == 0 && paddingRemaining == 0) {
+        headerLength = 0;
       }
     }
   }
 
-  private void begins() throws BadRecord {
+  private void parseHeader() throws BadRecord {
     if (header[0] != VERSION) {
-      throw new BadRecord("version " + (header[0] & 0xff));
+      throw new BadRecord("unsupported version " + (header[0] & 0xff));
     }
     type = header[1] & 0xff;
-    id = unsigned(header, 2);
-    contentLeft = unsigned(header, 4);
-    paddingLeft = header[6] & 0xff;
-    keptHas = 0;
+    id = unsignedShort(header, 2);
+    contentRemaining = unsignedShort(header, 4);
+    paddingRemaining = header[6] & 0xff;
+    keptLength = 0;
     boolean stream = type == PARAMS || type == STDIN || type == DATA;
     if (id == 0 && (stream || type == BEGIN_REQUEST || type == ABORT_REQUEST)) {
-      throw new BadRecord("a request record of type " + type + " without a request");
+      throw new BadRecord("a request record of type " + type + " with request id 0");
     }
-    if (type == BEGIN_REQUEST && contentLeft != BEGIN_LENGTH) {
-      throw new BadRecord("BEGIN_REQUEST of " + contentLeft + " bytes");
+    if (type == BEGIN_REQUEST && contentRemaining != BEGIN_REQUEST_BYTES) {
+      throw new BadRecord("unexpected length of BEGIN_REQUEST: " + contentRemaining + " bytes");
     }
-    if (type == GET_VALUES && contentLeft > MOST_KEPT) {
-      throw new BadRecord("GET_VALUES of " + contentLeft + " bytes");
+    if (type == GET_VALUES && contentRemaining > MAX_KEPT_BYTES) {
+      throw new BadRecord("GET_VALUES over the limit: " + contentRemaining + " bytes");
     }
   }
 
-  private void content(byte[] bytes, int from, int length, Sink sink) {
+  private void handleContent(byte[] bytes, int from, int length, Sink sink) {
     switch (type) {
       case PARAMS -> sink.params(id, bytes, from, length);
       case STDIN -> sink.stdin(id, bytes, from, length);
       case BEGIN_REQUEST, GET_VALUES -> {
-        System.arraycopy(bytes, from, kept, keptHas, length);
-        keptHas += length;
+        System.arraycopy(bytes, from, kept, keptLength, length);
+        keptLength += length;
       }
       default -> {}
     }
   }
 
-  private void contentDone(Sink sink) {
-    boolean empty = unsigned(header, 4) == 0;
+  private void endRecord(Sink sink) {
+    boolean empty = unsignedShort(header, 4) == 0;
     switch (type) {
-      case BEGIN_REQUEST -> sink.begin(id, unsigned(kept, 0), (kept[2] & 1) != 0);
+      case BEGIN_REQUEST -> sink.begin(id, unsignedShort(kept, 0), (kept[2] & 1) != 0);
       case ABORT_REQUEST -> sink.abort(id);
       case PARAMS -> {
         if (empty) {
@@ -153,7 +153,7 @@
           sink.stdinEnd(id);
         }
       }
-      case GET_VALUES -> sink.getValues(Arrays.copyOf(kept, keptHas));
+      case GET_VALUES -> sink.getValues(Arrays.copyOf(kept, keptLength));
       default -> {
         if (id == 0) {
           sink.unknownType(type);
@@ -162,7 +162,7 @@
     }
   }
 
-  private static int unsigned(byte[] bytes, int at) {
+  private static int unsignedShort(byte[] bytes, int at) {
     return (bytes[at] & 0xff) << 8 | bytes[at + 1] & 0xff;
   }
 }
--- a/wire/src/main/java/gorseladder/wire/fastcgi/RecordWriter.java
+++ b/wire/src/main/java/gorseladder/wire/fastcgi/RecordWriter.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Writes the records of a responder, and those of a web server for tests and stand-ins (FastCGI Specification 1.0).
- * Pure functions; any thread. Request ids are 1 to 65535.
+ * Encodes the records of a responder, and those of a web server for tests and simulated clients (FastCGI Specification
+ * 1.0). Stateless and thread safe. Request ids are 1 to 65535.
  */
 public final class RecordWriter {
   /** Protocol status of END_REQUEST (section 5.5). */
@@ -17,26 +17,26 @@
     UNKNOWN_ROLE
   }
 
-  private static final int MOST_CONTENT = 32_768;
+  private static final int MAX_CONTENT_BYTES = 32_768;
   private static final int RESPONDER = 1;
 
   private RecordWriter() {}
 
-  /** A whole CGI response in STDOUT records, the end of that stream and END_REQUEST, to be written in one go. */
+  /** Encodes a whole CGI response: STDOUT records, the end of that stream and END_REQUEST, for a single write. */
   public static byte[] response(int id, int status, Map<String, String> fields, byte[] body) {
     StringBuilder head = new StringBuilder("Status: ").append(status).append("\r\n");
     fields.forEach((name, value) -> head.append(name).append(": ").append(value).append("\r\n"));
-    byte[] first = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
-    ByteArrayOutputStream out = new ByteArrayOutputStream(first.length + body.length + 64);
-    byte[] all = new byte[first.length + body.length];
-    System.arraycopy(first, 0, all, 0, first.length);
-    System.arraycopy(body, 0, all, first.length, body.length);
-    stream(out, RecordParser.STDOUT, id, all);
+    byte[] headBytes = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
+    ByteArrayOutputStream out = new ByteArrayOutputStream(headBytes.length + body.length + 64);
+    byte[] content = new byte[headBytes.length + body.length];
+    System.arraycopy(headBytes, 0, content, 0, headBytes.length);
+    System.arraycopy(body, 0, content, headBytes.length, body.length);
+    stream(out, RecordParser.STDOUT, id, content);
     out.writeBytes(endRequest(id, Status.REQUEST_COMPLETE, 0));
     return out.toByteArray();
   }
 
-  /** END_REQUEST alone. */
+  /** Encodes END_REQUEST. */
   public static byte[] endRequest(int id, Status status, int appStatus) {
     byte[] content = {
       (byte) (appStatus >>> 24),
@@ -51,17 +51,21 @@
     return record(RecordParser.END_REQUEST, id, content);
   }
 
-  /** The answer to GET_VALUES. */
+  /** Encodes GET_VALUES_RESULT. */
   public static byte[] valuesResult(Map<String, String> pairs) {
     return record(RecordParser.GET_VALUES_RESULT, 0, NameValues.write(pairs));
   }
 
-  /** The answer to a management record of unknown type. */
+  /** Encodes UNKNOWN_TYPE, the answer to a management record of unknown type. */
   public static byte[] unknownType(int type) {
     return record(RecordParser.UNKNOWN_TYPE, 0, new byte[] {(byte) type, 0, 0, 0, 0, 0, 0, 0});
   }
 
-  /** A whole request of a web server to a responder. */
+  /**
+   * Encodes a whole request of a web server to a responder.
+   *
+   * @param keepsConnection whether the connection stays open after the request
+   */
   public static byte[] request(
       int id, boolean keepsConnection, Map<String, String> params, byte[] body) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -73,15 +77,15 @@
     return out.toByteArray();
   }
 
-  /** ABORT_REQUEST. */
+  /** Encodes ABORT_REQUEST. */
   public static byte[] abort(int id) {
     return record(RecordParser.ABORT_REQUEST, id, new byte[0]);
   }
 
-  /** Content in records of a stream, and the empty record that ends it. */
+  /** Writes content as records of a stream, followed by the empty record that ends the stream. */
   private static void stream(ByteArrayOutputStream out, int type, int id, byte[] content) {
-    for (int from = 0; from < content.length; from += MOST_CONTENT) {
-      int length = Math.min(MOST_CONTENT, content.length - from);
+    for (int from = 0; from < content.length; from += MAX_CONTENT_BYTES) {
+      int length = Math.min(MAX_CONTENT_BYTES, content.length - from);
       header(out, type, id, length);
       out.write(content, from, length);
       out.writeBytes(new byte[-length & 7]);
@@ -97,7 +101,7 @@
     return out.toByteArray();
   }
 
-  /** Padding keeps records at multiples of eight bytes, as section 3.3 recommends. */
+  /** Writes a record header. Padding makes the record a multiple of eight bytes, as section 3.3 recommends. */
   private static void header(ByteArrayOutputStream out, int type, int id, int length) {
     out.writeBytes(new byte[] {
       RecordParser.VERSION,
--- a/wire/src/main/java/gorseladder/wire/http1/BadMessage.java
+++ b/wire/src/main/java/gorseladder/wire/http1/BadMessage.java
@@ -1,10 +1,10 @@
 package gorseladder.wire.http1;
 
-/** A message that breaks the protocol or a limit. The connection it came on cannot be used further. */
+/** Signals a message that violates HTTP or a limit. Its connection cannot be used afterwards. */
 public final class BadMessage extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** What is wrong, by the answer it deserves. */
+  /** Kind of violation; each has its own response status. */
   public enum Fault {
     MALFORMED,
     TOO_LARGE,
@@ -25,7 +25,6 @@
     return new BadMessage(Fault.MALFORMED, text);
   }
 
-  /** The sort of the fault. */
   public Fault fault() {
     return fault;
   }
--- a/wire/src/main/java/gorseladder/wire/http1/BodyParser.java
+++ b/wire/src/main/java/gorseladder/wire/http1/BodyParser.java
@@ -5,11 +5,11 @@
 import java.util.List;
 
 /**
- * Reads the content of one message as it arrives: of a told length, chunked, or up to the end of the connection (RFC
- * 9112 sections 6 and 7). A message whose length two readers could see differently is malformed: both length fields,
- * more than one Content-Length (even alike), a sign or any other character in it. Memory grows with what has come, not
- * with what is announced; {@link #bufferBytesAfter} tells how much before it is fed. Not thread safe; one instance for one
- * message.
+ * Incremental parser for the content of one message: of a given length, chunked, or up to the end of the connection
+ * (RFC 9112 sections 6 and 7). A message whose length two parsers could interpret differently is malformed: one with
+ * both Content-Length and Transfer-Encoding, with more than one Content-Length (even if equal), or with anything but
+ * digits in it. The buffer grows with the bytes received, not with the announced length, and {@link #bufferBytesAfter}
+ * predicts its size. Not thread safe; one instance per message.
  */
 public final class BodyParser {
   private enum State {
@@ -26,38 +26,38 @@
     DONE
   }
 
-  private static final int MOST_EXTENSION = 256;
-  private static final int LEAST_HELD = 512;
-  private static final byte[] NOTHING = {};
+  private static final int MAX_EXTENSION_BYTES = 256;
+  private static final int MIN_BUFFER_BYTES = 512;
+  private static final byte[] EMPTY = {};
 
   private final HttpLimits limits;
-  private byte[] content = NOTHING;
+  private byte[] buffer = EMPTY;
   private int size;
   private State state;
-  private long left;
-  private int digits;
-  private int extension;
-  private int trailerLine;
-  private int trailerTotal;
+  private long remaining;
+  private int sizeDigits;
+  private int extensionBytes;
+  private int trailerLineBytes;
+  private int trailerBytes;
 
-  private BodyParser(HttpLimits limits, State state, long left) throws BadMessage {
+  private BodyParser(HttpLimits limits, State state, long remaining) throws BadMessage {
     this.limits = limits;
     this.state = state;
-    this.left = left;
+    this.remaining = remaining;
     if (state == State.FIXED) {
-      requireRoom(left);
-      if (left == 0) {
+      requireWithinLimit(remaining);
+      if (remaining == 0) {
         this.state = State.DONE;
       }
     }
   }
 
-  /** The parser for the content of a request. */
+  /** Returns a parser for the content of a request. */
   public static BodyParser forRequest(Head head, HttpLimits limits) throws BadMessage {
     return of(head, limits, State.FIXED);
   }
 
-  /** The parser for the content of a response to anything but HEAD. */
+  /** Returns a parser for the content of a response to any method except HEAD. */
   public static BodyParser forResponse(Head head, HttpLimits limits) throws BadMessage {
     if (head.status < 200 || head.status == 204 || head.status == 304) {
       return new BodyParser(limits, State.DONE, 0);
@@ -65,7 +65,8 @@
     return of(head, limits, State.UNTIL_CLOSE);
   }
 
-  private static BodyParser of(Head head, HttpLimits limits, State untold) throws BadMessage {
+  private static BodyParser of(Head head, HttpLimits limits, State stateWithoutLength)
+      throws BadMessage {
     List<String> lengths = head.all("content-length");
     List<String> codings = head.all("transfer-encoding");
     if (!codings.isEmpty()) {
@@ -84,7 +85,7 @@
       throw BadMessage.malformed("more than one Content-Length");
     }
     if (lengths.isEmpty()) {
-      return new BodyParser(limits, untold, 0);
+      return new BodyParser(limits, stateWithoutLength, 0);
     }
     String length = lengths.get(0);
     if (!length.matches("[0-9]{1,18}")) {
@@ -93,17 +94,17 @@
     return new BodyParser(limits, State.FIXED, Long.parseLong(length));
   }
 
-  /** True once the content is complete. */
+  /** Returns true if the content is complete. */
   public boolean done() {
     return state == State.DONE;
   }
 
-  /** True where the content ends with the connection. */
+  /** Returns true if the content ends with the connection. */
   public boolean untilClose() {
     return state == State.UNTIL_CLOSE;
   }
 
-  /** Tells that the connection ended; true where that completes the content. */
+  /** Handles the end of the connection; returns true if the content is complete. */
   public boolean endOfInput() {
     if (state == State.UNTIL_CLOSE) {
       state = State.DONE;
@@ -111,102 +112,103 @@
     return done();
   }
 
-  /** The content so far; not a copy where {@link #contentFillsBuffer} holds. */
+  /** Returns the content received so far; not a copy if {@link #contentFillsBuffer} is true. */
   public byte[] content() {
-    return contentFillsBuffer() ? content : Arrays.copyOf(content, size);
+    return contentFillsBuffer() ? buffer : Arrays.copyOf(buffer, size);
   }
 
-  /** Bytes of the content so far. */
+  /** Returns the number of content bytes received so far. */
   public int size() {
     return size;
   }
 
-  /** True where the content fills what is held for it, so that it can be handed over as it is. */
+  /** Returns true if the content fills the buffer, so that {@link #content} needs no copy. */
   public boolean contentFillsBuffer() {
-    return size == content.length;
+    return size == buffer.length;
   }
 
-  /** Bytes of memory held for the content. */
+  /** Returns the size of the content buffer. */
   public int bufferBytes() {
-    return content.length;
+    return buffer.length;
   }
 
-  /** Bytes of memory held for the content at the most once so many bytes more were fed. */
+  /** Returns the maximum size of the content buffer after {@code more} further bytes are fed. */
   public int bufferBytesAfter(int more) {
-    long wanted = size + (state == State.FIXED ? Math.min(more, left) : more);
-    if (state == State.DONE || wanted <= content.length) {
-      return content.length;
+    long wanted = size + (state == State.FIXED ? Math.min(more, remaining) : more);
+    if (state == State.DONE || wanted <= buffer.length) {
+      return buffer.length;
     }
-    long most = state == State.FIXED ? size + left : limits.maxBodyBytes();
-    long grown = Math.max(LEAST_HELD, Math.max(wanted, 2L * content.length));
-    return (int) Math.max(content.length, Math.min(most, grown));
+    long max = state == State.FIXED ? size + remaining : limits.maxBodyBytes();
+    long grown = Math.max(MIN_BUFFER_BYTES, Math.max(wanted, 2L * buffer.length));
+    return (int) Math.max(buffer.length, Math.min(max, grown));
   }
 
-  /** Lets go of the content; nothing may be fed after that. */
+  /** Releases the content; the parser cannot be used afterwards. */
   public void discard() {
-    content = NOTHING;
+    buffer = EMPTY;
     size = 0;
   }
 
   /**
-   * Takes bytes; returns how many it used, which is fewer than given only once the content is complete.
+   * Parses the next bytes.
    *
-   * @throws BadMessage where they break the framing or the content passes the limit
+   * @return the number of bytes used, less than {@code count} only if the content is complete
+   * @throws BadMessage if the framing is invalid or the content exceeds the limit
    */
   public int feed(byte[] bytes, int from, int count) throws BadMessage {
-    hold(bufferBytesAfter(count));
+    ensureCapacity(bufferBytesAfter(count));
     int used = 0;
     while (used < count && state != State.DONE) {
       if (state == State.FIXED || state == State.DATA || state == State.UNTIL_CLOSE) {
         int take = count - used;
         if (state == State.UNTIL_CLOSE) {
-          requireRoom(take);
+          requireWithinLimit(take);
         } else {
-          take = (int) Math.min(take, left);
-          left -= take;
+          take = (int) Math.min(take, remaining);
+          remaining -= take;
         }
-        System.arraycopy(bytes, from + used, content, size, take);
+        System.arraycopy(bytes, from + used, buffer, size, take);
         size += take;
         used += take;
-        if (left == 0 && state != State.UNTIL_CLOSE) {
+        if (remaining == 0 && state != State.UNTIL_CLOSE) {
           state = state == State.FIXED ? State.DONE : State.DATA_CR;
         }
       } else {
-        framing(bytes[from + used]);
+        parseFraming(bytes[from + used]);
         used++;
       }
     }
     return used;
   }
 
-  private void hold(int bytes) {
-    if (bytes > content.length) {
-      content = Arrays.copyOf(content, bytes);
+  private void ensureCapacity(int bytes) {
+    if (bytes > buffer.length) {
+      buffer = Arrays.copyOf(buffer, bytes);
     }
   }
 
-  private void requireRoom(long more) throws BadMessage {
+  private void requireWithinLimit(long more) throws BadMessage {
     if (size + more > limits.maxBodyBytes()) {
       throw new BadMessage(Fault.TOO_LARGE, "content over " + limits.maxBodyBytes() + " bytes");
     }
   }
 
-  private void framing(byte b) throws BadMessage {
+  private void parseFraming(byte b) throws BadMessage {
     switch (state) {
-      case SIZE -> size(b);
+      case SIZE -> parseChunkSize(b);
       case EXTENSION -> {
         if (b == '\r') {
           state = State.SIZE_LF;
-        } else if (b < 0x20 && b >= 0 && b != '\t' || ++extension > MOST_EXTENSION) {
+        } else if (b < 0x20 && b >= 0 && b != '\t' || ++extensionBytes > MAX_EXTENSION_BYTES) {
           throw BadMessage.malformed("a bad or long chunk extension");
         }
       }
       case SIZE_LF -> {
         require(b, '\n', "chunk size");
-        requireRoom(left);
-        state = left == 0 ? State.TRAILER : State.DATA;
-        digits = 0;
-        extension = 0;
+        requireWithinLimit(remaining);
+        state = remaining == 0 ? State.TRAILER : State.DATA;
+        sizeDigits = 0;
+        extensionBytes = 0;
       }
       case DATA_CR -> {
         require(b, '\r', "chunk");
@@ -216,33 +218,33 @@
         require(b, '\n', "chunk");
         state = State.SIZE;
       }
-      case TRAILER -> trailer(b);
+      case TRAILER -> parseTrailer(b);
       case TRAILER_LF -> {
         require(b, '\n', "trailer");
-        state = trailerLine == 0 ? State.DONE : State.TRAILER;
-        trailerLine = 0;
+        state = trailerLineBytes == 0 ? State.DONE : State.TRAILER;
+        trailerLineBytes = 0;
       }
       default -> throw new IllegalStateException(state.name());
     }
   }
 
-  private void size(byte b) throws BadMessage {
+  private void parseChunkSize(byte b) throws BadMessage {
     int digit = Character.digit((char) (b & 0xff), 16);
     if (digit >= 0 && b > 0) {
-      if (++digits > 15) {
+      if (++sizeDigits > 15) {
         throw BadMessage.malformed("a chunk size of more than 15 digits");
       }
-      left = left * 16 + digit;
-    } else if (digits > 0 && (b == '\r' || b == ';')) {
+      remaining = remaining * 16 + digit;
+    } else if (sizeDigits > 0 && (b == '\r' || b == ';')) {
       state = b == '\r' ? State.SIZE_LF : State.EXTENSION;
     } else {
       throw BadMessage.malformed("a chunk size that is not a hexadecimal number");
     }
   }
 
-  /** Trailer fields are read past: nothing here uses them and merging them into the header is unsafe. */
-  private void trailer(byte b) throws BadMessage {
-    if (++trailerTotal > limits.maxHeadBytes()) {
+  /** Skips trailer fields: they are not used, and merging them into the header section would be unsafe. */
+  private void parseTrailer(byte b) throws BadMessage {
+    if (++trailerBytes > limits.maxHeadBytes()) {
       throw new BadMessage(
           Fault.HEADERS_TOO_LARGE, "trailer section over " + limits.maxHeadBytes() + " bytes");
     }
@@ -251,7 +253,7 @@
     } else if (b == '\n') {
       throw BadMessage.malformed("bare LF in the trailer section");
     } else {
-      trailerLine++;
+      trailerLineBytes++;
     }
   }
 
--- a/wire/src/main/java/gorseladder/wire/http1/Head.java
+++ b/wire/src/main/java/gorseladder/wire/http1/Head.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The start line and header section of a message. Not changed after parsing; any thread may read it then. */
+/** The start line and header section of a message. Unchanged after parsing, and then safe to read from any thread. */
 public final class Head {
-  /** One header field; the name is in lower case, the value without surrounding white space. */
+  /** One header field. The name is in lower case; the value has no surrounding white space. */
   public record Field(String name, String value) {}
 
   private final List<Field> fields = new ArrayList<>();
@@ -21,44 +21,44 @@
     fields.add(new Field(name.toLowerCase(Locale.ROOT), value));
   }
 
-  /** The request method; empty in a response. */
+  /** Returns the request method; empty in a response. */
   public String method() {
     return method;
   }
 
-  /** The request target as sent; empty in a response. */
+  /** Returns the request target as sent; empty in a response. */
   public String target() {
     return target;
   }
 
-  /** The path of the target, without its query. */
+  /** Returns the path of the target, without its query. */
   public String path() {
     int query = target.indexOf('?');
     return query < 0 ? target : target.substring(0, query);
   }
 
-  /** The query of the target, empty where there is none. */
+  /** Returns the query of the target, empty if there is none. */
   public String query() {
     int query = target.indexOf('?');
     return query < 0 ? "" : target.substring(query + 1);
   }
 
-  /** The status code, 100 to 599; 0 in a request. */
+  /** Returns the status code, 100 to 599; 0 in a request. */
   public int status() {
     return status;
   }
 
-  /** 0 for HTTP/1.0, 1 for HTTP/1.1. */
+  /** Returns 0 for HTTP/1.0, 1 for HTTP/1.1. */
   public int minorVersion() {
     return minorVersion;
   }
 
-  /** All fields in their order. */
+  /** Returns all fields in the order received. */
   public List<Field> fields() {
     return List.copyOf(fields);
   }
 
-  /** The value of the first field of this name (lower case), or null. */
+  /** Returns the value of the first field of a name (in lower case), or null. */
   public String get(String name) {
     for (Field f : fields) {
       if (f.name().equals(name)) {
@@ -68,12 +68,12 @@
     return null;
   }
 
-  /** All values of this name (lower case), in their order. */
+  /** Returns all values of a name (in lower case) in the order received. */
   public List<String> all(String name) {
     return fields.stream().filter(f -> f.name().equals(name)).map(Field::value).toList();
   }
 
-  /** True where a comma-separated field holds the token, ignoring case (RFC 9110 section 5.6.1). */
+  /** Returns true if a comma-separated field contains the token, ignoring case (RFC 9110 section 5.6.1). */
   public boolean hasToken(String name, String token) {
     for (String value : all(name)) {
       for (String part : value.split(",")) {
@@ -85,7 +85,7 @@
     return false;
   }
 
-  /** True where the connection may carry a further message after this one (RFC 9112 section 9.3). */
+  /** Returns true if the connection persists after this message (RFC 9112 section 9.3). */
   public boolean keepsConnection() {
     return !hasToken("connection", "close")
         && (minorVersion >= 1 || hasToken("connection", "keep-alive"));
--- a/wire/src/main/java/gorseladder/wire/http1/HeadParser.java
+++ b/wire/src/main/java/gorseladder/wire/http1/HeadParser.java
@@ -4,20 +4,19 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads the start line and header section of one HTTP/1 message, byte by byte, as they arrive (RFC 9112 sections 2 to
- * 5).
+ * Incremental parser for the start line and header section of one HTTP/1 message (RFC 9112 sections 2 to 5).
  *
- * <p>Stricter than the RFC allows a recipient to be, wherever leniency lets two parsers see two different requests: a
- * line must end in CRLF (a bare LF or CR is malformed), folded lines and white space before a colon are malformed, and
- * so are control characters in a value. Not thread safe; one instance for one message.
+ * <p>Stricter than the RFC requires wherever leniency would let two parsers see different requests (request smuggling):
+ * a line must end in CRLF (a bare LF or CR is malformed), and folded lines, white space before a colon and control
+ * characters in a value are malformed. Not thread safe; one instance per message.
  */
 public final class HeadParser {
-  private static final boolean[] TOKEN = new boolean[128];
+  private static final boolean[] TOKEN_CHARS = new boolean[128];
 
   static {
     for (char c : "!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ"
         .toCharArray()) {
-      TOKEN[c] = true;
+      TOKEN_CHARS[c] = true;
     }
   }
 
@@ -25,9 +24,9 @@
   private final boolean request;
   private Head head = new Head();
   private byte[] line = new byte[256];
-  private int length;
+  private int lineLength;
   private boolean sawCr;
-  private int total;
+  private int headBytes;
   private int fieldCount;
   private int emptyLines;
   private boolean done;
@@ -37,22 +36,26 @@
     this.request = request;
   }
 
-  /** A parser for one request. */
+  /** Returns a parser for one request. */
   public static HeadParser forRequest(HttpLimits limits) {
     return new HeadParser(limits, true);
   }
 
-  /** A parser for one response. */
+  /** Returns a parser for one response. */
   public static HeadParser forResponse(HttpLimits limits) {
     return new HeadParser(limits, false);
   }
 
-  /** True once the empty line that ends the section was read. */
+  /** Returns true if the empty line that ends the section has been read. */
   public boolean done() {
     return done;
   }
 
-  /** The parsed head; only once {@link #done()}. */
+  /**
+   * Returns the parsed head.
+   *
+   * @throws IllegalStateException if {@link #done()} is false
+   */
   public Head head() {
     if (!done) {
       throw new IllegalStateException("the header section is not complete");
@@ -60,28 +63,29 @@
     return head;
   }
 
-  /** Lets go of what came so far; nothing may be fed after that. */
+  /** Releases what was parsed; the parser cannot be used afterwards. */
   public void discard() {
     head = new Head();
     line = new byte[0];
   }
 
   /**
-   * Takes bytes; returns how many it used, which is fewer than given only once the head is done.
+   * Parses the next bytes.
    *
-   * @throws BadMessage where the bytes cannot begin a message that this parser takes
+   * @return the number of bytes used, less than {@code count} only if the head is complete
+   * @throws BadMessage if the bytes are not a valid head or exceed a limit
    */
   public int feed(byte[] bytes, int from, int count) throws BadMessage {
     int used = 0;
     while (used < count && !done) {
-      take(bytes[from + used]);
+      parse(bytes[from + used]);
       used++;
     }
     return used;
   }
 
-  private void take(byte b) throws BadMessage {
-    if (++total > limits.maxHeadBytes()) {
+  private void parse(byte b) throws BadMessage {
+    if (++headBytes > limits.maxHeadBytes()) {
       throw new BadMessage(
           Fault.HEADERS_TOO_LARGE, "header section over " + limits.maxHeadBytes() + " bytes");
     }
@@ -96,22 +100,21 @@
     } else if (b == '\n') {
       throw BadMessage.malformed("bare LF in the header section");
     } else {
-      if (length == limits.maxLineBytes()) {
+      if (lineLength == limits.maxLineBytes()) {
         throw new BadMessage(
             Fault.HEADERS_TOO_LARGE, "a header line over " + limits.maxLineBytes() + " bytes");
       }
-      if (length == line.length) {
+      if (lineLength == line.length) {
         line = java.util.Arrays.copyOf(line, Math.min(limits.maxLineBytes(), line.length * 2));
       }
-      line[length++] = b;
+      line[lineLength++] = b;
     }
   }
 
   private void endLine() throws BadMessage {
     boolean first = head.method.isEmpty() && head.status == 0;
-    if (first && length == 0) {
-      // RFC 9112 section 2.2: an empty line before the request line is passed over, but not
-      // endlessly.
+    if (first && lineLength == 0) {
+      // RFC 9112 section 2.2: an empty line before the request line is skipped, but only one.
       if (!request || ++emptyLines > 1) {
         throw BadMessage.malformed("empty lines before the start line");
       }
@@ -119,24 +122,24 @@
     }
     if (first) {
       if (request) {
-        requestLine();
+        parseRequestLine();
       } else {
-        statusLine();
+        parseStatusLine();
       }
-    } else if (length == 0) {
+    } else if (lineLength == 0) {
       finish();
     } else {
-      field();
+      parseField();
     }
-    length = 0;
+    lineLength = 0;
   }
 
   private String text(int from, int to) {
     return new String(line, from, to - from, StandardCharsets.ISO_8859_1);
   }
 
-  private int find(char c, int from) {
-    for (int i = from; i < length; i++) {
+  private int indexOf(char c, int from) {
+    for (int i = from; i < lineLength; i++) {
       if (line[i] == c) {
         return i;
       }
@@ -144,31 +147,31 @@
     return -1;
   }
 
-  private void requestLine() throws BadMessage {
-    int a = find(' ', 0);
-    int b = a < 0 ? -1 : find(' ', a + 1);
-    if (a <= 0 || b <= a + 1 || find(' ', b + 1) >= 0) {
+  private void parseRequestLine() throws BadMessage {
+    int firstSpace = indexOf(' ', 0);
+    int secondSpace = firstSpace < 0 ? -1 : indexOf(' ', firstSpace + 1);
+    if (firstSpace <= 0 || secondSpace <= firstSpace + 1 || indexOf(' ', secondSpace + 1) >= 0) {
       throw BadMessage.malformed("the request line is not 'method target version'");
     }
-    requireToken(0, a, "method");
-    for (int i = a + 1; i < b; i++) {
+    requireToken(0, firstSpace, "method");
+    for (int i = firstSpace + 1; i < secondSpace; i++) {
       if (line[i] <= 0x20 || line[i] == 0x7f) {
         throw BadMessage.malformed("a control or non-ASCII character in the request target");
       }
     }
-    head.target = text(a + 1, b);
-    head.minorVersion = version(b + 1, length);
-    head.method = text(0, a);
+    head.target = text(firstSpace + 1, secondSpace);
+    head.minorVersion = parseVersion(secondSpace + 1, lineLength);
+    head.method = text(0, firstSpace);
   }
 
-  private void statusLine() throws BadMessage {
-    int a = find(' ', 0);
-    if (a < 0 || length < a + 4 || length > a + 4 && line[a + 4] != ' ') {
+  private void parseStatusLine() throws BadMessage {
+    int space = indexOf(' ', 0);
+    if (space < 0 || lineLength < space + 4 || lineLength > space + 4 && line[space + 4] != ' ') {
       throw BadMessage.malformed("the status line is not 'version status reason'");
     }
-    head.minorVersion = version(0, a);
+    head.minorVersion = parseVersion(0, space);
     int status = 0;
-    for (int i = a + 1; i < a + 4; i++) {
+    for (int i = space + 1; i < space + 4; i++) {
       if (line[i] < '0' || line[i] > '9') {
         throw BadMessage.malformed("the status is not three digits");
       }
@@ -180,7 +183,7 @@
     head.status = status;
   }
 
-  private int version(int from, int to) throws BadMessage {
+  private int parseVersion(int from, int to) throws BadMessage {
     String version = text(from, to);
     if (version.equals("HTTP/1.1")) {
       return 1;
@@ -193,7 +196,7 @@
         http ? Fault.WRONG_VERSION : Fault.MALFORMED, "version is not HTTP/1.1 or HTTP/1.0");
   }
 
-  private void field() throws BadMessage {
+  private void parseField() throws BadMessage {
     if (++fieldCount > limits.maxFields()) {
       throw new BadMessage(
           Fault.HEADERS_TOO_LARGE, "more than " + limits.maxFields() + " header fields");
@@ -201,13 +204,13 @@
     if (line[0] == ' ' || line[0] == '\t') {
       throw BadMessage.malformed("a folded header line");
     }
-    int colon = find(':', 0);
+    int colon = indexOf(':', 0);
     if (colon <= 0) {
       throw BadMessage.malformed("a header line without a name");
     }
     requireToken(0, colon, "header name");
     int from = colon + 1;
-    int to = length;
+    int to = lineLength;
     while (from < to && (line[from] == ' ' || line[from] == '\t')) {
       from++;
     }
@@ -224,7 +227,7 @@
 
   private void requireToken(int from, int to, String what) throws BadMessage {
     for (int i = from; i < to; i++) {
-      if (line[i] < 0 || !TOKEN[line[i]]) {
+      if (line[i] < 0 || !TOKEN_CHARS[line[i]]) {
         throw BadMessage.malformed("a character that a " + what + " cannot have");
       }
     }
--- a/wire/src/main/java/gorseladder/wire/http1/HeadWriter.java
+++ b/wire/src/main/java/gorseladder/wire/http1/HeadWriter.java
@@ -4,52 +4,64 @@
 import java.util.Arrays;
 
 /**
- * Builds one message with content of known length, as bytes for a single write. Not thread safe.
+ * Builder for the head of one message with content of known length. Not thread safe.
  *
- * <p>Names and values must hold no control character; one that does is a programming error and throws, since it could
- * split the message.
+ * <p>A control character in a name or value could split the message; it throws IllegalArgumentException.
  */
 public final class HeadWriter {
   private final StringBuilder head = new StringBuilder(256);
 
   private HeadWriter() {}
 
-  /** Begins a request; the target must be in its encoded form. */
+  /** Starts a request. The target must already be percent-encoded. */
   public static HeadWriter request(String method, String target, String host) {
-    HeadWriter w = new HeadWriter();
-    w.head.append(safe(method)).append(' ').append(safe(target)).append(" HTTP/1.1\r\n");
-    return w.field("Host", host);
+    HeadWriter writer = new HeadWriter();
+    writer
+        .head
+        .append(requireNoControl(method))
+        .append(' ')
+        .append(requireNoControl(target))
+        .append(" HTTP/1.1\r\n");
+    return writer.field("Host", host);
   }
 
-  /** Begins a response. */
+  /** Starts a response. */
   public static HeadWriter response(int status) {
-    HeadWriter w = new HeadWriter();
-    w.head.append("HTTP/1.1 ").append(status).append(' ').append(phrase(status)).append("\r\n");
-    return w;
+    HeadWriter writer = new HeadWriter();
+    writer
+        .head
+        .append("HTTP/1.1 ")
+        .append(status)
+        .append(' ')
+        .append(reasonPhrase(status))
+        .append("\r\n");
+    return writer;
   }
 
-  /** Adds a field. */
   public HeadWriter field(String name, Object value) {
-    head.append(safe(name)).append(": ").append(safe(String.valueOf(value))).append("\r\n");
+    head.append(requireNoControl(name))
+        .append(": ")
+        .append(requireNoControl(String.valueOf(value)))
+        .append("\r\n");
     return this;
   }
 
-  /** The whole message with its Content-Length. */
+  /** Returns the whole message with its Content-Length, for a single write. */
   public byte[] with(byte[] content) {
-    byte[] begin = headFor(content);
-    byte[] message = Arrays.copyOf(begin, begin.length + content.length);
-    System.arraycopy(content, 0, message, begin.length, content.length);
+    byte[] start = headFor(content);
+    byte[] message = Arrays.copyOf(start, start.length + content.length);
+    System.arraycopy(content, 0, message, start.length, content.length);
     return message;
   }
 
-  /** The head of a message with that content, which follows it in a write of its own and needs no copy. */
+  /** Returns the head of a message with this content, which the caller writes separately to avoid a copy. */
   public byte[] headFor(byte[] content) {
     field("Content-Length", content.length);
     head.append("\r\n");
     return head.toString().getBytes(StandardCharsets.ISO_8859_1);
   }
 
-  private static String safe(String text) {
+  private static String requireNoControl(String text) {
     for (int i = 0; i < text.length(); i++) {
       if (text.charAt(i) < 0x20 && text.charAt(i) != '\t' || text.charAt(i) == 0x7f) {
         throw new IllegalArgumentException("a control character in a header");
@@ -58,7 +70,7 @@
     return text;
   }
 
-  private static String phrase(int status) {
+  private static String reasonPhrase(int status) {
     return switch (status) {
       case 100 -> "Continue";
       case 200 -> "OK";
--- a/wire/src/main/java/gorseladder/wire/json/Json.java
+++ b/wire/src/main/java/gorseladder/wire/json/Json.java
@@ -12,16 +12,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** JSON as plain maps, lists, strings, doubles, booleans and null, for small messages between programs. Any thread. */
+/** Converts JSON to and from maps, lists, strings, doubles, booleans and null, for small messages. Thread safe. */
 public final class Json {
   private static final JsonFactory FACTORY = new JsonFactory();
 
   private Json() {}
 
   /**
-   * Reads one value.
+   * Parses one value. Every number becomes a double.
    *
-   * @throws IllegalArgumentException where the bytes are not exactly one JSON value
+   * @throws IllegalArgumentException if the bytes are not exactly one JSON value
    */
   public static Object read(byte[] bytes) {
     try (JsonParser in = FACTORY.createParser(bytes)) {
@@ -67,7 +67,7 @@
     };
   }
 
-  /** The member at a path of names, or null where any part of it is absent or no object. */
+  /** Returns the member at a path of names, or null if a part of the path is absent or not an object. */
   public static Object at(Object value, String... path) {
     Object at = value;
     for (String name : path) {
--- a/wire/src/main/java/gorseladder/wire/oip/Oip.java
+++ b/wire/src/main/java/gorseladder/wire/oip/Oip.java
@@ -11,45 +11,49 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The parts of the Open Inference Protocol v2 over HTTP (KServe, "Predict Protocol - Version 2", HTTP/REST) and of its
- * model repository extension that a call and a load order need. A webhook payload travels as one BYTES tensor.
+ * Codec for the parts of the Open Inference Protocol v2 over HTTP (KServe, "Predict Protocol - Version 2", HTTP/REST)
+ * and of its model repository extension that calls and load orders use. A webhook payload is sent as one BYTES tensor.
  *
- * <p>What the protocol has no place for stands in header fields, all stated by the runner:
- * {@link #EXECUTED}, {@link #COPY_STATUS}, {@link #CONCURRENCY}; the load report in {@link LoadReport#HEADER}. Pure functions; any
- * thread.
+ * <p>Header fields carry what the protocol does not define. The runner sets {@link #EXECUTED}, {@link #COPY_STATUS},
+ * {@link #CONCURRENCY} and the load report in {@link LoadReport#HEADER}; the edge sets the others. Stateless and thread
+ * safe.
  */
 public final class Oip {
-  /** {@code no} where the call surely did not run; anything else promises nothing. */
+  /** {@code no} if the call definitely did not run; any other value or none leaves it open. */
   public static final String EXECUTED = "gorseladder-ran";
-  /** {@code found}, {@code began}, {@code awaited} or {@code load-failed}. */
+  /**
+   * How the call got its copy: {@code found} (already loaded), {@code began} (the call started the load),
+   * {@code awaited} (waited for a load in progress) or {@code load-failed}.
+   */
   public static final String COPY_STATUS = "gorseladder-copy";
-  /** Calls for the same function that the runner held when this one came. */
+  /** Calls for the same function that the runner held when the call arrived. */
   public static final String CONCURRENCY = "gorseladder-crowd";
-  /** The ordinal of the edge that sends. */
+  /** Ordinal of the sending edge. */
   public static final String EDGE_ORDINAL = "gorseladder-edge";
-  /** Milliseconds that the caller will wait. */
+  /** Milliseconds that the sender waits for the answer. */
   public static final String TIMEOUT_MILLIS = "gorseladder-patience-ms";
-  /** Memory of one copy in MB, calls at a time and usual load time in ms, where told by the caller. */
+  /** Memory of one copy, in MB. */
   public static final String MEMORY_MB = "gorseladder-footprint-mb";
-
+  /** Calls that one copy runs at a time. */
   public static final String LANES = "gorseladder-lanes";
+  /** Typical load time of a copy, in milliseconds; absent if unknown. */
   public static final String LOAD_MILLIS = "gorseladder-load-ms";
 
   private static final JsonFactory JSON = new JsonFactory();
 
   private Oip() {}
 
-  /** The request target that runs a model once. */
+  /** Returns the request target of an inference call. */
   public static String inferTarget(String model) {
     return "/v2/models/" + encode(model) + "/infer";
   }
 
-  /** The request target that loads a model. */
+  /** Returns the request target of a load order. */
   public static String loadTarget(String model) {
     return "/v2/repository/models/" + encode(model) + "/load";
   }
 
-  /** The model named by a target that begins with the prefix and ends with the suffix; null where it does not. */
+  /** Returns the model named in a path between the prefix and the suffix; null if the path does not match. */
   public static String modelIn(String path, String prefix, String suffix) {
     if (!path.startsWith(prefix)
         || !path.endsWith(suffix)
@@ -70,21 +74,21 @@
   static String encode(String text) {
     StringBuilder out = new StringBuilder(text.length() + 16);
     for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
-      boolean plain = b >= 'a' && b <= 'z'
+      boolean unreserved = b >= 'a' && b <= 'z'
           || b >= 'A' && b <= 'Z'
           || b >= '0' && b <= '9'
           || "-._~".indexOf(b) >= 0;
-      out.append(plain ? String.valueOf((char) b) : String.format("%%%02X", b & 0xff));
+      out.append(unreserved ? String.valueOf((char) b) : String.format("%%%02X", b & 0xff));
     }
     return out.toString();
   }
 
-  /** An inference request that carries one payload. */
+  /** Encodes an inference request with one payload. */
   public static byte[] request(String id, byte[] payload) {
     return message(id, null, "inputs", "payload", payload);
   }
 
-  /** An inference response that carries one result. */
+  /** Encodes an inference response with one result. */
   public static byte[] response(String id, String model, byte[] result) {
     return message(id, model, "outputs", "result", result);
   }
@@ -120,9 +124,9 @@
   public record Content(String id, byte[] data) {}
 
   /**
-   * Reads the one tensor of a request or response.
+   * Parses the one tensor of a request or response.
    *
-   * @throws IllegalArgumentException where the message is not one with a string tensor
+   * @throws IllegalArgumentException if the message is invalid or has no string tensor
    */
   public static Content content(byte[] message) {
     try (JsonParser in = JSON.createParser(message)) {
@@ -163,12 +167,16 @@
     return data;
   }
 
-  /** A load order for so many copies ({@code parameters.copies}, an extension). */
+  /** Encodes a load order; the parameter {@code copies} is an extension of the protocol. */
   public static byte[] loadRequest(int copies) {
     return ("{\"parameters\":{\"copies\":" + copies + "}}").getBytes(StandardCharsets.US_ASCII);
   }
 
-  /** The copies that an order or its answer names; 1 for an order without the parameter. */
+  /**
+   * Returns the number of copies in a load order or its answer; 1 if the parameter is absent.
+   *
+   * @throws IllegalArgumentException if the message is not JSON
+   */
   public static int copiesIn(byte[] message) {
     if (message.length == 0) {
       return 1;
--- a/wire/src/main/java/gorseladder/wire/runner/AnswerParser.java
+++ b/wire/src/main/java/gorseladder/wire/runner/AnswerParser.java
@@ -8,32 +8,33 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the answers of a runner ({@code ID WORD FIELDS LENGTH}, CR LF, that many bytes, CR LF) in pieces of any size. A
- * line that is too long and a length past the bound are refused before anything is kept of them; of a body only what
- * has come is kept.
+ * Incremental parser for the answers of a runner ({@code ID STATUS FIELDS LENGTH}, CR LF, that many bytes, CR LF), fed
+ * in chunks of any size. A line or body over its limit is rejected before memory is allocated for it. The buffer of a
+ * body grows with the bytes received, not with the announced length.
  *
- * <p>Source: the platform's protocol, "Dispatchers to runners". Not thread safe.
+ * <p>The format is defined in the platform's protocol, "Dispatchers to runners". Not thread safe.
  */
 public final class AnswerParser {
-  private static final int MOST_LINE = 1_024;
-  private static final int MOST_DIGITS = 9;
-  /** What the first bytes of a body are given room for. */
-  private static final int LEAST_BODY = 1_024;
-
-  private static final byte[] NOTHING = {};
-  private static final Set<String> WORDS =
+  private static final int MAX_LINE_BYTES = 1_024;
+  /** Nine digits always fit an int. */
+  private static final int MAX_LENGTH_DIGITS = 9;
+  /** Initial size of the body buffer, unless the body is shorter. */
+  private static final int MIN_BODY_BUFFER_BYTES = 1_024;
+
+  private static final byte[] EMPTY = {};
+  private static final Set<String> STATUSES =
       Set.of("ok", "nothing", "refused", "error", "stale", "yes", "no");
 
-  /** Says whether bytes of bodies may be kept, and hears when they are handed on. */
+  /** Memory budget for the bodies of unfinished answers. */
   public interface MemoryBudget {
-    /** Takes so many bytes; false where there is no room for them. */
+    /** Reserves memory; returns false if the budget is exhausted. */
     boolean tryTake(int bytes);
 
-    /** Gives back bytes that were taken. */
+    /** Returns memory that was reserved, once the answer is passed on. */
     void giveBack(int bytes);
   }
 
-  private static final MemoryBudget ENDLESS = new MemoryBudget() {
+  private static final MemoryBudget UNLIMITED = new MemoryBudget() {
     @Override
     public boolean tryTake(int bytes) {
       return true;
@@ -43,130 +44,137 @@
     public void giveBack(int bytes) {}
   };
 
-  /** The line of an answer whose body is still coming. */
-  private record Head(String id, String status, Map<String, String> fields, int length) {}
+  /** The first line of an answer whose body is incomplete. */
+  private record Header(String id, String status, Map<String, String> fields, int length) {}
 
-  /** One answer; {@code id} is the request's id or the order's tag. */
+  /** A complete answer. {@code id} is the id of the request or the tag of the load order. */
   public record Answer(String id, String status, Map<String, String> fields, byte[] body) {}
 
-  private final int mostBody;
-  private final MemoryBudget room;
-  private final byte[] line = new byte[MOST_LINE];
-  private int lineHas;
-  private Head head;
-  private byte[] body = NOTHING;
-  private int bodyHas;
-  /** Of the CR LF behind a body. */
-  private int closing;
-
-  /** A parser that takes bodies of so many bytes at the most. */
-  public AnswerParser(int mostBody) {
-    this(mostBody, ENDLESS);
+  private final int maxBodyBytes;
+  private final MemoryBudget memory;
+  private final byte[] line = new byte[MAX_LINE_BYTES];
+  private int lineLength;
+  private Header header;
+  private byte[] body = EMPTY;
+  private int bodyLength;
+  /** Bytes received of the CR LF that follows a body. */
+  private int terminatorBytes;
+
+  /** Creates a parser without a memory budget. */
+  public AnswerParser(int maxBodyBytes) {
+    this(maxBodyBytes, UNLIMITED);
   }
 
-  /** The same, where there is room for them. */
-  public AnswerParser(int mostBody, MemoryBudget room) {
-    this.mostBody = mostBody;
-    this.room = room;
+  /**
+   * Creates a parser.
+   *
+   * @param maxBodyBytes maximum length of one body
+   * @param memory budget from which the body buffer is reserved
+   */
+  public AnswerParser(int maxBodyBytes, MemoryBudget memory) {
+    this.maxBodyBytes = maxBodyBytes;
+    this.memory = memory;
   }
 
-  /** True between answers. */
+  /** Returns true if no answer is partly read. */
   public boolean isBetweenAnswers() {
-    return lineHas == 0 && head == null;
+    return lineLength == 0 && header == null;
   }
 
   /**
-   * Reads a piece and hands on each answer that is whole.
+   * Parses the next bytes and passes each complete answer to the sink.
    *
-   * @throws BadAnswer where the bytes cannot be answers; nothing may be fed after that
+   * @throws BadAnswer if the bytes violate the protocol; the parser cannot be used afterwards
    */
   public void feed(byte[] bytes, int from, int length, Consumer<Answer> sink) throws BadAnswer {
     int at = from;
     int end = from + length;
     while (at < end) {
-      if (head == null) {
+      if (header == null) {
         byte b = bytes[at++];
-        if (lineHas == MOST_LINE) {
-          throw new BadAnswer("a line of more than " + MOST_LINE + " bytes");
+        if (lineLength == MAX_LINE_BYTES) {
+          throw new BadAnswer("a line of more than " + MAX_LINE_BYTES + " bytes");
         }
-        line[lineHas++] = b;
+        line[lineLength++] = b;
         if (b == '\n') {
-          head = head();
-          lineHas = 0;
-          body = NOTHING;
-          bodyHas = 0;
-          closing = 0;
+          header = parseLine();
+          lineLength = 0;
+          body = EMPTY;
+          bodyLength = 0;
+          terminatorBytes = 0;
         } else if (b != '\r' && (b < ' ' || b > '~')) {
-          throw new BadAnswer("a byte " + (b & 0xff) + " in a line");
+          throw new BadAnswer("a byte " + (b & 0xff) + " that is not printable ASCII in a line");
         }
-      } else if (bodyHas < head.length()) {
-        int part = Math.min(head.length() - bodyHas, end - at);
-        growTo(bodyHas + part);
-        System.arraycopy(bytes, at, body, bodyHas, part);
-        bodyHas += part;
+      } else if (bodyLength < header.length()) {
+        int part = Math.min(header.length() - bodyLength, end - at);
+        ensureBodyCapacity(bodyLength + part);
+        System.arraycopy(bytes, at, body, bodyLength, part);
+        bodyLength += part;
         at += part;
       } else {
-        if (bytes[at++] != (closing == 0 ? '\r' : '\n')) {
+        if (bytes[at++] != (terminatorBytes == 0 ? '\r' : '\n')) {
           throw new BadAnswer("a body is not followed by CR LF");
         }
-        if (++closing == 2) {
-          Answer whole = new Answer(head.id(), head.status(), head.fields(), body);
-          room.giveBack(body.length);
-          head = null;
-          body = NOTHING;
+        if (++terminatorBytes == 2) {
+          Answer whole = new Answer(header.id(), header.status(), header.fields(), body);
+          memory.giveBack(body.length);
+          header = null;
+          body = EMPTY;
           sink.accept(whole);
         }
       }
     }
   }
 
-  /** Has room for so many bytes of the body, which is never larger than told. */
-  private void growTo(int wanted) throws BadAnswer {
+  /** Grows the body buffer to at least {@code wanted} bytes and to at most the announced length. */
+  private void ensureBodyCapacity(int wanted) throws BadAnswer {
     if (wanted <= body.length) {
       return;
     }
-    int size = Math.min(head.length(), Math.max(wanted, Math.max(LEAST_BODY, 2 * body.length)));
-    if (!room.tryTake(size - body.length)) {
-      throw new BadAnswer("no room for a body of " + head.length() + " bytes");
+    int size = Math.min(
+        header.length(), Math.max(wanted, Math.max(MIN_BODY_BUFFER_BYTES, 2 * body.length)));
+    if (!memory.tryTake(size - body.length)) {
+      throw new BadAnswer("memory budget exhausted by a body of " + header.length() + " bytes");
     }
     body = Arrays.copyOf(body, size);
   }
 
-  private Head head() throws BadAnswer {
-    if (lineHas < 2 || line[lineHas - 2] != '\r') {
+  private Header parseLine() throws BadAnswer {
+    if (lineLength < 2 || line[lineLength - 2] != '\r') {
       throw new BadAnswer("a line does not end in CR LF");
     }
-    String text = new String(line, 0, lineHas - 2, StandardCharsets.US_ASCII);
+    String text = new String(line, 0, lineLength - 2, StandardCharsets.US_ASCII);
     String[] words = text.split(" ", -1);
-    if (words.length != 4 || words[0].isEmpty() || !WORDS.contains(words[1])) {
-      throw new BadAnswer("a line that is no answer");
+    if (words.length != 4 || words[0].isEmpty() || !STATUSES.contains(words[1])) {
+      throw new BadAnswer("a line that is not a valid answer");
     }
-    int length = length(words[3]);
-    return new Head(words[0], words[1], fields(words[2]), length);
+    int length = parseLength(words[3]);
+    return new Header(words[0], words[1], parseFields(words[2]), length);
   }
 
-  private int length(String word) throws BadAnswer {
+  private int parseLength(String word) throws BadAnswer {
     if (word.isEmpty()
-        || word.length() > MOST_DIGITS
+        || word.length() > MAX_LENGTH_DIGITS
         || !word.chars().allMatch(c -> c >= '0' && c <= '9')) {
-      throw new BadAnswer("a length that is none");
+      throw new BadAnswer("a length that is not a number");
     }
     int length = Integer.parseInt(word);
-    if (length > mostBody) {
-      throw new BadAnswer("a body of " + length + " bytes");
+    if (length > maxBodyBytes) {
+      throw new BadAnswer("a body over the limit: " + length + " bytes");
     }
     return length;
   }
 
-  private static Map<String, String> fields(String word) throws BadAnswer {
+  private static Map<String, String> parseFields(String word) throws BadAnswer {
     if (word.equals("-")) {
       return Map.of();
     }
     Map<String, String> fields = new LinkedHashMap<>();
     for (String field : word.split(",", -1)) {
-      int is = field.indexOf('=');
-      if (is < 1 || fields.put(field.substring(0, is), field.substring(is + 1)) != null) {
-        throw new BadAnswer("fields that are none");
+      int equals = field.indexOf('=');
+      if (equals < 1
+          || fields.put(field.substring(0, equals), field.substring(equals + 1)) != null) {
+        throw new BadAnswer("malformed or repeated fields");
       }
     }
     return fields;
--- a/wire/src/main/java/gorseladder/wire/runner/Commands.java
+++ b/wire/src/main/java/gorseladder/wire/runner/Commands.java
@@ -3,18 +3,17 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Writes commands to a runner as lines of words (the platform's protocol, "Dispatchers to runners" and "Orders to load
- * and unload"). Pure functions; any thread. Ids, classes, functions and keys must be words without spaces, commas or
- * line ends.
+ * Encodes commands to a runner as text lines (the platform's protocol, "Dispatchers to runners" and "Orders to load and
+ * unload"). Stateless and thread safe. Ids, classes, functions and keys must not contain spaces, commas or line breaks.
  */
 public final class Commands {
   private Commands() {}
 
   /**
-   * Runs a request.
+   * Encodes a command that runs a request.
    *
-   * @param max how long the answer is awaited, in milliseconds
-   * @param key the client's idempotency key, by which the runner knows a repeat; null where it gave none
+   * @param max time limit for the answer, in milliseconds
+   * @param key the client's idempotency key, by which the runner recognizes a repeat; null if there is none
    */
   public static byte[] go(
       String id, String requestClass, String function, long max, String key, byte[] body) {
@@ -28,12 +27,12 @@
     return all;
   }
 
-  /** Gives a request up; there is no answer. */
+  /** Encodes a command that cancels a request. The runner does not answer it. */
   public static byte[] halt(String id) {
     return ascii("halt " + id + "\r\n");
   }
 
-  /** Orders at least so many copies held; 0 only asks. */
+  /** Encodes an order to hold at least {@code copies} copies of a function; 0 only queries the number. */
   public static byte[] stage(String tag, String function, int copies) {
     return ascii("stage " + tag + " thing=" + function + ",pods=" + copies + "\r\n");
   }
--- a/wire/src/main/java/gorseladder/wire/webhook/Delivery.java
+++ b/wire/src/main/java/gorseladder/wire/webhook/Delivery.java
@@ -3,24 +3,24 @@
 import java.util.List;
 
 /**
- * The signed part of a webhook delivery and its check (Standard Webhooks specification, "Webhook headers" and
- * "Verifying signatures"). Immutable; any thread.
+ * The signature headers of a webhook delivery and their verification (Standard Webhooks specification, "Webhook
+ * headers" and "Verifying signatures"). Immutable and thread safe.
  *
- * @param id the {@code webhook-id}, 1 to 256 visible ASCII characters without a full stop
- * @param timestamp the {@code webhook-timestamp}, seconds since 1970
- * @param signatures the {@code webhook-signature}, split at its spaces
+ * @param id the {@code webhook-id}, 1 to 256 visible ASCII characters other than a full stop
+ * @param timestamp the {@code webhook-timestamp}, seconds since the Unix epoch
+ * @param signatures the {@code webhook-signature} values, split at spaces
  */
 public record Delivery(String id, long timestamp, List<String> signatures) {
-  /** Signatures of one delivery that are looked at; a sender that rotates keys sends two or three. */
-  private static final int MOST_SIGNATURES = 10;
+  /** Signatures accepted in one delivery. A sender that rotates its keys sends two or three. */
+  private static final int MAX_SIGNATURES = 10;
 
-  /** Header names, in lower case. */
+  /** Header name, in lower case, as are the next two. */
   public static final String ID = "webhook-id";
 
   public static final String TIMESTAMP = "webhook-timestamp";
   public static final String SIGNATURE = "webhook-signature";
 
-  /** How a check ended. */
+  /** Result of a verification. {@code STALE} is a valid signature with a time stamp outside the tolerance. */
   public enum Check {
     GOOD,
     BAD_SIGNATURE,
@@ -28,9 +28,9 @@
   }
 
   /**
-   * Reads the three header values.
+   * Parses the three header values.
    *
-   * @throws IllegalArgumentException naming the header that is missing or wrong
+   * @throws IllegalArgumentException if a header is missing or invalid; the message names it
    */
   public static Delivery of(String id, String timestamp, String signature) {
     require(id != null && !id.isEmpty() && id.length() <= 256, ID);
@@ -38,7 +38,7 @@
     require(timestamp != null && timestamp.matches("[0-9]{1,12}"), TIMESTAMP);
     require(signature != null && !signature.isBlank(), SIGNATURE);
     List<String> signatures = List.of(signature.strip().split(" +"));
-    require(signatures.size() <= MOST_SIGNATURES, SIGNATURE);
+    require(signatures.size() <= MAX_SIGNATURES, SIGNATURE);
     return new Delivery(id, Long.parseLong(timestamp), signatures);
   }
 
@@ -49,10 +49,11 @@
   }
 
   /**
-   * Checks the delivery against the live secrets. The time stamp is judged only once a signature holds, so that nothing
-   * is told to a caller who knows no secret.
+   * Verifies the delivery against the active secrets. The time stamp is checked only after a signature matches, so that
+   * a caller without a secret learns nothing from the result.
    *
-   * @param tolerance seconds by which the time stamp may differ from {@code now} either way
+   * @param now current time, seconds since the Unix epoch
+   * @param tolerance maximum difference between the time stamp and {@code now} in either direction, in seconds
    */
   public Check check(byte[] body, List<Secret> secrets, long now, long tolerance) {
     byte[] content = Secret.content(id, timestamp, body);
--- a/wire/src/main/java/gorseladder/wire/webhook/Payload.java
+++ b/wire/src/main/java/gorseladder/wire/webhook/Payload.java
@@ -8,14 +8,14 @@
 import java.io.IOException;
 
 /**
- * What the gateway reads of a payload (Standard Webhooks specification, "Payload structure"): its event type and, in
- * {@code data}, the function and optional hints of the call. Everything else goes to the runner untouched.
+ * The fields of a payload that the gateway uses (Standard Webhooks specification, "Payload structure"): the event type
+ * and, in {@code data}, the function and optional hints for the call. The runner gets the whole payload unchanged.
  *
  * @param type the event type, not empty
- * @param function {@code data.function}, null where absent
- * @param memoryMb {@code data.memory_mb}, 0 where absent
- * @param lanes {@code data.lanes}, 0 where absent
- * @param loadMillis {@code data.load_ms}, 0 where absent
+ * @param function {@code data.function}, null if absent
+ * @param memoryMb {@code data.memory_mb}, 0 if absent
+ * @param lanes {@code data.lanes}, the number of concurrent calls per copy, 0 if absent
+ * @param loadMillis {@code data.load_ms}, 0 if absent
  */
 public record Payload(String type, String function, double memoryMb, int lanes, long loadMillis) {
   private static final JsonFactory JSON = JsonFactory.builder()
@@ -24,9 +24,9 @@
       .build();
 
   /**
-   * Reads a payload.
+   * Parses a payload.
    *
-   * @throws IllegalArgumentException saying what is wrong and where
+   * @throws IllegalArgumentException if the payload is invalid; the message says what is wrong and where
    */
   public static Payload parse(byte[] body) {
     Reader reader = new Reader();
@@ -95,10 +95,10 @@
       return name;
     }
 
-    private static double number(JsonParser in, String where, double most) throws IOException {
+    private static double number(JsonParser in, String where, double max) throws IOException {
       if (!in.currentToken().isNumeric()
-          || !(in.getDoubleValue() >= 0 && in.getDoubleValue() <= most)) {
-        throw new IllegalArgumentException(where + " is not a number from 0 to " + (long) most);
+          || !(in.getDoubleValue() >= 0 && in.getDoubleValue() <= max)) {
+        throw new IllegalArgumentException(where + " is not a number from 0 to " + (long) max);
       }
       return in.getDoubleValue();
     }
--- a/wire/src/main/java/gorseladder/wire/webhook/Secret.java
+++ b/wire/src/main/java/gorseladder/wire/webhook/Secret.java
@@ -14,52 +14,54 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * A key that signs or checks webhooks, by the Standard Webhooks specification, "Signature scheme": symmetric
- * {@code whsec_} keys give {@code v1} signatures (HMAC-SHA256); asymmetric keys give {@code v1a} (Ed25519, RFC 8032),
- * with {@code whsk_} for the 32-byte private seed and {@code whpk_} for the 32-byte public key, all in base64.
+ * A key that signs or verifies webhooks (Standard Webhooks specification, "Signature scheme"). Symmetric {@code whsec_}
+ * keys make {@code v1} signatures (HMAC-SHA256). Asymmetric keys make {@code v1a} signatures (Ed25519, RFC 8032):
+ * {@code whsk_} is the 32-byte private seed and {@code whpk_} the 32-byte public key. All keys are in base64.
  *
- * <p>Immutable; any thread. {@link #toString()} does not tell the key.
+ * <p>Immutable and thread safe. {@link #toString()} does not disclose the key.
  */
 public final class Secret {
-  private static final int LEAST_BYTES = 24;
-  private static final int MOST_BYTES = 64;
-  private static final byte[] PKCS8_ED25519 = hex("302e020100300506032b657004220420");
-  private static final byte[] X509_ED25519 = hex("302a300506032b6570032100");
+  private static final int MIN_KEY_BYTES = 24;
+  private static final int MAX_KEY_BYTES = 64;
+  /** ASN.1 encoding before the 32 key bytes of an Ed25519 key, private (PKCS #8) and public (X.509). */
+  private static final byte[] PKCS8_ED25519_PREFIX = hex("302e020100300506032b657004220420");
+
+  private static final byte[] X509_ED25519_PREFIX = hex("302a300506032b6570032100");
 
   private final SecretKeySpec symmetric;
-  private final PrivateKey signs;
-  private final PublicKey checks;
+  private final PrivateKey privateKey;
+  private final PublicKey publicKey;
 
-  private Secret(SecretKeySpec symmetric, PrivateKey signs, PublicKey checks) {
+  private Secret(SecretKeySpec symmetric, PrivateKey privateKey, PublicKey publicKey) {
     this.symmetric = symmetric;
-    this.signs = signs;
-    this.checks = checks;
+    this.privateKey = privateKey;
+    this.publicKey = publicKey;
   }
 
   /**
-   * Reads a key in its printed form.
+   * Parses a key in its text form.
    *
-   * @throws IllegalArgumentException with a reason that does not quote the key
+   * @throws IllegalArgumentException if the key is invalid; the message does not contain the key
    */
   public static Secret parse(String text) {
     try {
       if (text.startsWith("whsec_")) {
         byte[] key = Base64.getDecoder().decode(text.substring(6));
-        if (key.length < LEAST_BYTES || key.length > MOST_BYTES) {
+        if (key.length < MIN_KEY_BYTES || key.length > MAX_KEY_BYTES) {
           throw new IllegalArgumentException(
-              "a whsec_ key has " + LEAST_BYTES + " to " + MOST_BYTES + " bytes");
+              "a whsec_ key has " + MIN_KEY_BYTES + " to " + MAX_KEY_BYTES + " bytes");
         }
         return new Secret(new SecretKeySpec(key, "HmacSHA256"), null, null);
       }
       if (text.startsWith("whsk_")) {
-        byte[] der = join(PKCS8_ED25519, seed(text));
+        byte[] der = join(PKCS8_ED25519_PREFIX, ed25519KeyBytes(text));
         return new Secret(
             null,
             KeyFactory.getInstance("Ed25519").generatePrivate(new PKCS8EncodedKeySpec(der)),
             null);
       }
       if (text.startsWith("whpk_")) {
-        byte[] der = join(X509_ED25519, seed(text));
+        byte[] der = join(X509_ED25519_PREFIX, ed25519KeyBytes(text));
         return new Secret(
             null,
             null,
@@ -71,7 +73,7 @@
     throw new IllegalArgumentException("a key begins with whsec_, whsk_ or whpk_");
   }
 
-  private static byte[] seed(String text) {
+  private static byte[] ed25519KeyBytes(String text) {
     byte[] key = Base64.getDecoder().decode(text.substring(5));
     if (key.length != 32) {
       throw new IllegalArgumentException("an Ed25519 key has 32 bytes");
@@ -79,23 +81,28 @@
     return key;
   }
 
-  /** True where this key can check signatures. */
+  /** Returns true if this key can verify signatures: a {@code whsk_} key can only sign. */
   public boolean canCheck() {
-    return signs == null;
+    return privateKey == null;
   }
 
-  /** The signature with its version, for example {@code v1,K5oZ…}. */
+  /**
+   * Returns the signature with its version, for example {@code v1,K5oZ…}.
+   *
+   * @param timestamp seconds since the Unix epoch
+   * @throws IllegalStateException if this is a public key
+   */
   public String sign(String id, long timestamp, byte[] body) {
     byte[] content = content(id, timestamp, body);
     try {
       if (symmetric != null) {
         return "v1," + Base64.getEncoder().encodeToString(mac(content));
       }
-      if (signs == null) {
+      if (privateKey == null) {
         throw new IllegalStateException("a public key cannot sign");
       }
       Signature signature = Signature.getInstance("Ed25519");
-      signature.initSign(signs);
+      signature.initSign(privateKey);
       signature.update(content);
       return "v1a," + Base64.getEncoder().encodeToString(signature.sign());
     } catch (GeneralSecurityException e) {
@@ -103,29 +110,29 @@
     }
   }
 
-  /** True where one signature, with its version, is this key's over the message. Compares in constant time. */
+  /** Returns true if a signature with its version was made with this key. Compares in constant time. */
   boolean matches(String versioned, byte[] content) {
     int comma = versioned.indexOf(',');
     if (comma < 0) {
       return false;
     }
     String version = versioned.substring(0, comma);
-    byte[] given;
+    byte[] signatureBytes;
     try {
-      given = Base64.getDecoder()
+      signatureBytes = Base64.getDecoder()
           .decode(versioned.substring(comma + 1).getBytes(StandardCharsets.ISO_8859_1));
     } catch (IllegalArgumentException e) {
       return false;
     }
     try {
       if (version.equals("v1") && symmetric != null) {
-        return MessageDigest.isEqual(mac(content), given);
+        return MessageDigest.isEqual(mac(content), signatureBytes);
       }
-      if (version.equals("v1a") && checks != null) {
+      if (version.equals("v1a") && publicKey != null) {
         Signature signature = Signature.getInstance("Ed25519");
-        signature.initVerify(checks);
+        signature.initVerify(publicKey);
         signature.update(content);
-        return given.length == 64 && signature.verify(given);
+        return signatureBytes.length == 64 && signature.verify(signatureBytes);
       }
     } catch (GeneralSecurityException e) {
       return false;
@@ -139,14 +146,15 @@
     return mac.doFinal(content);
   }
 
+  /** Returns the bytes that are signed. */
   static byte[] content(String id, long timestamp, byte[] body) {
     return join((id + "." + timestamp + ".").getBytes(StandardCharsets.UTF_8), body);
   }
 
   private static byte[] join(byte[] a, byte[] b) {
-    byte[] both = java.util.Arrays.copyOf(a, a.length + b.length);
-    System.arraycopy(b, 0, both, a.length, b.length);
-    return both;
+    byte[] joined = java.util.Arrays.copyOf(a, a.length + b.length);
+    System.arraycopy(b, 0, joined, a.length, b.length);
+    return joined;
   }
 
   private static byte[] hex(String text) {
@@ -155,6 +163,6 @@
 
   @Override
   public String toString() {
-    return symmetric != null ? "whsec_…" : signs != null ? "whsk_…" : "whpk_…";
+    return symmetric != null ? "whsec_…" : privateKey != null ? "whsk_…" : "whpk_…";
   }
 }
--- a/wire/src/test/java/gorseladder/wire/BodyMemoryTest.java
+++ b/wire/src/test/java/gorseladder/wire/BodyMemoryTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The content of a message takes memory as it comes, and the parser tells how much before it does. */
+/** The content buffer grows with the bytes received, and the parser predicts its size. */
 class BodyMemoryTest {
-  private static final int MOST = 1 << 20;
-  private static final HttpLimits LIMITS = new HttpLimits(1_000, 10, 2_000, MOST);
-  private static final int STEP = 8_192;
+  private static final int MAX_BODY_BYTES = 1 << 20;
+  private static final HttpLimits LIMITS = new HttpLimits(1_000, 10, 2_000, MAX_BODY_BYTES);
+  private static final int CHUNK_BYTES = 8_192;
 
-  /** Three ways to tell where content ends. */
+  /** Covers the three ways to delimit content: by length, by chunks and by the end of the connection. */
   @ParameterizedTest
   @CsvSource({
     "'Content-Length: 1048576',''",
@@ -33,19 +33,21 @@
     BodyParser body = body(head.head());
     byte[] framing = before.getBytes(StandardCharsets.US_ASCII);
     body.feed(framing, 0, framing.length);
-    assertTrue(body.bufferBytes() <= 512, () -> body.bufferBytes() + " bytes for nothing");
-    byte[] step = new byte[STEP];
-    Arrays.fill(step, (byte) 'x');
-    int came = 0;
+    assertTrue(
+        body.bufferBytes() <= 512,
+        () -> body.bufferBytes() + " bytes allocated before any content arrived");
+    byte[] chunk = new byte[CHUNK_BYTES];
+    Arrays.fill(chunk, (byte) 'x');
+    int received = 0;
     for (int i = 0; i < 20; i++) {
-      int told = body.bufferBytesAfter(STEP);
-      came += body.feed(step, 0, STEP);
-      assertEquals(told, body.bufferBytes());
-      assertTrue(body.bufferBytes() <= 2 * came, () -> body.bufferBytes() + " bytes held");
+      int predicted = body.bufferBytesAfter(CHUNK_BYTES);
+      received += body.feed(chunk, 0, CHUNK_BYTES);
+      assertEquals(predicted, body.bufferBytes());
+      assertTrue(body.bufferBytes() <= 2 * received, () -> body.bufferBytes() + " bytes allocated");
     }
-    byte[] wanted = new byte[came];
-    Arrays.fill(wanted, (byte) 'x');
-    assertArrayEquals(wanted, body.content());
+    byte[] expected = new byte[received];
+    Arrays.fill(expected, (byte) 'x');
+    assertArrayEquals(expected, body.content());
     body.discard();
     assertEquals(0, body.bufferBytes());
   }
--- a/wire/src/test/java/gorseladder/wire/FastCgiTest.java
+++ b/wire/src/test/java/gorseladder/wire/FastCgiTest.java
@@ -24,20 +24,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class FastCgiTest {
-  /** Writes down what the parser hears, streams gathered. */
-  private static final class Notes implements RecordParser.Sink {
-    private final List<String> heard = new ArrayList<>();
+  /** Records the calls of the parser and collects the streams. */
+  private static final class RecordingSink implements RecordParser.Sink {
+    private final List<String> events = new ArrayList<>();
     private final ByteArrayOutputStream params = new ByteArrayOutputStream();
     private final ByteArrayOutputStream stdin = new ByteArrayOutputStream();
 
     @Override
     public void begin(int id, int role, boolean keepsConnection) {
-      heard.add("begin " + id + " " + role + " " + keepsConnection);
+      events.add("begin " + id + " " + role + " " + keepsConnection);
     }
 
     @Override
     public void abort(int id) {
-      heard.add("abort " + id);
+      events.add("abort " + id);
     }
 
     @Override
@@ -47,7 +47,7 @@
 
     @Override
     public void paramsEnd(int id) {
-      heard.add("params " + id);
+      events.add("params " + id);
     }
 
     @Override
@@ -57,28 +57,28 @@
 
     @Override
     public void stdinEnd(int id) {
-      heard.add("stdin " + id);
+      events.add("stdin " + id);
     }
 
     @Override
     public void getValues(byte[] content) {
-      heard.add("values " + content.length);
+      events.add("values " + content.length);
     }
 
     @Override
     public void unknownType(int type) {
-      heard.add("unknown " + type);
+      events.add("unknown " + type);
     }
   }
 
-  private static Notes parse(byte[] bytes, int step) throws BadRecord {
-    Notes notes = new Notes();
+  private static RecordingSink parse(byte[] bytes, int step) throws BadRecord {
+    RecordingSink sink = new RecordingSink();
     RecordParser parser = new RecordParser();
     for (int at = 0; at < bytes.length; at += step) {
-      parser.feed(bytes, at, Math.min(step, bytes.length - at), notes);
+      parser.feed(bytes, at, Math.min(step, bytes.length - at), sink);
     }
     assertTrue(parser.isBetweenRecords());
-    return notes;
+    return sink;
   }
 
   private static byte[] bytes(String hex) {
@@ -93,10 +93,10 @@
     byte[] body = "any \0 bytes".getBytes();
     byte[] sent = RecordWriter.request(259, true, params, body);
     for (int step = 1; step <= sent.length; step++) {
-      Notes notes = parse(sent, step);
-      assertEquals(List.of("begin 259 1 true", "params 259", "stdin 259"), notes.heard);
-      assertArrayEquals(body, notes.stdin.toByteArray());
-      assertEquals(params, NameValues.read(notes.params.toByteArray(), notes.params.size(), 10));
+      RecordingSink sink = parse(sent, step);
+      assertEquals(List.of("begin 259 1 true", "params 259", "stdin 259"), sink.events);
+      assertArrayEquals(body, sink.stdin.toByteArray());
+      assertEquals(params, NameValues.read(sink.params.toByteArray(), sink.params.size(), 10));
     }
   }
 
@@ -142,7 +142,7 @@
                 bytes(
                     "01 4d 0000 0002 00 00 abcd  01 02 0003 0000 00 00  01 09 0000 0000 01 00 ff"),
                 5)
-            .heard);
+            .events);
   }
 
   @ParameterizedTest
@@ -160,7 +160,7 @@
     assertThrows(BadRecord.class, () -> NameValues.read(pairs, pairs.length, 10));
   }
 
-  /** Whatever comes, it is read or refused: no other error, and no more kept than came. */
+  /** Any bytes are parsed or rejected with BadRecord, and no more is passed on than was fed. */
   @Property(tries = 500)
   void randomBytesAreReadOrRefused(
       @ForAll @Size(max = 300) byte[] bytes, @ForAll @IntRange(min = 1, max = 50) int step) {
@@ -168,16 +168,16 @@
       bytes[0] = 1;
       bytes[1] = (byte) (bytes[1] & 15);
     }
-    Notes notes = new Notes();
+    RecordingSink sink = new RecordingSink();
     try {
       RecordParser parser = new RecordParser();
       for (int at = 0; at < bytes.length; at += step) {
-        parser.feed(bytes, at, Math.min(step, bytes.length - at), notes);
+        parser.feed(bytes, at, Math.min(step, bytes.length - at), sink);
       }
       NameValues.read(bytes, bytes.length, 10);
     } catch (BadRecord e) {
       assertTrue(e.getMessage().length() > 0);
     }
-    assertTrue(notes.params.size() + notes.stdin.size() <= bytes.length);
+    assertTrue(sink.params.size() + sink.stdin.size() <= bytes.length);
   }
 }
--- a/wire/src/test/java/gorseladder/wire/Http1Test.java
+++ b/wire/src/test/java/gorseladder/wire/Http1Test.java
@@ -26,7 +26,7 @@
 
   private record Message(Head head, byte[] body) {}
 
-  /** Parses one request, feeding so many bytes at a time. */
+  /** Parses one request, fed in chunks of {@code step} bytes. */
   private static Message parse(String text, int step) throws BadMessage {
     byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
     HeadParser parser = HeadParser.forRequest(LIMITS);
@@ -67,7 +67,7 @@
     assertEquals("hello", new String(chunked.body(), StandardCharsets.US_ASCII));
   }
 
-  /** Forms in which two parsers may see two different requests. */
+  /** Header sections that two parsers could interpret as different requests. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -151,14 +151,14 @@
     return assertThrows(BadMessage.class, () -> parse(text, 1000)).fault();
   }
 
-  /** Whatever bytes come, the parser takes them or names a fault; it never fails otherwise and never takes too many. */
+  /** Any bytes are parsed or rejected with BadMessage, and no more bytes are used than were fed. */
   @Property(tries = 3000, seed = "42")
   void anyBytesAreTakenOrNamed(
-      @ForAll @Size(max = 300) byte[] bytes, @ForAll @IntRange(min = 0, max = 60) int cut) {
+      @ForAll @Size(max = 300) byte[] bytes, @ForAll @IntRange(min = 0, max = 60) int removed) {
     byte[] start = post("Transfer-Encoding: chunked\r\n", "5\r\nhello\r\n0\r\n\r\n")
         .getBytes(StandardCharsets.US_ASCII);
-    byte[] all =
-        java.util.Arrays.copyOf(start, start.length - Math.min(cut, start.length) + bytes.length);
+    byte[] all = java.util.Arrays.copyOf(
+        start, start.length - Math.min(removed, start.length) + bytes.length);
     System.arraycopy(bytes, 0, all, all.length - bytes.length, bytes.length);
     try {
       HeadParser head = HeadParser.forRequest(LIMITS);
@@ -174,7 +174,7 @@
     }
   }
 
-  /** Where the bytes are cut between reads makes no difference. */
+  /** The result does not depend on the sizes of the chunks. */
   @Property(tries = 500, seed = "43")
   void piecesMakeNoDifference(
       @ForAll @Size(max = 40) byte[] noise, @ForAll @IntRange(min = 1, max = 50) int step) {
@@ -186,8 +186,8 @@
 
   private static String result(String text, int step) {
     try {
-      Message m = parse(text, step);
-      return m.head().fields() + new String(m.body(), StandardCharsets.ISO_8859_1);
+      Message message = parse(text, step);
+      return message.head().fields() + new String(message.body(), StandardCharsets.ISO_8859_1);
     } catch (BadMessage e) {
       return e.getMessage();
     }
--- a/wire/src/test/java/gorseladder/wire/RunnerLinesTest.java
+++ b/wire/src/test/java/gorseladder/wire/RunnerLinesTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Lines between dispatchers, runners and the change log. */
+/** Codecs for the connections from a dispatcher to the runners and to the change log. */
 class RunnerLinesTest {
   private static byte[] ascii(String text) {
     return text.getBytes(StandardCharsets.ISO_8859_1);
@@ -146,7 +146,7 @@
         IllegalArgumentException.class, () -> parser.feed(new byte[11], 0, 11, line -> {}));
   }
 
-  /** Guards against memory that is given to bytes which an answer only announces. */
+  /** Guards against allocating the announced length of a body before its bytes arrive. */
   @Test
   void aBodyThatIsOnlyAnnouncedTakesNoMemory() throws BadAnswer {
     AnswerParser parser = new AnswerParser(1 << 20);
--- a/wire/src/test/java/gorseladder/wire/WebhookTest.java
+++ b/wire/src/test/java/gorseladder/wire/WebhookTest.java
@@ -36,25 +36,26 @@
         .check(BODY, java.util.Arrays.stream(keys).map(Secret::parse).toList(), now, 300);
   }
 
-  /** The specification project's own library signs and checks what this program checks and signs. */
+  /** Signatures are interchangeable with those of the specification project's own library. */
   @Test
   void agreesWithAnIndependentPeer() throws Exception {
     long now = System.currentTimeMillis() / 1000;
-    String theirs = new Webhook(KEY).sign("msg_p", now, new String(BODY, StandardCharsets.UTF_8));
-    String ours = Secret.parse(KEY).sign("msg_p", now, BODY);
-    assertEquals(theirs, ours);
+    String librarySignature =
+        new Webhook(KEY).sign("msg_p", now, new String(BODY, StandardCharsets.UTF_8));
+    String ownSignature = Secret.parse(KEY).sign("msg_p", now, BODY);
+    assertEquals(librarySignature, ownSignature);
     Map<String, List<String>> headers = Map.of(
         Delivery.ID,
         List.of("msg_p"),
         Delivery.TIMESTAMP,
         List.of(Long.toString(now)),
         Delivery.SIGNATURE,
-        List.of(ours));
+        List.of(ownSignature));
     assertDoesNotThrow(() -> new Webhook(KEY)
         .verify(new String(BODY, StandardCharsets.UTF_8), HttpHeaders.of(headers, (a, b) -> true)));
     assertEquals(
         Check.GOOD,
-        Delivery.of("msg_p", Long.toString(now), theirs)
+        Delivery.of("msg_p", Long.toString(now), librarySignature)
             .check(BODY, List.of(Secret.parse(KEY)), now, 300));
   }
 
@@ -82,19 +83,20 @@
     assertEquals(Check.BAD_SIGNATURE, check("v1,AAAA", 9999, KEY));
   }
 
-  /** Key pair and message of RFC 8032 section 7.1, test 1, wrapped as seed and public key. */
+  /** Uses the key pair of RFC 8032 section 7.1, test 1, as seed and public key. */
   @Test
   void asymmetricSignatures() {
     String seed =
         "whsk_" + base64("9d61b19deffd5a60ba844af492ec2cc44449c5697b326919703bac031cae7f60");
-    String open =
+    String publicKey =
         "whpk_" + base64("d75a980182b10ab7d54bfed3c964073a0ee172f3daa62325af021a68f707511a");
     String signature = Secret.parse(seed).sign("msg_1", 1000, BODY);
     assertTrue(signature.startsWith("v1a,"));
-    assertEquals(Check.GOOD, check(signature, 1000, open));
-    assertEquals(Check.BAD_SIGNATURE, check(signature.replace("v1a,", "v1,"), 1000, open, KEY));
+    assertEquals(Check.GOOD, check(signature, 1000, publicKey));
+    assertEquals(
+        Check.BAD_SIGNATURE, check(signature.replace("v1a,", "v1,"), 1000, publicKey, KEY));
     assertFalse(Secret.parse(seed).canCheck());
-    assertThrows(IllegalStateException.class, () -> Secret.parse(open).sign("m", 1, BODY));
+    assertThrows(IllegalStateException.class, () -> Secret.parse(publicKey).sign("m", 1, BODY));
   }
 
   private static String base64(String hex) {
@@ -133,9 +135,9 @@
   @ParameterizedTest
   @ValueSource(strings = {"", "whsec_", "whsec_AAAA", "whsec_%%%", "key", "whpk_AAAA"})
   void unusableKeysAreNamedWithoutQuotingThem(String key) {
-    String why =
+    String message =
         assertThrows(IllegalArgumentException.class, () -> Secret.parse(key)).getMessage();
-    assertFalse(!key.isEmpty() && why.contains(key) && key.length() > 6);
+    assertFalse(!key.isEmpty() && message.contains(key) && key.length() > 6);
     assertEquals("whsec_…", Secret.parse(KEY).toString());
   }
 
@@ -148,11 +150,11 @@
 
   @Test
   void payloads() {
-    Payload p = Payload.parse(
+    Payload payload = Payload.parse(
         "{\"type\":\"a\",\"x\":[{}],\"data\":{\"function\":\"f/1\",\"lanes\":2,\"load_ms\":5,"
             .concat("\"memory_mb\":1.5,\"deep\":{\"function\":\"no\"}}}")
             .getBytes(StandardCharsets.UTF_8));
-    assertEquals(new Payload("a", "f/1", 1.5, 2, 5), p);
+    assertEquals(new Payload("a", "f/1", 1.5, 2, 5), payload);
     for (String bad : new String[] {
       "",
       "[]",
