--- a/decisions/src/test/java/gorseladder/EmbeddingTest.java
+++ b/decisions/src/test/java/gorseladder/EmbeddingTest.java
@@ -23,7 +23,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The README's example: a program that embeds the router, and what it owes for each action. */
+/** The README's example of a program that embeds the router and carries out its actions. */
 class EmbeddingTest {
   private final List<String> done = new ArrayList<>();
 
--- a/decisions/src/test/java/gorseladder/LargeFleetTest.java
+++ b/decisions/src/test/java/gorseladder/LargeFleetTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The router over fleets far larger than the bench's: work and state are counted, not timed. */
+/** Tests the router with very large fleets; work and state are counted, not timed. */
 class LargeFleetTest {
   private static final long MILLISECOND = 1_000;
   private static final long SECOND = 1_000 * MILLISECOND;
@@ -42,7 +42,7 @@
   private static final int CELLS = 64;
   /** The last place that 16 bits can hold. */
   private static final int LAST_OF_16_BITS = 65_535;
-  /** Workers that a call may look at, {@code Router.MAX_CANDIDATES}. */
+  /** Workers that a call may examine, {@code Router.MAX_CANDIDATES}. */
   private static final int MAX_CANDIDATES = 256;
 
   private final Router router = new Router(TestSites.settings(true, false), 1);
@@ -58,9 +58,9 @@
     return Integer.parseInt(worker.substring("worker".length()));
   }
 
-  private static WorkerEntry entry(int worker, Phase phase, double weight, long born) {
+  private static WorkerEntry entry(int worker, Phase phase, double weight, long startedAt) {
     return new WorkerEntry(
-        name(worker), "zone" + worker % ZONES, worker / ZONES % CELLS, phase, weight, born);
+        name(worker), "zone" + worker % ZONES, worker / ZONES % CELLS, phase, weight, startedAt);
   }
 
   private static WorkerEntry running(int worker) {
@@ -83,7 +83,7 @@
     tell(router, ListKind.FULL, fleet);
   }
 
-  /** Makes a call; returns where it was sent, null where it waits. */
+  /** Makes a call; returns the worker that it was sent to, or null if it waits. */
   private String call(Router to, String requestClass, String function) {
     lastCall++;
     functions.put(lastCall, function);
@@ -107,7 +107,7 @@
         .orElse(null);
   }
 
-  /** Ends an attempt; returns where the call was sent then, null where nowhere. */
+  /** Ends an attempt; returns the worker that the call was then sent to, or null if there is none. */
   private String answer(long id, int attempt, String worker, Outcome outcome) {
     List<Action> actions = new ArrayList<>();
     boolean served = outcome == Outcome.OK;
@@ -127,7 +127,7 @@
     return sentTo(actions);
   }
 
-  /** Makes a call that is served; returns where. */
+  /** Makes a call that is served; returns its worker. */
   private String served(String function) {
     String worker = call(function);
     if (worker != null) {
@@ -137,8 +137,8 @@
   }
 
   /**
-   * Guards against a shared order that packs a worker's place into 16 bits: without the mend 0 of
-   * 40 calls reach past place 65,535, where 64 in 100 of the fleet stand.
+   * A shared order with 16-bit places never reaches the 64 percent of this fleet behind place 65,535 (0 of 40 calls
+   * before the fix).
    */
   @Test
   void callsReachWorkersPastThe16BitPlaces() {
@@ -151,11 +151,11 @@
     assertTrue(reached * 2 > calls, reached + " of " + calls + " past place " + LAST_OF_16_BITS);
   }
 
-  /** Workers looked at for a call: of new functions, then of known ones. */
+  /** Workers examined by calls of new functions, then of known ones. */
   private static long[] examinedByCalls(int workers) {
     LargeFleetTest fleet = new LargeFleetTest();
     fleet.tell(fleet(workers, LargeFleetTest::running));
-    long begun = fleet.router.workersExamined();
+    long before = fleet.router.workersExamined();
     for (int call = 0; call < 200; call++) {
       fleet.served("function" + call);
     }
@@ -163,10 +163,10 @@
     for (int call = 0; call < 200; call++) {
       fleet.served("function" + call);
     }
-    return new long[] {between - begun, fleet.router.workersExamined() - between};
+    return new long[] {between - before, fleet.router.workersExamined() - between};
   }
 
-  /** Without the index a call of a new function looks at three times the fleet, and again at twice. */
+  /** Without the index a call of a new function examines three times the fleet, and the next call twice the fleet. */
   @Test
   void aCallLooksAtAsManyWorkersInAnyFleet() {
     long[] small = examinedByCalls(240);
@@ -185,7 +185,7 @@
     return fleet.router.workersExamined() - before;
   }
 
-  /** Without the kept counts a change of one worker looks at the whole list. */
+  /** Without running totals a change of one worker examines the whole list. */
   @Test
   void aChangeTouchesWhatBelongsToItInAnyFleet() {
     long small = examinedByChange(240, List.of(gone(3)));
@@ -195,7 +195,7 @@
     assertTrue(many <= 2 * 10_000 * small, "one: " + small + ", ten thousand: " + many);
   }
 
-  /** What is kept of a function grows with what is believed of it, not with the fleet. */
+  /** The state of a function does not depend on the size of the fleet. */
   @Test
   void theStateOfAFunctionDoesNotGrowWithTheFleet() {
     for (int workers : new int[] {240, 24_000}) {
@@ -219,10 +219,10 @@
     assertTrue(router.workersExamined() - examined <= 2 * 5_000);
     examined = router.workersExamined();
     assertEquals(before, served("function"));
-    assertTrue(router.workersExamined() - examined <= 4, "the order was begun anew");
+    assertTrue(router.workersExamined() - examined <= 4, "the candidates were fetched anew");
   }
 
-  /** A function that 500 workers are needed for uses them, at a bounded cost a call, beside idle ones. */
+  /** A function that needs 500 workers uses them, at a bounded cost per call, beside idle functions. */
   @Test
   void aHotFunctionUsesAWideHome() {
     tell(fleet(24_000, LargeFleetTest::running));
@@ -251,7 +251,7 @@
     assertTrue(used.size() >= 300, used.size() + " workers used");
   }
 
-  /** A zone of 9,474 workers goes and comes back cold within 5 s, as single events or one list, while calls come. */
+  /** A zone of 9,474 workers leaves and returns cold within 5 s, as single updates or one list, during calls. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void aZoneGoesAndComesBackCold(boolean singly) {
@@ -266,8 +266,8 @@
       assertFalse(zone.contains(number(served("away" + call))));
     }
     now += 5 * SECOND;
-    long born = now;
-    change(zone.stream().map(w -> entry(w, Phase.RUNNING, 1, born)).toList(), singly);
+    long startedAt = now;
+    change(zone.stream().map(w -> entry(w, Phase.RUNNING, 1, startedAt)).toList(), singly);
     long examined = router.workersExamined() - before;
     int calls = singly ? 2 * zone.size() : 2;
     assertTrue(examined <= 8L * 2 * zone.size() + (calls + 300) * 400L, examined + " examined");
@@ -302,7 +302,7 @@
     assertEquals(0, router.fallThroughs());
   }
 
-  /** Workers in the order of a function. */
+  /** The workers in the shared order of a function. */
   private static List<Integer> order(String function, int count) {
     Map<Integer, Double> keys = new HashMap<>();
     for (int worker = 0; worker < count; worker++) {
@@ -311,7 +311,7 @@
     return keys.keySet().stream().sorted(Comparator.comparingDouble(keys::get)).toList();
   }
 
-  /** All candidates of a function drain: a call looks through a part of the fleet, and that is counted. */
+  /** If all candidates of a function drain, a call scans a part of the fleet, and the scan is counted. */
   @Test
   void aCallWhoseCandidatesAllDrainFallsThroughToTheFleet() {
     int count = 3_000;
@@ -327,7 +327,7 @@
     assertTrue(examined <= 16 * MAX_CANDIDATES, examined + " examined");
   }
 
-  /** Where most of the fleet fails the signal is distrusted, and calls go on. */
+  /** If most of the fleet is suspect, suspicion is ignored and calls go on. */
   @Test
   void mostOfTheFleetMayBeSuspect() {
     int count = 2_000;
@@ -345,7 +345,7 @@
     assertTrue(sent > 150, sent + " of 200 calls were sent");
   }
 
-  /** A keyed call that is out at a worker, and the other workers of that worker's zone. */
+  /** A keyed call outstanding at a worker, and the other workers of that worker's zone. */
   private record KeyedCall(long id, String worker, List<Integer> othersOfItsZone) {}
 
   private KeyedCall keyedCall(int workers) {
@@ -359,15 +359,15 @@
     return new KeyedCall(lastCall, worker, others);
   }
 
-  private void lose(List<Integer> workers) {
+  private void remove(List<Integer> workers) {
     tell(router, ListKind.DELTA, workers.stream().map(LargeFleetTest::gone).toList());
   }
 
-  /** A keyed repeat stays in its zone: where nobody is left there it waits, at a bounded cost. */
+  /** A keyed repeat stays in its zone: if no worker is left there it waits, at a bounded cost. */
   @Test
   void aKeyedRepeatWhoseZoneIsEmptyWaits() {
     KeyedCall call = keyedCall(5_700);
-    lose(call.othersOfItsZone());
+    remove(call.othersOfItsZone());
     tell(router, ListKind.DELTA, List.of(entry(number(call.worker()), Phase.DRAINING, 1, 0)));
     long before = router.workersExamined();
     assertNull(answer(call.id(), 0, call.worker(), Outcome.RESET));
@@ -376,12 +376,12 @@
     assertTrue(router.fallThroughs() > 0);
   }
 
-  /** The last worker of a zone is found for a keyed repeat, if not at once then by looking on. */
+  /** A keyed repeat finds the last worker of its zone, if not at once then in a later scan. */
   @Test
   void aKeyedRepeatFindsTheLastWorkerOfItsZone() {
     KeyedCall call = keyedCall(5_700);
     int last = call.othersOfItsZone().size() - 1;
-    lose(call.othersOfItsZone().subList(0, last));
+    remove(call.othersOfItsZone().subList(0, last));
     String second = answer(call.id(), 0, call.worker(), Outcome.RESET);
     for (int look = 0; look < 60 && second == null; look++) {
       now += 25 * MILLISECOND;
@@ -392,7 +392,7 @@
     assertEquals(name(call.othersOfItsZone().get(last)), second);
   }
 
-  /** A dispatcher that knows nothing but the list sends a function first where the others look first. */
+  /** A dispatcher that knows only the list chooses the same first worker for a function as the others. */
   @Test
   void aDispatcherThatRestartsAgreesWithTheOthers() {
     List<WorkerEntry> list = new ArrayList<>(fleet(5_000, LargeFleetTest::running));
@@ -405,7 +405,7 @@
     }
   }
 
-  /** Lists that differ by a thousand of 24,000 workers: at least 1 - 2d/W of the functions start alike. */
+  /** If lists differ by d of W workers, at least 1 - 2d/W of the functions start at the same worker. */
   @Test
   void listsThatDifferByAThousandAgreeOnNearlyAllFunctions() {
     tell(fleet(24_000, LargeFleetTest::running));
@@ -418,7 +418,7 @@
     assertTrue(agree >= 1_000 * (1 - 2 * 1_000 / 24_000.0 - 0.02), agree + " of 1,000 agree");
   }
 
-  /** Two workers whose 32-bit hashes are equal both get calls. */
+  /** Two workers with equal 32-bit hashes both get calls. */
   @Test
   void workersOfOne32BitHashBothGetCalls() {
     assertEquals("Aa".hashCode(), "BB".hashCode());
--- a/decisions/src/test/java/gorseladder/ModuleSizeTest.java
+++ b/decisions/src/test/java/gorseladder/ModuleSizeTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The module stays readable for its auditor. */
+/** Limits the size of the router's source, so that it can be reviewed as a whole. */
 class ModuleSizeTest {
   @Test
   void moduleIsShortAndNarrow() throws IOException {
--- a/decisions/src/test/java/gorseladder/RouterTest.java
+++ b/decisions/src/test/java/gorseladder/RouterTest.java
@@ -35,7 +35,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Scripted events in, actions out: one test for each rule, outcome and guard. */
+/** Unit tests of the router: each sends a sequence of events and checks the actions. */
 class RouterTest {
   private static final long MS = 1000;
   private static final long SECOND = 1000 * MS;
@@ -82,13 +82,13 @@
     return got(Send.class).get(0).worker();
   }
 
-  /** Takes a call whose home turns out to be cold. */
+  /** Makes a call whose home has no copy. */
   private void missEverywhere(long id, String function) {
     request(id, "safe", function);
     answer(id, 0, sentTo(), Outcome.MISS);
   }
 
-  /** Serves one call of the function so that its worker is believed warm. */
+  /** Makes a call that is served, so that its worker is known to be warm. */
   private String warmUp(long id, String function) {
     request(id, "safe", function);
     String worker = sentTo();
@@ -106,10 +106,7 @@
     }
   }
 
-  /**
-   * A call that waits for an order and whose client leaves meanwhile is not sent when the copy stands, nor loaded for
-   * again.
-   */
+  /** A call that waits for a load order is neither sent nor loaded for again once its client has left. */
   @Test
   void aCallWhoseClientLeftIsNotSentWhenItsOrderEnds() {
     start(false, false, running("a"), running("b"));
@@ -122,7 +119,7 @@
     assertTrue(got(Send.class).isEmpty() && got(Load.class).isEmpty());
   }
 
-  /** A process about to end answers what it holds: refused where that is harmless, else failed, and once. */
+  /** A process about to stop answers every open call once: refused if that is harmless, else failed. */
   @Test
   void timeUpAnswersAtOnceAndOnce() {
     start(true, false, running("a"), running("b"));
@@ -178,7 +175,7 @@
     assertEquals(home, sentTo());
     Send sent = got(Send.class).get(0);
     answer(sent.id(), sent.id() == 1 ? 1 : 0, home, Outcome.MISS);
-    assertEquals(1, got(Load.class).size(), "a miss strikes the belief and orders again");
+    assertEquals(1, got(Load.class).size(), "a miss discards the copy and orders it again");
   }
 
   @Test
@@ -224,7 +221,8 @@
     now += 1500 * MS;
     answer(1, 1, "b".equals(first) ? "a" : "b", Outcome.RESET);
     assertTrue(got(Send.class).isEmpty());
-    assertEquals(1, got(Fail.class).size(), "zone group: a refusal would promise too much");
+    assertEquals(
+        1, got(Fail.class).size(), "zone group: a refusal would claim that a repeat is harmless");
   }
 
   @Test
@@ -295,7 +293,8 @@
     tell(new WorkerListUpdate(ListKind.DELTA, List.of(TestSites.entry("a", Phase.RUNNING, now))));
     now += 100 * MS;
     request(2, "safe", "f");
-    assertTrue(got(Send.class).isEmpty(), "believed empty after the restart, and cold");
+    assertTrue(
+        got(Send.class).isEmpty(), "no copy is assumed after the restart, and the worker is cold");
   }
 
   @Test
@@ -310,7 +309,7 @@
     assertTrue(orders > 2);
   }
 
-  /** Many dispatchers that see little share one cold worker: their sum must stay under the rule. */
+  /** Many dispatchers with few calls each share one cold worker: their sum must respect the limit. */
   @Test
   void manyDispatchersTogetherSpareAColdWorker() {
     int dispatchers = 200;
@@ -339,11 +338,11 @@
               a -> sent[0] += a instanceof Send s && s.worker().equals("cold") ? 1 : 0);
     }
     double capacity = 1e6 / (200 * MS);
-    double most = 2.5 * 0.2 * capacity * window / 1e6;
-    assertTrue(sent[0] <= most, "sent " + sent[0] + " of 150, allowed " + most);
+    double limit = 2.5 * 0.2 * capacity * window / 1e6;
+    assertTrue(sent[0] <= limit, "sent " + sent[0] + " of 150, allowed " + limit);
   }
 
-  /** Guards against each dispatcher paying for its own discovery of a sick worker. */
+  /** Peers share the discovery of a suspect worker, so that not each dispatcher loses calls to it. */
   @Test
   void sickWorkerIsToldOnceAndShunnedAfterTwoMessages() {
     router = new Router(TestSites.settings(true, false, 50), 1);
@@ -370,10 +369,11 @@
     assertTrue(done.stream().anyMatch(a -> a instanceof Send));
     assertTrue(done.stream().noneMatch(a -> a instanceof Send s && s.worker().equals(bad)));
     assertTrue(
-        done.stream().noneMatch(a -> a instanceof RouterApi.TellPeers), "hearsay is not passed on");
+        done.stream().noneMatch(a -> a instanceof RouterApi.TellPeers),
+        "a reported suspicion is not passed on");
   }
 
-  /** Guards against a hot function that all dispatchers together pile onto one worker. */
+  /** Without reported concurrency all dispatchers together overload one worker with a hot function. */
   @Test
   void crowdsWidenTheHomeOfAFunction() {
     router = new Router(TestSites.settings(true, false, 50), 1);
@@ -390,7 +390,7 @@
     assertTrue(used.size() > 2, "spread over " + used);
   }
 
-  /** Guards against lanes that hold a crowd and never answer: calls still out must show the need. */
+  /** Overloaded lanes may never answer: outstanding calls alone must widen the home. */
   @Test
   void callsThatStayOutWidenTheHomeWithoutAnyAnswer() {
     router = new Router(TestSites.settings(true, false, 50), 1);
@@ -412,7 +412,7 @@
     assertTrue(used.size() > 1, "spread over " + used);
   }
 
-  /** Guards against second tries that feed the queues they flee from. */
+  /** At most one second attempt per call, since more would lengthen the queues that cause them. */
   @Test
   void secondTriesGoOneAtATime() {
     start(true, true, running("a"), running("b"), running("c"), running("d"));
@@ -438,7 +438,7 @@
     assertTrue(most == 2, "a second try, but no third: " + most);
   }
 
-  /** Guards against a fleet that holds more than it can run: calls are turned away before they queue. */
+  /** If the fleet holds more calls than it can run, calls are shed before they queue. */
   @Test
   void strainShedsCallsAndEnds() {
     start(true, false, running("a"), running("b"));
@@ -462,7 +462,7 @@
     sentTo();
   }
 
-  /** Hundreds of calls that their clients take back at once say nothing of the fleet: others are still served. */
+  /** Calls that clients cancel at once do not indicate overload and must not cause shedding. */
   @Test
   void callsWithdrawnAtOnceDoNotShedOthers() {
     start(true, false, running("a"), running("b"), running("c"));
@@ -484,7 +484,7 @@
     assertEquals(0, refused);
   }
 
-  /** Rare functions that find no memory for a copy must not shed the calls of those that are served well. */
+  /** Rare functions that find no memory for a copy must not shed calls of functions that are served well. */
   @Test
   void noRoomForACopyIsNoStrainButFullLanesAre() {
     for (int crowd = 0; crowd < 2; crowd++) {
@@ -517,7 +517,7 @@
     }
   }
 
-  /** A call that fails at every worker speaks of itself: it must not make them all suspect. */
+  /** A call that fails at every worker is itself at fault: it must not make all workers suspect. */
   @Test
   void aCallThatFailsEverywhereMakesNobodySuspectButTheFirst() {
     start(true, false, running("a"), running("b"), running("c"), running("d"));
@@ -540,7 +540,7 @@
     assertTrue(used.size() >= 3, "used " + used);
   }
 
-  /** Guards against state that outlives its use: one-off functions are forgotten. */
+  /** Functions that are called once are forgotten; without this the state grows without bound. */
   @Test
   void oneOffFunctionsAreForgotten() throws ReflectiveOperationException {
     start(true, false, running("a"), running("b"));
@@ -590,7 +590,7 @@
     request(1, "safe", "f");
     answer(1, 0, "a", Outcome.RESET);
     request(2, "unsafe", "g");
-    assertEquals("a", sentTo(), "the signal is distrusted when it would empty the fleet");
+    assertEquals("a", sentTo(), "suspicion is ignored if it would exclude the whole fleet");
   }
 
   @Test
@@ -641,7 +641,7 @@
     assertEquals(List.of(new RouterApi.SubscribeWorkerList()), actions);
   }
 
-  /** Whatever comes late or is unknown neither throws nor sends. */
+  /** Late or unknown events neither throw nor cause a send. */
   @Test
   void oddEventsAreHarmless() {
     start(false, false, running("a"));
@@ -692,38 +692,36 @@
     assertThrows(IllegalArgumentException.class, () -> new Router(null, 1));
   }
 
-  private static PlannedLoad hold(String worker, String function) {
+  private static PlannedLoad plannedLoad(String worker, String function) {
     return new PlannedLoad(worker, function, 1, 1, 500 * MS);
   }
 
-  /** A copy held by a plan is believed warm once it stands, so the next call goes there. */
+  /** A copy that a plan has loaded is known to be warm, so the next call goes there. */
   @Test
   void planOrdersACopyAndCallsFindIt() {
     start(false, false, running("a"), running("b"), running("c"));
-    tell(hold("b", "f"));
+    tell(plannedLoad("b", "f"));
     assertEquals(new Load("b", "f", 1), got(Load.class).get(0));
-    tell(hold("b", "f"));
+    tell(plannedLoad("b", "f"));
     assertTrue(got(Load.class).isEmpty(), "one order outstanding at most");
     now += 500 * MS;
     tell(new Loaded("b", "f", 1, Outcome.OK, 500 * MS));
-    tell(hold("b", "f"));
-    assertTrue(got(Load.class).isEmpty(), "it stands and is fresh");
+    tell(plannedLoad("b", "f"));
+    assertTrue(got(Load.class).isEmpty(), "the copy is loaded and fresh");
     request(1, "safe", "f");
     if (!sentTo().equals("b")) {
       answer(1, 0, sentTo(), Outcome.MISS);
     }
     assertEquals(
-        "b",
-        sentTo(),
-        "the first of the shared order or the copy that stands; after a miss the latter");
+        "b", sentTo(), "the first of the shared order or the loaded copy; after a miss the latter");
     now += 100 * MS;
     answer(1, got(Send.class).isEmpty() ? 0 : 1, "b", Outcome.OK);
     now += 6 * SECOND;
-    tell(hold("b", "f"));
-    assertEquals(1, got(Load.class).size(), "held anew before its keep-alive ends");
+    tell(plannedLoad("b", "f"));
+    assertEquals(1, got(Load.class).size(), "renewed before its keep-alive ends");
   }
 
-  /** Rules 3 to 5 hold for plans too, and calls come first. */
+  /** Plans respect drains, cold workers and the load ration, and calls have priority. */
   @Test
   void planYieldsToDrainsColdWorkersWaitingCallsAndTheRation() {
     start(
@@ -732,24 +730,24 @@
         running("a"),
         TestSites.entry("drains", Phase.DRAINING, 0),
         TestSites.entry("cold", Phase.RUNNING, now));
-    tell(hold("drains", "f"));
-    tell(hold("cold", "f"));
-    tell(hold("unknown", "f"));
+    tell(plannedLoad("drains", "f"));
+    tell(plannedLoad("cold", "f"));
+    tell(plannedLoad("unknown", "f"));
     assertTrue(actions.isEmpty());
-    tell(hold("a", "f1"));
-    assertEquals(1, got(Load.class).size(), "half of two free orders");
-    tell(hold("a", "f2"));
-    assertTrue(got(Load.class).isEmpty(), "the other half is left for calls");
+    tell(plannedLoad("a", "f1"));
+    assertEquals(1, got(Load.class).size(), "a plan may use half of the two free orders");
+    tell(plannedLoad("a", "f2"));
+    assertTrue(got(Load.class).isEmpty(), "the other half is reserved for calls");
     request(1, "safe", functionThatStartsAt("drains", "a", "cold"));
     assertEquals(1, got(Load.class).size(), "a call in need still gets its order");
     now += 6 * SECOND;
-    tell(hold("a", "f2"));
+    tell(plannedLoad("a", "f2"));
     assertTrue(got(Load.class).isEmpty(), "a call waits");
   }
 
   /**
-   * Seen on a simulated day: a keyed call's first attempt was out beside a second one, proved not to have run, and the
-   * call was sent a third time after the first one's window.
+   * Two attempts of a keyed call were outstanding, the first proved not to have run, and the call was sent a third time
+   * after the repeat window of the first (seen on a simulated day).
    */
   @Test
   void theWindowOfAnAttemptThatWasOutBesideAnotherCountsThoughItNeverRan() {
@@ -766,7 +764,7 @@
     assertEquals(1, got(Fail.class).size());
   }
 
-  /** A function whose shared order begins with the first of these workers. */
+  /** A function whose shared order begins with the first of the given workers. */
   private static String functionThatStartsAt(String first, String... others) {
     return Stream.iterate(0, i -> i + 1)
         .map(i -> "function" + i)
@@ -776,7 +774,7 @@
         .orElseThrow();
   }
 
-  /** Planners and dispatchers look at the same worker first. */
+  /** Planners and dispatchers derive the same first worker. */
   @Test
   void sharedOrderIsTheOneThatPlannersSee() {
     for (int i = 0; i < 20; i++) {
--- a/decisions/src/test/java/gorseladder/TestSites.java
+++ b/decisions/src/test/java/gorseladder/TestSites.java
@@ -10,7 +10,7 @@
 import gorseladder.RouterApi.WorkerEntry;
 import java.util.List;
 
-/** Settings and list entries that the tests share. */
+/** Settings and worker list entries for tests. */
 final class TestSites {
   private TestSites() {}
 
@@ -42,7 +42,7 @@
         List.of());
   }
 
-  static WorkerEntry entry(String id, Phase phase, long born) {
-    return new WorkerEntry(id, "z", 1, phase, 1, born);
+  static WorkerEntry entry(String id, Phase phase, long startedAt) {
+    return new WorkerEntry(id, "z", 1, phase, 1, startedAt);
   }
 }
--- a/decisions/src/test/java/gorseladder/gate/SendGateTest.java
+++ b/decisions/src/test/java/gorseladder/gate/SendGateTest.java
@@ -23,12 +23,12 @@
     assertFalse(gate.maySendLoadOrder("w", 0, 101).allowed());
     assertTrue(gate.maySendCall("v"));
     gate.phaseReported("w", Phase.RUNNING, 90);
-    assertFalse(gate.maySendCall("w"), "older news opened it");
+    assertFalse(gate.maySendCall("w"), "an older report opened it");
     gate.phaseReported("w", Phase.RUNNING, 200);
     assertTrue(gate.maySendCall("w"));
     gate.phaseReported("v", Phase.GONE, 250);
     gate.phaseReported("v", Phase.RUNNING, 250);
-    assertTrue(gate.maySendCall("v"), "gone and back in one go");
+    assertTrue(gate.maySendCall("v"), "gone and back in one report");
     gate.phaseReported("w", Phase.GONE, 300);
     gate.phaseReported("u", Phase.GONE, 300);
     gate.retainWorkers(worker -> worker.equals("u"));
@@ -38,7 +38,7 @@
     assertEquals(1, gate.refusedOrders());
   }
 
-  /** Against a count over all that happened: no window ever holds more orders than few plus share of calls. */
+  /** The ration holds in every window and not only in total: free orders plus a share of the calls. */
   @Test
   void theRationHoldsInEveryWindow() {
     Random random = new Random(4);
--- a/decisions/src/test/java/gorseladder/permits/PermitsTest.java
+++ b/decisions/src/test/java/gorseladder/permits/PermitsTest.java
@@ -15,16 +15,18 @@
 
   @Test
   void anAttemptLeavesOnlyWhereNothingStandsAgainstIt() {
-    Verdict may = Verdict.ALLOWED;
-    assertEquals(may, send(new Sending(false, 1_001, false, false, 1_000, may)));
-    assertEquals(Verdict.CALL_ENDED, send(new Sending(true, 1_001, true, true, 0, may)));
-    assertEquals(Verdict.TIME_UP, send(new Sending(false, 1_000, false, false, 0, may)));
-    assertEquals(Verdict.DRAINING, send(new Sending(false, 2_000, true, false, 0, may)));
-    assertEquals(Verdict.WORKER_RESTARTED, send(new Sending(false, 2_000, false, true, 0, may)));
+    Verdict allowed = Verdict.ALLOWED;
+    assertEquals(allowed, send(new Sending(false, 1_001, false, false, 1_000, allowed)));
+    assertEquals(Verdict.CALL_ENDED, send(new Sending(true, 1_001, true, true, 0, allowed)));
+    assertEquals(Verdict.TIME_UP, send(new Sending(false, 1_000, false, false, 0, allowed)));
+    assertEquals(Verdict.DRAINING, send(new Sending(false, 2_000, true, false, 0, allowed)));
+    assertEquals(
+        Verdict.WORKER_RESTARTED, send(new Sending(false, 2_000, false, true, 0, allowed)));
     assertEquals(
         Verdict.WINDOW_OVER,
         send(new Sending(false, 2_000, false, false, 2_000, Verdict.WINDOW_OVER)));
-    assertEquals(Verdict.CLIENT_UNSEEN, send(new Sending(false, 2_000, false, false, 1_001, may)));
+    assertEquals(
+        Verdict.CLIENT_UNSEEN, send(new Sending(false, 2_000, false, false, 1_001, allowed)));
   }
 
   @Test
--- a/decisions/src/test/java/gorseladder/rules/RuleWatchTest.java
+++ b/decisions/src/test/java/gorseladder/rules/RuleWatchTest.java
@@ -18,7 +18,7 @@
 
   private final RuleWatch watch = new RuleWatch();
 
-  /** An attempt that keeps every rule, but for what is told here. */
+  /** Checks an attempt that violates no rule except through the given values. */
   private Set<Rule> written(
       long drainAt, long restartAt, long goneAt, long passed, Effect effect, Other... others) {
     return watch.written(new Written(
--- a/decisions/src/test/java/gorseladder/stalls/StallWatchTest.java
+++ b/decisions/src/test/java/gorseladder/stalls/StallWatchTest.java
@@ -6,7 +6,7 @@
 
 class StallWatchTest {
   private static final long START = 1_000_000;
-  private static final long STOOD = 900_000;
+  private static final long PAUSE = 900_000;
 
   private final StallWatch watch = new StallWatch(START);
 
@@ -19,17 +19,17 @@
     }
   }
 
-  /** Whoever asks first after a pause, the tick or a reader: what is read soon after counts as come when it began. */
+  /** The next tick or read detects a pause; what is read soon after it counts as arrived when it began. */
   @Test
   void whatIsReadSoonAfterAPauseMayHaveComeWhenItBegan() {
-    long woke = START + STOOD;
-    assertEquals(START, watch.earliestArrival(woke));
-    assertEquals(woke + StallWatch.SETTLE_MICROS, watch.settledAt(woke + 1_000));
-    assertEquals(0, watch.tick(woke + 2_000));
-    assertEquals(START, watch.earliestArrival(woke + StallWatch.SETTLE_MICROS - 1));
-    long later = woke + StallWatch.SETTLE_MICROS;
+    long resumedAt = START + PAUSE;
+    assertEquals(START, watch.earliestArrival(resumedAt));
+    assertEquals(resumedAt + StallWatch.SETTLE_MICROS, watch.settledAt(resumedAt + 1_000));
+    assertEquals(0, watch.tick(resumedAt + 2_000));
+    assertEquals(START, watch.earliestArrival(resumedAt + StallWatch.SETTLE_MICROS - 1));
+    long later = resumedAt + StallWatch.SETTLE_MICROS;
     assertEquals(later, watch.earliestArrival(later));
-    assertEquals(0, watch.tick(woke + 27_000));
-    assertEquals(STOOD, watch.tick(woke + 27_000 + STOOD));
+    assertEquals(0, watch.tick(resumedAt + 27_000));
+    assertEquals(PAUSE, watch.tick(resumedAt + 27_000 + PAUSE));
   }
 }
