--- a/core/src/main/java/gorseladder/core/Call.java
+++ b/core/src/main/java/gorseladder/core/Call.java
@@ -74,7 +74,7 @@
       return listUpdatesAtDecision;
     }
 
-    private boolean isOut() {
+    private boolean isInProgress() {
       return sentAt > 0 && outcome == null;
     }
 
@@ -89,7 +89,7 @@
    * @param expiresAt when the attempt times out
    * @param draining true if the worker is draining or gone
    * @param restartedSince true if the worker started after the attempt was decided
-   * @param clientSeenFrom from when on the process knows what its clients did during its last stall; 0 without a stall
+   * @param clientSeenFrom from when on the process knows whether the client left during a stall; 0 for always
    * @param mayDuplicate true if two attempts may be in progress at a time
    */
   public record SendConditions(
@@ -156,7 +156,7 @@
             mayFollowEarlierAttempts(number, conditions.mayDuplicate(), now)),
         now);
     if (verdict.allowed()) {
-      attempts.forEach(earlier -> earlier.overlapped |= earlier.isOut());
+      attempts.forEach(earlier -> earlier.overlapped |= earlier.isInProgress());
       attempts.get(number).sentAt = now;
       beforeSend();
     }
@@ -184,7 +184,7 @@
       if (earlier == attempts.get(number)) {
         continue;
       }
-      if (earlier.isOut() && !mayDuplicate) {
+      if (earlier.isInProgress() && !mayDuplicate) {
         return Verdict.ATTEMPT_OUT;
       }
       Verdict verdict = Permits.mayRepeatAfter(
--- a/runtime/src/main/java/gorseladder/runtime/Outbox.java
+++ b/runtime/src/main/java/gorseladder/runtime/Outbox.java
@@ -9,8 +9,9 @@
 
 /**
  * The output queue of one connection. Adding an item never blocks. The adding thread writes the item itself as long as
- * the peer has left little unread, because the send buffer then has room; otherwise a thread of a pool writes everything
- * that is queued in one write. A peer that stops reading delays only its own connection, until its queue is full.
+ * the peer has left little unread, because the send buffer then has room; otherwise a thread of a pool writes
+ * everything that is queued in one write. A peer that stops reading delays only its own connection, until its queue is
+ * full.
  *
  * <p>Writing on the adding thread saves a hand-over to another thread, which on a busy processor takes as long as the
  * turns of all threads that wait for it. The cost is one system call for each item, where the pool writes several items
@@ -57,7 +58,7 @@
   /** Bytes of these that the peer has certainly read. */
   private long read;
 
-  private boolean busy;
+  private boolean writerActive;
   private boolean closed;
   private boolean closeWhenEmpty;
   private Runnable whenIdle;
@@ -88,8 +89,8 @@
   }
 
   /**
-   * Queues an item without writing, for a caller that holds a lock which must not be held during a write; the item waits
-   * until {@link #send}. Returns false, without queueing it, if closed or full.
+   * Queues an item without writing, for a caller that holds a lock which must not be held during a write; the item
+   * waits until {@link #send}. Returns false, without queueing it, if closed or full.
    */
   public synchronized boolean add(Item item) {
     if (closed || bytes + item.size() > maxBytes && bytes > 0) {
@@ -132,14 +133,14 @@
   }
 
   /**
-   * Rejects further items and shuts down the output once all is written. With an empty queue the shutdown happens before
-   * this method returns, so that the peer sends as little as possible that crosses it on the wire.
+   * Rejects further items and shuts down the output once all is written. With an empty queue the shutdown happens
+   * before this method returns, so that the peer sends as little as possible that crosses it on the wire.
    */
   public void finish() {
     boolean now;
     synchronized (this) {
       closeWhenEmpty = true;
-      now = !busy && !closed && channel != null && items.isEmpty();
+      now = !writerActive && !closed && channel != null && items.isEmpty();
       closed |= now;
     }
     if (!now) {
@@ -155,16 +156,16 @@
 
   /** Whether nothing is queued or being written. */
   public synchronized boolean idle() {
-    return items.isEmpty() && !busy;
+    return items.isEmpty() && !writerActive;
   }
 
   /**
-   * Runs a task once nothing is queued or being written: immediately, or on the writing thread. A later task replaces an
-   * earlier one.
+   * Runs a task once nothing is queued or being written: immediately, or on the writing thread. A later task replaces
+   * an earlier one.
    */
   public void whenIdle(Runnable task) {
     synchronized (this) {
-      if (!items.isEmpty() || busy) {
+      if (!items.isEmpty() || writerActive) {
         whenIdle = task;
         return;
       }
@@ -183,7 +184,7 @@
       if (!hasWork()) {
         return;
       }
-      busy = true;
+      writerActive = true;
       onCallerThread = hasRoomFor(bytes);
     }
     if (onCallerThread) {
@@ -199,14 +200,14 @@
       if (!hasWork()) {
         return;
       }
-      busy = true;
+      writerActive = true;
     }
     pool.execute(writing);
   }
 
   /** Whether a thread has to start writing; the lock is held. */
   private boolean hasWork() {
-    return !busy && channel != null && !closed && (!items.isEmpty() || closeWhenEmpty);
+    return !writerActive && channel != null && !closed && (!items.isEmpty() || closeWhenEmpty);
   }
 
   /** Whether this many more bytes can be written without waiting for the peer; the lock is held. */
@@ -244,7 +245,7 @@
         }
         now = takeItems();
         if (now.isEmpty()) {
-          busy = false;
+          writerActive = false;
           last = closeWhenEmpty && !closed;
           closed |= closeWhenEmpty;
           idle = whenIdle;
@@ -327,7 +328,7 @@
   private void fail(IOException cause) {
     synchronized (this) {
       closed = true;
-      busy = false;
+      writerActive = false;
       items.clear();
     }
     writingSince = 0;
