--- a/node/src/main/java/gorseladder/node/Node.java
+++ b/node/src/main/java/gorseladder/node/Node.java
@@ -38,8 +38,7 @@
   /** After SIGTERM new connections and requests arrive for up to 0.6 s; this adds a margin. */
   private static final long ACCEPT_AFTER_STOP_MICROS = 900_000;
   /**
-   * SIGKILL comes no sooner than the longest deadline, of which at most this counts, plus {@link #KILL_GRACE_MICROS}
-   * after SIGTERM.
+   * SIGKILL comes no sooner after SIGTERM than the longest deadline, of which at most this counts, plus the kill grace.
    */
   private static final long MAX_COUNTED_DEADLINE_MICROS = 3_000_000;
 
@@ -257,8 +256,7 @@
     boolean refused = false;
     while (!front.drain()) {
       // Checked first: after a stall of the process all of these times may have passed, and the
-      // calls
-      // that are held must still be answered.
+      // calls that are held must still be answered.
       if (!refused && Clock.micros() >= refuseAt) {
         refused = true;
         core.refuseAll();
--- a/node/src/main/java/gorseladder/node/NodeConfig.java
+++ b/node/src/main/java/gorseladder/node/NodeConfig.java
@@ -41,7 +41,12 @@
     Links links,
     int maxHeldCalls) {
 
-  /** Settings of the connections to runners. */
+  /**
+   * Settings of the connections to runners.
+   *
+   * @param reportsCopyStatus whether answers of runners report the status of the copy
+   * @param reportsConcurrency whether answers of runners report how many calls of the function an attempt found there
+   */
   public record Links(
       long connectTimeout,
       long idleTimeout,
--- a/node/src/test/java/gorseladder/node/front/FrontConnectionTest.java
+++ b/node/src/test/java/gorseladder/node/front/FrontConnectionTest.java
@@ -258,7 +258,7 @@
     sendUnreadRequest();
     connection.checkTimeouts(Clock.micros() + 60 * SECOND, 2 * SECOND, 6 * SECOND);
     startReading();
-    assertTrue(readAnswer().contains("Status: 503"), "its thread had not begun");
+    assertTrue(readAnswer().contains("Status: 503"), "the request was still unread");
   }
 
   @Test
@@ -273,7 +273,7 @@
     while (!closed && Clock.micros() < until) {
       closed = connection.closeIfIdle();
     }
-    assertTrue(closed, "nothing is asked now");
+    assertTrue(closed, "no request is open now");
   }
 
   /**
@@ -287,7 +287,7 @@
     startReading();
     assertTrue(readAnswer().contains("Status: 503"));
     connection.drain();
-    assertEquals("", readAnswer(), "the end");
+    assertEquals("", readAnswer(), "end of the connection");
     onRead = sent::incrementAndGet;
     client
         .getOutputStream()
