--- a/planner/src/main/java/gorseladder/planner/Planner.java
+++ b/planner/src/main/java/gorseladder/planner/Planner.java
@@ -223,7 +223,7 @@
     }
     if (ask.getFrom() > cursor.next()) {
       LOG.warn(
-          "edge {} no longer has rows {} to {} of its history",
+          "edge {} has no rows {} to {} of its history any more",
           ask.getOrdinal(),
           cursor.next(),
           ask.getFrom());
