--- a/edge/src/main/java/gorseladder/edge/Edge.java
+++ b/edge/src/main/java/gorseladder/edge/Edge.java
@@ -45,34 +45,34 @@
  */
 public final class Edge implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Edge.class);
-  private static final long CHECK_EVERY = 1_000_000;
-  private static final int CORE_STACK = 1 << 20;
+  private static final long CHECK_INTERVAL_MICROS = 1_000_000;
+  private static final int CORE_STACK_BYTES = 1 << 20;
   /** Threads for connections of clients, and as many for attempts, that stand ready from the start. */
-  private static final int READY_THREADS = 16;
+  private static final int MIN_IDLE_THREADS = 16;
 
   /** Threads that read from the ledger and stand ready from the start. */
-  private static final int READY_READERS = 2;
+  private static final int MIN_IDLE_READERS = 2;
 
   private final EdgeSettings settings;
   private final Watchdog watchdog;
-  private final StallDetector pauses;
+  private final StallDetector stallDetector;
   private final Ledger ledger;
   private final CallHistory history;
   private final Runners runners;
   private final Intake intake;
   private final Core<TakenCall> core;
-  private final ListWatcher list;
-  private final PeerLink peers;
-  private final PlannerLink planner;
-  private final ByteBudget messageBytes;
+  private final ListWatcher listWatcher;
+  private final PeerLink peerLink;
+  private final PlannerLink plannerLink;
+  private final ByteBudget messageBudget;
   private final WebhookFront front;
   private final HttpServer server;
   private final ThreadCache clientThreads;
-  private final ThreadCache readers;
-  private final RuleLog rules = new RuleLog();
-  private final CallLog log = new CallLog(rules);
+  private final ThreadCache ledgerReaders;
+  private final RuleLog ruleLog = new RuleLog();
+  private final CallLog callLog = new CallLog(ruleLog);
   private final AtomicBoolean closed = new AtomicBoolean();
-  private String ledgerTrouble;
+  private String ledgerProblem;
 
   /**
    * Starts an edge by checked settings.
@@ -80,20 +80,20 @@
    * @throws IOException where the ledger cannot be used or an address is taken; the text says which
    */
   public Edge(EdgeSettings settings) throws IOException {
-    this(settings, EdgeSystem.usual(settings.getLimits().getStackBytes()));
+    this(settings, EdgeSystem.defaults(settings.getLimits().getStackBytes()));
   }
 
   /** As above, on a machine that tests choose. */
   public Edge(EdgeSettings settings, EdgeSystem system) throws IOException {
     this.settings = settings;
     EdgeConfig config = new EdgeConfig(settings);
-    messageBytes = new ByteBudget(config.messageBytes());
-    UnfinishedRequests requests = new UnfinishedRequests(messageBytes);
-    UnfinishedAnswers answers = new UnfinishedAnswers(messageBytes, requests::makeRoom);
-    if (answers.longest() < settings.getRunners().getMaxAnswerBytes()) {
+    messageBudget = new ByteBudget(config.messageBudgetBytes());
+    UnfinishedRequests requests = new UnfinishedRequests(messageBudget);
+    UnfinishedAnswers answers = new UnfinishedAnswers(messageBudget, requests::makeRoom);
+    if (answers.maxAnswerBytes() < settings.getRunners().getMaxAnswerBytes()) {
       LOG.warn(
           "there is memory for answers of {} bytes, and not of runners.max_answer_bytes",
-          answers.longest());
+          answers.maxAnswerBytes());
     }
     Path directory = Path.of(settings.getDataDirectory());
     int stack = settings.getLimits().getStackBytes();
@@ -116,25 +116,25 @@
       throw e;
     }
     watchdog = new Watchdog("watchdog", stack);
-    pauses = new StallDetector(watchdog);
+    stallDetector = new StallDetector(watchdog);
     runners = new Runners(
         config.runners(),
         answers,
         ledger,
         new SendGate(config.rules(settings.getRules())),
-        this::address,
+        this::workerAddress,
         watchdog,
-        new ThreadCache("attempt", READY_THREADS, system.attemptThreads()),
-        rules);
-    readers = new ThreadCache("ledger-read", READY_READERS, stack);
+        new ThreadCache("attempt", MIN_IDLE_THREADS, system.attemptThreads()),
+        ruleLog);
+    ledgerReaders = new ThreadCache("ledger-read", MIN_IDLE_READERS, stack);
     intake = new Intake(
         ledger,
         settings.getLimits().getMaxCalls(),
         settings.getLedger().getKeepS() * 1_000_000,
         settings.getLedger().getMaxKeptAnswerBytes(),
-        EdgeConfig.ms(settings.getLimits().getAnswerReserveMs()),
-        readers,
-        new Hearer());
+        EdgeConfig.toMicros(settings.getLimits().getAnswerReserveMs()),
+        ledgerReaders,
+        new CallListener());
     RouterApi.Settings router = config.router();
     long seed = System.nanoTime() ^ settings.getOrdinal();
     core = new Core<>(
@@ -144,30 +144,30 @@
         settings.getLimits().getMaxCalls(),
         settings.hasPlanner(),
         new RetryAdvice(router.limits().maxRetryAfter(), seed),
-        CORE_STACK);
-    runners.reportTo(new Runners.Hearer() {
+        CORE_STACK_BYTES);
+    runners.setListener(new Runners.Listener() {
       @Override
       public void attemptEnded(Core.AttemptEnd<TakenCall> end) {
-        history.attempt(end);
+        history.attemptEnded(end);
         core.attemptEnded(end);
       }
 
       @Override
       public void loadEnded(RouterApi.Loaded loaded) {
-        history.loaded(loaded);
+        history.loadEnded(loaded);
         core.loadEnded(loaded);
       }
     });
-    intake.admitTo(core);
-    list = new ListWatcher(
+    intake.setCore(core);
+    listWatcher = new ListWatcher(
         Address.parse(settings.getWorkerList().getAddress()),
         settings.getWorkerList().getService(),
         "gorseladder-edge/" + settings.getOrdinal(),
         settings.getWorkerList().getWaitMs(),
         directory.resolve("workers.json"),
         stack,
-        new ListHearer());
-    planner =
+        new WorkerListListener());
+    plannerLink =
         settings.hasPlanner() ? new PlannerLink(settings, ledger.openCount(), core, history) : null;
     front = new WebhookFront(
         config.webhooks(),
@@ -176,13 +176,13 @@
         intake,
         core,
         watchdog,
-        pauses,
-        log);
-    clientThreads = new ThreadCache("webhook", READY_THREADS, system.clientThreads());
-    PeerLink link = null;
-    HttpServer listening = null;
+        stallDetector,
+        callLog);
+    clientThreads = new ThreadCache("webhook", MIN_IDLE_THREADS, system.clientThreads());
+    PeerLink openedLink = null;
+    HttpServer startedServer = null;
     try {
-      link = settings.hasPeers()
+      openedLink = settings.hasPeers()
           ? new PeerLink(
               Address.parse(settings.getPeers().getListen()),
               settings.getOrdinal(),
@@ -190,24 +190,24 @@
               stack,
               core::peerMessage)
           : null;
-      list.start();
-      listening = front.listen(Address.parse(settings.getListen()), clientThreads);
+      listWatcher.start();
+      startedServer = front.listen(Address.parse(settings.getListen()), clientThreads);
     } finally {
-      peers = link;
-      server = listening;
-      if (listening == null) {
+      peerLink = openedLink;
+      server = startedServer;
+      if (startedServer == null) {
         close();
       }
     }
-    if (planner != null) {
-      planner.start();
+    if (plannerLink != null) {
+      plannerLink.start();
     }
-    checkLater();
+    scheduleCheck();
     LOG.info(
         "edge {} takes webhooks at {}, up to {} bytes of messages; its ledger remembers {} messages, boot {}",
         settings.getOrdinal(),
         Address.print(address()),
-        messageBytes.limit(),
+        messageBudget.limit(),
         ledger.size(),
         ledger.openCount());
   }
@@ -217,21 +217,21 @@
     return SettingsFile.load(file, EdgeConfig::checkSecret);
   }
 
-  private InetSocketAddress address(String worker) {
-    return list.address(worker);
+  private InetSocketAddress workerAddress(String worker) {
+    return listWatcher.address(worker);
   }
 
-  private final class Hearer implements Intake.Hearer {
+  private final class CallListener implements Intake.Listener {
     @Override
-    public void taken(TakenCall call) {
-      log.taken();
-      runners.taken(Clock.micros());
+    public void callAccepted(TakenCall call) {
+      callLog.callAccepted();
+      runners.callAccepted(Clock.micros());
     }
 
     @Override
-    public void ended(TakenCall call) {
-      log.ended(call);
-      history.ended(call);
+    public void callEnded(TakenCall call) {
+      callLog.callEnded(call);
+      history.callEnded(call);
     }
   }
 
@@ -253,8 +253,8 @@
 
     @Override
     public void tellPeers(String text) {
-      if (peers != null) {
-        peers.tell(text);
+      if (peerLink != null) {
+        peerLink.broadcast(text);
       }
     }
 
@@ -264,42 +264,42 @@
     }
   }
 
-  private final class ListHearer implements ListWatcher.Hearer {
+  private final class WorkerListListener implements ListWatcher.Listener {
     /** News of the list told to the core; the thread's that watches the list. */
-    private long newsTold;
+    private long updateCount;
 
     @Override
-    public void worker(String worker, Phase phase, long born, long at) {
-      runners.told(worker, phase, born, newsTold + 1, at);
+    public void workerReported(String worker, Phase phase, long startedAt, long receivedAt) {
+      runners.workerReported(worker, phase, startedAt, updateCount + 1, receivedAt);
     }
 
     @Override
-    public void list(WorkerListUpdate workers) {
-      newsTold++;
+    public void listReceived(WorkerListUpdate workers) {
+      updateCount++;
       core.workerListChanged(workers);
     }
   }
 
-  private void checkLater() {
-    watchdog.after(CHECK_EVERY, () -> {
+  private void scheduleCheck() {
+    watchdog.after(CHECK_INTERVAL_MICROS, () -> {
       if (!closed.get()) {
-        runners.check();
+        runners.cleanUp();
         ledger.expireUntil(ledger.clock().micros());
-        tellLedgerTrouble();
-        checkLater();
+        logLedgerProblem();
+        scheduleCheck();
       }
     });
   }
 
-  private void tellLedgerTrouble() {
-    String trouble = ledger.writeProblem();
-    if (!Objects.equals(trouble, ledgerTrouble)) {
+  private void logLedgerProblem() {
+    String problem = ledger.writeProblem();
+    if (!Objects.equals(problem, ledgerProblem)) {
       LOG.warn(
           "the ledger {}",
-          trouble == null
+          problem == null
               ? "is written again"
-              : "has trouble with its files, which are tried again: " + trouble);
-      ledgerTrouble = trouble;
+              : "has trouble with its files, which are tried again: " + problem);
+      ledgerProblem = problem;
     }
   }
 
@@ -310,17 +310,17 @@
 
   /** Bytes that requests and answers take at present. */
   public long messageBytes() {
-    return messageBytes.used();
+    return messageBudget.used();
   }
 
   /** Counts since the start, by the words of the log. */
   public Map<String, Long> counts() {
-    return log.counts();
+    return callLog.counts();
   }
 
   /** How often a rule was broken as far as this edge can see; empty where none was. */
   public Map<Rule, Long> rulesBroken() {
-    return rules.counts();
+    return ruleLog.counts();
   }
 
   /** Takes nothing new, answers what was taken, then closes; at the latest after the told time. */
@@ -328,17 +328,17 @@
     front.stop();
     intake.stop();
     server.stopAccepting();
-    long until = Clock.micros() + EdgeConfig.ms(settings.getLimits().getStopMs());
-    while (intake.inHand() + front.inProgress() > 0 && Clock.micros() < until) {
+    long deadline = Clock.micros() + EdgeConfig.toMicros(settings.getLimits().getStopMs());
+    while (intake.callsInProgress() + front.inProgress() > 0 && Clock.micros() < deadline) {
       Thread.sleep(5);
     }
     LOG.info(
         "edge {} stops with {} calls unanswered; counts {}; stopped at the last look: {}; rules broken {}",
         settings.getOrdinal(),
-        intake.inHand(),
+        intake.callsInProgress(),
         counts(),
         runners.gateSummary(),
-        rules.counts());
+        ruleLog.counts());
     close();
   }
 
@@ -352,17 +352,17 @@
       server.close();
     }
     clientThreads.close();
-    readers.close();
-    if (peers != null) {
-      peers.close();
+    ledgerReaders.close();
+    if (peerLink != null) {
+      peerLink.close();
     }
-    if (planner != null) {
-      planner.close();
+    if (plannerLink != null) {
+      plannerLink.close();
     }
-    list.close();
+    listWatcher.close();
     core.close();
     runners.close();
-    pauses.stop();
+    stallDetector.stop();
     watchdog.close();
     history.close();
     ledger.close();
--- a/edge/src/main/java/gorseladder/edge/EdgeConfig.java
+++ b/edge/src/main/java/gorseladder/edge/EdgeConfig.java
@@ -22,10 +22,10 @@
 /** Turns checked settings into what each part is told; times become microseconds. Translation only. */
 final class EdgeConfig {
   /** The resolution of the router's timers. */
-  private static final long TICK = 2_000;
+  private static final long TICK_MICROS = 2_000;
 
   /** The part of the heap that messages may take where the settings name no bound. */
-  private static final int MESSAGES_PART_OF_HEAP = 4;
+  private static final int MESSAGE_HEAP_DIVISOR = 4;
 
   private final EdgeSettings s;
 
@@ -48,8 +48,8 @@
         s.getOrdinal(),
         s.getEdges(),
         s.getZone(),
-        TICK,
-        ms(r.getKeepAliveMs()),
+        TICK_MICROS,
+        toMicros(r.getKeepAliveMs()),
         r.getLoadsOnMiss(),
         false,
         0,
@@ -62,8 +62,8 @@
             s.getPeers().getPeerCount() > 0,
             r.getOrders(),
             true,
-            ms(s.getLimits().getMaxRetryAfterMs()),
-            ms(r.getOrderMs())),
+            toMicros(s.getLimits().getMaxRetryAfterMs()),
+            toMicros(r.getOrderMs())),
         rules(f),
         List.copyOf(classes().values()),
         s.getTenantList().stream()
@@ -73,14 +73,14 @@
 
   RouterApi.Rules rules(RuleFigures f) {
     return new RouterApi.Rules(
-        ms(f.getDrainGraceMs()),
+        toMicros(f.getDrainGraceMs()),
         f.getColdFrom(),
-        ms(f.getColdMs()),
+        toMicros(f.getColdMs()),
         f.getOverloadMultiple(),
-        ms(f.getOverloadMs()),
+        toMicros(f.getOverloadMs()),
         f.getLoadsFree(),
         f.getLoadShare(),
-        ms(f.getLoadWindowMs()));
+        toMicros(f.getLoadWindowMs()));
   }
 
   private Map<String, RequestClass> classes() {
@@ -92,9 +92,9 @@
                 c.getName(),
                 RouterApi.Effect.valueOf(c.getEffect().name()),
                 RouterApi.Group.valueOf(c.getGroup().name()),
-                ms(c.getRepeatWindowMs()),
-                ms(c.getAimMs()),
-                ms(c.getDeadlineMs()),
+                toMicros(c.getRepeatWindowMs()),
+                toMicros(c.getAimMs()),
+                toMicros(c.getDeadlineMs()),
                 c.getWorth(),
                 c.getLateWorth(),
                 false)));
@@ -129,9 +129,9 @@
             l.getMaxHeaderBytes(),
             l.getMaxBodyBytes()),
         l.getMaxConnections(),
-        ms(l.getRequestArrivalMs()),
-        ms(l.getIdleMs()),
-        ms(l.getAnswerWriteMs()),
+        toMicros(l.getRequestArrivalMs()),
+        toMicros(l.getIdleMs()),
+        toMicros(l.getAnswerWriteMs()),
         l.getStackBytes(),
         classes().values().stream()
             .mapToDouble(RequestClass::worth)
@@ -141,9 +141,9 @@
   }
 
   /** Bytes that all requests and answers may take together. */
-  long messageBytes() {
-    long told = s.getLimits().getMaxMessageBytes();
-    return told > 0 ? told : Runtime.getRuntime().maxMemory() / MESSAGES_PART_OF_HEAP;
+  long messageBudgetBytes() {
+    long configured = s.getLimits().getMaxMessageBytes();
+    return configured > 0 ? configured : Runtime.getRuntime().maxMemory() / MESSAGE_HEAP_DIVISOR;
   }
 
   Admission admission() {
@@ -152,7 +152,7 @@
     s.getTenantList().forEach(t -> shares.put(t.getName(), t.getShare()));
     return s.getAdaptiveAdmission()
         ? new Admission(
-            new Admission.Settings(l.getMaxCalls(), shares, ms(l.getMaxRetryAfterMs())),
+            new Admission.Settings(l.getMaxCalls(), shares, toMicros(l.getMaxRetryAfterMs())),
             System.nanoTime() ^ s.getOrdinal())
         : null;
   }
@@ -170,15 +170,15 @@
     Runners r = s.getRunners();
     return new RunnerSettings(
         s.getOrdinal(),
-        ms(r.getConnectMs()),
-        ms(r.getOrderMs()),
-        ms(r.getConnectionIdleMs()),
-        ms(r.getUnsafeConnectionIdleMs()),
+        toMicros(r.getConnectMs()),
+        toMicros(r.getOrderMs()),
+        toMicros(r.getConnectionIdleMs()),
+        toMicros(r.getUnsafeConnectionIdleMs()),
         r.getMaxAnswerBytes(),
         r.getDuplicates());
   }
 
-  static long ms(long millis) {
+  static long toMicros(long millis) {
     return millis * 1000;
   }
 }
--- a/edge/src/main/java/gorseladder/edge/EdgeMain.java
+++ b/edge/src/main/java/gorseladder/edge/EdgeMain.java
@@ -20,7 +20,7 @@
 
   public static final int BAD_SETTINGS = 2;
   public static final int CANNOT_START = 3;
-  private static final int KILLED = 143;
+  private static final int EXIT_KILLED = 143;
 
   private EdgeMain() {}
 
@@ -28,13 +28,13 @@
   public static void main(String[] args) throws InterruptedException {
     // Not by way of Threads: that class has a logger, and the settings decide how logging is set
     // up.
-    Thread parent = new Thread(EdgeMain::endWithParent, "parent");
+    Thread parent = new Thread(EdgeMain::haltWithParent, "parent");
     parent.setDaemon(true);
     parent.start();
     System.exit(run(Path.of(args[0]), System.out, System.err));
   }
 
-  private static void endWithParent() {
+  private static void haltWithParent() {
     try {
       while (System.in.read() >= 0) {
         continue;
@@ -42,7 +42,7 @@
     } catch (IOException e) {
       // As good as its end.
     }
-    Runtime.getRuntime().halt(KILLED);
+    Runtime.getRuntime().halt(EXIT_KILLED);
   }
 
   /** Runs until a signal comes; one line of JSON on {@code out} says when it is ready and where. */
@@ -60,7 +60,7 @@
     System.setProperty("gorseladder.log.level", loaded.settings().getLog().getLevel());
     try (Edge edge = new Edge(loaded.settings())) {
       ProcessSignals signals =
-          ProcessSignals.listenForStop(() -> Runtime.getRuntime().halt(KILLED));
+          ProcessSignals.listenForStop(() -> Runtime.getRuntime().halt(EXIT_KILLED));
       Map<String, Object> ready = new LinkedHashMap<>();
       ready.put("ready", true);
       ready.put("edge", Address.print(edge.address()));
--- a/edge/src/main/java/gorseladder/edge/EdgeSystem.java
+++ b/edge/src/main/java/gorseladder/edge/EdgeSystem.java
@@ -14,7 +14,7 @@
 public record EdgeSystem(
     LedgerFiles ledgerFiles, ThreadFactory clientThreads, ThreadFactory attemptThreads) {
   /** The machine as it is, with threads of that stack. */
-  public static EdgeSystem usual(int stackBytes) {
+  public static EdgeSystem defaults(int stackBytes) {
     return new EdgeSystem(
         LedgerFiles.DEFAULT,
         Threads.factory("webhook", stackBytes),
--- a/edge/src/main/java/gorseladder/edge/core/AdmissionCheck.java
+++ b/edge/src/main/java/gorseladder/edge/core/AdmissionCheck.java
@@ -12,19 +12,19 @@
  */
 public final class AdmissionCheck {
   private static final Logger LOG = LoggerFactory.getLogger(AdmissionCheck.class);
-  private static final long TELL_EVERY = 5_000_000;
+  private static final long WARNING_INTERVAL_MICROS = 5_000_000;
 
   /** Null where no call is ever refused here. */
   private final Admission admission;
 
-  private long ids;
-  private long toldAt;
-  private long toldRefusals;
+  private long lastId;
+  private long lastWarningAt;
+  private long refusalsAtLastWarning;
 
   /** A check that asks; null for one that admits every call. */
   public AdmissionCheck(Admission admission) {
     this.admission = admission;
-    this.toldAt = Clock.micros() - TELL_EVERY;
+    this.lastWarningAt = Clock.micros() - WARNING_INTERVAL_MICROS;
   }
 
   /** A call inside, until it is sent for the first time or has ended. */
@@ -32,27 +32,27 @@
     private final long id;
     private final String tenant;
     private final long waited;
-    private final boolean remembered;
+    private final boolean known;
     private boolean open = true;
 
-    private Pass(long id, String tenant, long waited, boolean remembered) {
+    private Pass(long id, String tenant, long waited, boolean known) {
       this.id = id;
       this.tenant = tenant;
       this.waited = waited;
-      this.remembered = remembered;
+      this.known = known;
     }
 
     /** Asks again now that the class is known; false where the call is refused after all and is not inside any more. */
-    public boolean mayStay(long message, double worth, long aim) {
-      if (admission == null || remembered) {
+    public boolean mayStay(long message, double worth, long latencyTarget) {
+      if (admission == null || known) {
         return true;
       }
       synchronized (AdmissionCheck.this) {
-        boolean may = ask(new Arrival(message, tenant, worth, aim, waited));
-        if (!may) {
+        boolean allowed = mayEnter(new Arrival(message, tenant, worth, latencyTarget, waited));
+        if (!allowed) {
           end(false);
         }
-        return may;
+        return allowed;
       }
     }
 
@@ -62,7 +62,7 @@
     }
 
     /** The call ended, or was no call. */
-    public void gone() {
+    public void ended() {
       end(false);
     }
 
@@ -90,30 +90,30 @@
    * @return null where it is refused
    */
   public synchronized Pass enter(
-      long message, String tenant, long longestAim, long waited, boolean remembered) {
-    Pass pass = new Pass(++ids, tenant, waited, remembered);
+      long message, String tenant, long maxLatencyTarget, long waited, boolean known) {
+    Pass pass = new Pass(++lastId, tenant, waited, known);
     if (admission == null) {
       return pass;
     }
-    if (!remembered && !ask(new Arrival(message, tenant, 1, longestAim, waited))) {
+    if (!known && !mayEnter(new Arrival(message, tenant, 1, maxLatencyTarget, waited))) {
       return null;
     }
     admission.entered(pass.id, tenant, Clock.micros() - waited);
     return pass;
   }
 
-  private boolean ask(Arrival call) {
+  private boolean mayEnter(Arrival arrival) {
     long now = Clock.micros();
-    boolean may = admission.mayEnter(call, now);
-    if (!may && now >= toldAt + TELL_EVERY) {
+    boolean allowed = admission.mayEnter(arrival, now);
+    if (!allowed && now >= lastWarningAt + WARNING_INTERVAL_MICROS) {
       LOG.warn(
           "overloaded: {} calls refused since the last such line, {} wait to be sent",
-          admission.refusals() - toldRefusals,
+          admission.refusals() - refusalsAtLastWarning,
           admission.waiting());
-      toldAt = now;
-      toldRefusals = admission.refusals();
+      lastWarningAt = now;
+      refusalsAtLastWarning = admission.refusals();
     }
-    return may;
+    return allowed;
   }
 
   /** Whole seconds for a refused client to wait. */
@@ -122,7 +122,7 @@
   }
 
   /** Microseconds for which a refusal is held back before it is told, as things are now. */
-  public synchronized long holdRefusal() {
+  public synchronized long refusalDelay() {
     return admission.refusalDelay();
   }
 }
--- a/edge/src/main/java/gorseladder/edge/core/Intake.java
+++ b/edge/src/main/java/gorseladder/edge/core/Intake.java
@@ -32,7 +32,7 @@
  */
 public final class Intake {
   private static final Logger LOG = LoggerFactory.getLogger(Intake.class);
-  private static final int STRIPES = 256;
+  private static final int LOCK_STRIPES = 256;
 
   /**
    * What a front hands over; {@code request} identifies the signed request, {@code requestKeepUntil} is the ledger's
@@ -50,32 +50,32 @@
       int lanes,
       long loadTime,
       long arrivedAt,
-      long patience,
+      long clientTimeout,
       AdmissionCheck.Pass pass) {}
 
   /** What became of a delivery: a call to wait for, or an answer at once. */
   public record Result(TakenCall call, boolean joined, FinalAnswer answer) {}
 
   /** Hears of each call taken, before the core does. */
-  public interface Hearer {
-    void taken(TakenCall call);
+  public interface Listener {
+    void callAccepted(TakenCall call);
 
-    void ended(TakenCall call);
+    void callEnded(TakenCall call);
   }
 
   private final Ledger ledger;
   private final RecordLookup lookup;
-  private final Semaphore room;
+  private final Semaphore freeCalls;
   private final long keepMicros;
-  private final int maxKept;
-  private final long reserve;
-  private final Hearer hearer;
-  private final Map<String, TakenCall> live = new ConcurrentHashMap<>();
+  private final int maxStoredAnswerBytes;
+  private final long answerReserve;
+  private final Listener listener;
+  private final Map<String, TakenCall> callsByMessage = new ConcurrentHashMap<>();
   /** Signed requests of calls that are out and on record with their end only. */
-  private final Set<String> requestsOut = ConcurrentHashMap.newKeySet();
+  private final Set<String> requestsInProgress = ConcurrentHashMap.newKeySet();
 
-  private final Object[] stripes = new Object[STRIPES];
-  private final AtomicLong ids = new AtomicLong();
+  private final Object[] stripeLocks = new Object[LOCK_STRIPES];
+  private final AtomicLong lastId = new AtomicLong();
   private volatile Core<TakenCall> core;
   private volatile boolean stopping;
 
@@ -92,25 +92,25 @@
       Ledger ledger,
       int maxCalls,
       long keepMicros,
-      int maxKept,
-      long reserve,
-      ThreadCache readers,
-      Hearer hearer) {
+      int maxStoredAnswerBytes,
+      long answerReserve,
+      ThreadCache ledgerReaders,
+      Listener listener) {
     this.ledger = ledger;
-    this.lookup = new RecordLookup(ledger, readers);
-    this.room = new Semaphore(maxCalls);
+    this.lookup = new RecordLookup(ledger, ledgerReaders);
+    this.freeCalls = new Semaphore(maxCalls);
     this.keepMicros = keepMicros;
-    this.maxKept = maxKept;
-    this.reserve = reserve;
-    this.hearer = hearer;
-    for (int i = 0; i < STRIPES; i++) {
-      stripes[i] = new Object();
+    this.maxStoredAnswerBytes = maxStoredAnswerBytes;
+    this.answerReserve = answerReserve;
+    this.listener = listener;
+    for (int i = 0; i < LOCK_STRIPES; i++) {
+      stripeLocks[i] = new Object();
     }
   }
 
   /** Names the core; once, before the first delivery. */
-  public void admitTo(Core<TakenCall> admits) {
-    core = admits;
+  public void setCore(Core<TakenCall> target) {
+    core = target;
   }
 
   /** Takes nothing new from now on; calls in hand go on. */
@@ -124,8 +124,8 @@
   }
 
   /** Calls in hand. */
-  public int inHand() {
-    return live.size();
+  public int callsInProgress() {
+    return callsByMessage.size();
   }
 
   /**
@@ -133,63 +133,63 @@
    * disk.
    */
   public boolean remembers(String message) {
-    return live.containsKey(message) || ledger.isMessageIndexed(message);
+    return callsByMessage.containsKey(message) || ledger.isMessageIndexed(message);
   }
 
   /** Judges a delivery whose signature holds. */
-  public Result take(Delivery d) {
+  public Result handle(Delivery d) {
     if (stopping) {
       return new Result(null, false, FinalAnswer.of(Reason.STOPPING));
     }
     try {
       Result result = null;
       while (result == null) {
-        long until = d.arrivedAt() + d.patience() - reserve;
-        result = take(d, lookup.of(d.message(), d.request(), until));
+        long deadline = d.arrivedAt() + d.clientTimeout() - answerReserve;
+        result = handle(d, lookup.find(d.message(), d.request(), deadline));
       }
       return result;
     } catch (LedgerException e) {
-      return unread(d, e.getMessage());
+      return recordUnreadable(d, e.getMessage());
     }
   }
 
   /** Turns a delivery away of whose message something is on record that cannot be read. */
-  private static Result unread(Delivery d, String why) {
+  private static Result recordUnreadable(Delivery d, String why) {
     if (Repeats.mayRefuseUnreadable(d.requestClass().effect())) {
-      return unrecorded(null, why);
+      return recordUnavailable(null, why);
     }
     LOG.error("{}", why);
     return new Result(null, false, FinalAnswer.of(Reason.FAILED_UNKNOWN_EFFECT));
   }
 
   /** Judges a delivery by what was remembered of it; null where that is out of date by now. */
-  private Result take(Delivery d, RecordLookup.Remembered remembered) {
+  private Result handle(Delivery d, RecordLookup.StoredRecord stored) {
     TakenCall call = null;
     long ticket;
     try {
-      synchronized (stripes[Math.floorMod(d.message().hashCode(), STRIPES)]) {
+      synchronized (stripeLocks[Math.floorMod(d.message().hashCode(), LOCK_STRIPES)]) {
         byte[] content = digest(d.requestClass().name(), d.function(), d.body());
         // In this order: a call that ends in between has its record before it leaves.
-        boolean requestOut = requestsOut.contains(d.request());
-        TakenCall out = live.get(d.message());
-        if (out == null && !lookup.isNewest(d.message(), remembered)) {
+        boolean requestInProgress = requestsInProgress.contains(d.request());
+        TakenCall inProgress = callsByMessage.get(d.message());
+        if (inProgress == null && !lookup.isNewest(d.message(), stored)) {
           return null;
         }
-        LedgerEntry known = out != null ? out.entry() : remembered.entry();
+        LedgerEntry known = inProgress != null ? inProgress.entry() : stored.entry();
         long now = ledger.clock().micros();
         Decision decision = Repeats.onDelivery(
             d.requestClass(),
-            requestOut || lookup.requestSeen(d.request(), remembered),
-            known == null ? null : known(known, out != null, content),
+            requestInProgress || lookup.requestSeen(d.request(), stored),
+            known == null ? null : toRecordedMessage(known, inProgress != null, content),
             now,
-            d.patience());
+            d.clientTimeout());
         if (decision.action() != Repeats.Action.RUN) {
-          return turned(decision, d, known, out);
+          return answerDuplicate(decision, d, known, inProgress);
         }
         if (!ledger.hasRoom()) {
           return new Result(null, false, FinalAnswer.of(Reason.LEDGER_UNAVAILABLE));
         }
-        if (!room.tryAcquire()) {
+        if (!freeCalls.tryAcquire()) {
           return new Result(null, false, FinalAnswer.of(Reason.BUSY));
         }
         LedgerEntry entry = new LedgerEntry(
@@ -202,31 +202,31 @@
             "",
             0,
             null);
-        boolean record = Repeats.recordBeforeAccepting(d.requestClass().effect());
+        boolean recordFirst = Repeats.recordBeforeAccepting(d.requestClass().effect());
         call = new TakenCall(
-            ids.incrementAndGet(),
+            lastId.incrementAndGet(),
             facts(d, decision.timeLimit(), known != null),
             ledger,
             entry,
-            record ? null : d.request(),
+            recordFirst ? null : d.request(),
             d.requestKeepUntil(),
-            maxKept,
+            maxStoredAnswerBytes,
             d.pass(),
-            c -> ended(c, d.request()));
-        live.put(d.message(), call);
-        if (record) {
+            c -> callEnded(c, d.request()));
+        callsByMessage.put(d.message(), call);
+        if (recordFirst) {
           ticket = ledger.put(d.message(), entry, d.request(), d.requestKeepUntil());
         } else {
-          requestsOut.add(d.request());
+          requestsInProgress.add(d.request());
           ticket = 0;
         }
       }
-      hearer.taken(call);
-      if (ticket > 0 && !RecordWait.until(ledger, ticket, call.facts().deadlineAt())) {
-        return unrecorded(call, "a call was not on record in its client's time");
+      listener.callAccepted(call);
+      if (ticket > 0 && !RecordWait.awaitUntil(ledger, ticket, call.facts().deadlineAt())) {
+        return recordUnavailable(call, "a call was not on record in its client's time");
       }
     } catch (LedgerException e) {
-      return unrecorded(call, e.getMessage());
+      return recordUnavailable(call, e.getMessage());
     }
     if (!core.offer(call)) {
       call.finish(FinalAnswer.of(Reason.BUSY), Clock.micros());
@@ -239,7 +239,7 @@
    *
    * @param call was not offered to the core; null where there is none yet
    */
-  private static Result unrecorded(TakenCall call, String why) {
+  private static Result recordUnavailable(TakenCall call, String why) {
     LOG.error("{}", why);
     FinalAnswer unavailable = FinalAnswer.of(Reason.LEDGER_UNAVAILABLE);
     if (call != null) {
@@ -248,7 +248,7 @@
     return new Result(null, false, unavailable);
   }
 
-  private TakenCall.Facts facts(Delivery d, long mostTime, boolean repeat) {
+  private TakenCall.Facts facts(Delivery d, long timeLimit, boolean repeat) {
     return new TakenCall.Facts(
         d.message(),
         d.requestClass(),
@@ -260,30 +260,32 @@
         d.loadTime(),
         repeat,
         d.arrivedAt(),
-        d.arrivedAt() + Math.max(1, Math.min(mostTime, d.patience()) - reserve));
+        d.arrivedAt() + Math.max(1, Math.min(timeLimit, d.clientTimeout()) - answerReserve));
   }
 
-  private static Repeats.RecordedMessage known(LedgerEntry entry, boolean out, byte[] content) {
+  private static Repeats.RecordedMessage toRecordedMessage(
+      LedgerEntry entry, boolean inProgress, byte[] content) {
     return new Repeats.RecordedMessage(
         Repeats.Phase.valueOf(entry.stage().name()),
-        out,
+        inProgress,
         entry.mayHaveRun(),
         entry.leftAt(),
         Arrays.equals(entry.contentDigest(), content));
   }
 
   /** A joined or repeated delivery's own signature is remembered too; whoever replays it later gets 409. */
-  private Result turned(Decision decision, Delivery d, LedgerEntry known, TakenCall out)
+  private Result answerDuplicate(
+      Decision decision, Delivery d, LedgerEntry known, TakenCall inProgress)
       throws LedgerException {
     if (decision.action() != Repeats.Action.REPLAYED) {
       ledger.putRequest(d.request(), d.requestKeepUntil());
       ledger.flushSoon();
     }
     if (decision.action() == Repeats.Action.JOIN) {
-      out.join();
+      inProgress.join();
     }
     return switch (decision.action()) {
-      case JOIN -> new Result(out, true, null);
+      case JOIN -> new Result(inProgress, true, null);
       case RETURN_STORED_ANSWER ->
         new Result(null, false, new FinalAnswer(Reason.SERVED_AGAIN, known.answer(), 0));
       case REPLAYED -> new Result(null, false, FinalAnswer.of(Reason.REPLAYED));
@@ -292,11 +294,11 @@
     };
   }
 
-  private void ended(TakenCall call, String request) {
-    live.remove(call.facts().message(), call);
-    requestsOut.remove(request);
-    room.release();
-    hearer.ended(call);
+  private void callEnded(TakenCall call, String request) {
+    callsByMessage.remove(call.facts().message(), call);
+    requestsInProgress.remove(request);
+    freeCalls.release();
+    listener.callEnded(call);
   }
 
   /**
@@ -305,13 +307,13 @@
    *
    * @param until when it must be told in any case, in microseconds
    */
-  public void awaitRecord(TakenCall call, long until) {
+  public void awaitRecord(TakenCall call, long deadline) {
     if (!Repeats.recordBeforeAnswer(call.facts().requestClass().effect())) {
       ledger.flushSoon();
       return;
     }
     try {
-      if (!RecordWait.until(ledger, call.endTicket(), until)) {
+      if (!RecordWait.awaitUntil(ledger, call.endTicket(), deadline)) {
         LOG.warn("{} is answered before its end is on record", call.facts().message());
       }
     } catch (LedgerException e) {
--- a/edge/src/main/java/gorseladder/edge/core/RecordLookup.java
+++ b/edge/src/main/java/gorseladder/edge/core/RecordLookup.java
@@ -29,7 +29,8 @@
    * @param requestKnown the signed request stood in the ledger's tables
    * @param requestSeen it was taken before, and may not be taken again
    */
-  record Remembered(long record, LedgerEntry entry, boolean requestKnown, boolean requestSeen) {}
+  record StoredRecord(
+      long recordId, LedgerEntry entry, boolean requestIndexed, boolean requestSeen) {}
 
   private final Ledger ledger;
   private final ThreadCache threads;
@@ -46,35 +47,34 @@
    * @param until when it is of no more use ({@link Clock#micros()})
    * @throws LedgerException where it cannot be read, or not by then
    */
-  Remembered of(String message, String request, long until) throws LedgerException {
-    long record = ledger.newestRecordId(message);
-    boolean requestKnown = ledger.isRequestIndexed(request);
-    if (record < 0 && !requestKnown) {
-      return new Remembered(record, null, false, false);
+  StoredRecord find(String message, String request, long deadline) throws LedgerException {
+    long recordId = ledger.newestRecordId(message);
+    boolean requestIndexed = ledger.isRequestIndexed(request);
+    if (recordId < 0 && !requestIndexed) {
+      return new StoredRecord(recordId, null, false, false);
     }
-    FutureTask<Remembered> reading = new FutureTask<>(() ->
-        new Remembered(record, ledger.get(message), requestKnown, ledger.containsRequest(request)));
-    if (!threads.execute(reading)) {
-      reading.run();
+    FutureTask<StoredRecord> task = new FutureTask<>(() -> new StoredRecord(
+        recordId, ledger.get(message), requestIndexed, ledger.containsRequest(request)));
+    if (!threads.execute(task)) {
+      task.run();
     }
-    return await(reading, until);
+    return awaitTask(task, deadline);
   }
 
   /** True where nothing newer was put since; never waits for the disk. */
-  boolean isNewest(String message, Remembered remembered) {
-    return ledger.newestRecordId(message) == remembered.record();
+  boolean isNewest(String message, StoredRecord stored) {
+    return ledger.newestRecordId(message) == stored.recordId();
   }
 
   /** True where the signed request was taken before, as far as was read or has come to be known since. */
-  boolean requestSeen(String request, Remembered remembered) {
-    return remembered.requestSeen()
-        || !remembered.requestKnown() && ledger.isRequestIndexed(request);
+  boolean requestSeen(String request, StoredRecord stored) {
+    return stored.requestSeen() || !stored.requestIndexed() && ledger.isRequestIndexed(request);
   }
 
-  private static Remembered await(FutureTask<Remembered> reading, long until)
+  private static StoredRecord awaitTask(FutureTask<StoredRecord> task, long deadline)
       throws LedgerException {
     try {
-      return reading.get(Math.max(0, until - Clock.micros()), TimeUnit.MICROSECONDS);
+      return task.get(Math.max(0, deadline - Clock.micros()), TimeUnit.MICROSECONDS);
     } catch (TimeoutException e) {
       throw new LedgerException("a record was not read in its client's time", e);
     } catch (ExecutionException e) {
--- a/edge/src/main/java/gorseladder/edge/core/RecordWait.java
+++ b/edge/src/main/java/gorseladder/edge/core/RecordWait.java
@@ -23,7 +23,8 @@
    * @param until on {@link Clock#micros()}
    * @throws LedgerException where records cannot be written at present
    */
-  public static boolean until(Ledger ledger, long ticket, long until) throws LedgerException {
-    return ledger.await(ticket, Math.max(0, until - Clock.micros()) * 1_000);
+  public static boolean awaitUntil(Ledger ledger, long ticket, long deadline)
+      throws LedgerException {
+    return ledger.await(ticket, Math.max(0, deadline - Clock.micros()) * 1_000);
   }
 }
--- a/edge/src/main/java/gorseladder/edge/core/TakenCall.java
+++ b/edge/src/main/java/gorseladder/edge/core/TakenCall.java
@@ -19,25 +19,25 @@
  */
 public final class TakenCall extends Call {
   private final Ledger ledger;
-  private final int maxKept;
+  private final int maxStoredAnswerBytes;
   private final AdmissionCheck.Pass pass;
   private final Consumer<TakenCall> onEnd;
-  private final boolean ranBefore;
+  private final boolean mayHaveRunBefore;
   private LedgerEntry entry;
   /** The signed request, where it is recorded with the end. */
   private final String request;
 
   private final long requestKeepUntil;
-  private long leavingTicket;
+  private long sendTicket;
   private long endTicket;
   /** The ledger's name of the record of the end; -1 where it could not be put. */
-  private long endRecord = -1;
+  private long endRecordId = -1;
 
   private int waiters = 1;
   /** Clients that wait for the answer, or have it and are being written to. */
   private int readers = 1;
 
-  private final List<MessageMemory> answers = new ArrayList<>(1);
+  private final List<MessageMemory> answerMemory = new ArrayList<>(1);
 
   /**
    * A call just taken.
@@ -55,7 +55,7 @@
       LedgerEntry entry,
       String request,
       long requestKeepUntil,
-      int maxKept,
+      int maxStoredAnswerBytes,
       AdmissionCheck.Pass pass,
       Consumer<TakenCall> onEnd) {
     super(id, facts);
@@ -63,8 +63,8 @@
     this.requestKeepUntil = requestKeepUntil;
     this.ledger = ledger;
     this.entry = entry;
-    this.ranBefore = entry.mayHaveRun();
-    this.maxKept = maxKept;
+    this.mayHaveRunBefore = entry.mayHaveRun();
+    this.maxStoredAnswerBytes = maxStoredAnswerBytes;
     this.pass = pass;
     this.onEnd = onEnd;
   }
@@ -80,17 +80,17 @@
    *
    * @param now the ledger's time
    */
-  public synchronized long recordLeaving(long now) throws LedgerException {
+  public synchronized long recordSending(long now) throws LedgerException {
     if (isFinished()) {
       return 0;
     }
-    if (leavingTicket == 0) {
-      LedgerEntry leaving =
+    if (sendTicket == 0) {
+      LedgerEntry sending =
           entry.withStage(Stage.LEAVING, true, entry.mayHaveRun() ? entry.leftAt() : now);
-      leavingTicket = ledger.put(facts().message(), leaving);
-      entry = leaving;
+      sendTicket = ledger.put(facts().message(), sending);
+      entry = sending;
     }
-    return leavingTicket;
+    return sendTicket;
   }
 
   @Override
@@ -101,37 +101,37 @@
   @Override
   protected void recordFinalAnswer(FinalAnswer end) {
     boolean served = end.reason().kind == Reason.Kind.SERVED;
-    record(end, served, served ? end.body() : null, ranBefore || anyMayHaveRun());
+    record(end, served, served ? end.body() : null, mayHaveRunBefore || anyMayHaveRun());
   }
 
   @Override
   protected void onFinalAnswer(FinalAnswer end) {
-    pass.gone();
+    pass.ended();
     onEnd.accept(this);
-    releaseAnswers();
+    releaseAnswerMemory();
   }
 
   /** Has the memory of an attempt's answer taken until the call has ended and no client reads its answer any more. */
-  public void keep(MessageMemory answer) {
+  public void holdAnswerMemory(MessageMemory answer) {
     synchronized (this) {
-      answers.add(answer);
+      answerMemory.add(answer);
     }
-    releaseAnswers();
+    releaseAnswerMemory();
   }
 
   /** A client has its answer or has left; once for each that waited. */
-  public void readerLeft() {
+  public void readerDone() {
     synchronized (this) {
       readers--;
     }
-    releaseAnswers();
+    releaseAnswerMemory();
   }
 
-  private void releaseAnswers() {
+  private void releaseAnswerMemory() {
     synchronized (this) {
       if (isFinished() && readers == 0) {
-        answers.forEach(MessageMemory::end);
-        answers.clear();
+        answerMemory.forEach(MessageMemory::end);
+        answerMemory.clear();
       }
     }
   }
@@ -144,40 +144,40 @@
     if (end != null
         && end.reason().kind != Reason.Kind.SERVED
         && entry.stage() == Stage.CLOSED
-        && endRecord == ledger.newestRecordId(facts().message())) {
+        && endRecordId == ledger.newestRecordId(facts().message())) {
       record(end, true, body, true);
       ledger.flushSoon();
     }
   }
 
   private void record(FinalAnswer end, boolean served, byte[] body, boolean mayHaveRun) {
-    byte[] kept = body != null && body.length <= maxKept ? body : null;
-    boolean keeps = served && (kept != null || body == null);
+    byte[] storedAnswer = body != null && body.length <= maxStoredAnswerBytes ? body : null;
+    boolean storesAnswer = served && (storedAnswer != null || body == null);
     entry = entry.withOutcome(
-        keeps ? Stage.SERVED : Stage.CLOSED,
+        storesAnswer ? Stage.SERVED : Stage.CLOSED,
         served || mayHaveRun,
         end.reason().word(),
         end.reason().status,
-        kept);
+        storedAnswer);
     try {
       endTicket = ledger.put(facts().message(), entry, request, requestKeepUntil);
-      endRecord = ledger.newestRecordId(facts().message());
+      endRecordId = ledger.newestRecordId(facts().message());
     } catch (LedgerException e) {
       // The record of its leaving stands: a repeat finds that it may have run, which is the
       // safe side.
       endTicket = 0;
-      endRecord = -1;
+      endRecordId = -1;
     }
   }
 
   /** Waits for the final answer; null where there is none by then. */
-  public synchronized FinalAnswer await(long until) throws InterruptedException {
+  public synchronized FinalAnswer await(long deadline) throws InterruptedException {
     while (answer() == null) {
-      long left = until - Clock.micros();
-      if (left <= 0) {
+      long remaining = deadline - Clock.micros();
+      if (remaining <= 0) {
         return null;
       }
-      wait(left / 1000, (int) (left % 1000) * 1000);
+      wait(remaining / 1000, (int) (remaining % 1000) * 1000);
     }
     return answer();
   }
--- a/edge/src/main/java/gorseladder/edge/front/AnswerWriter.java
+++ b/edge/src/main/java/gorseladder/edge/front/AnswerWriter.java
@@ -19,15 +19,15 @@
  */
 final class AnswerWriter {
   private static final Logger LOG = LoggerFactory.getLogger(AnswerWriter.class);
-  private static final byte[] NOTHING = {};
+  private static final byte[] EMPTY = {};
 
   private final Watchdog watchdog;
-  private final long mostTime;
+  private final long writeTimeout;
 
   /** Answers that their clients have to take within so many microseconds. */
-  AnswerWriter(Watchdog watchdog, long mostTime) {
+  AnswerWriter(Watchdog watchdog, long writeTimeout) {
     this.watchdog = watchdog;
-    this.mostTime = mostTime;
+    this.writeTimeout = writeTimeout;
   }
 
   /**
@@ -53,7 +53,7 @@
   }
 
   private static byte[] result(FinalAnswer answer) {
-    return answer.body() == null ? NOTHING : answer.body();
+    return answer.body() == null ? EMPTY : answer.body();
   }
 
   private static HeadWriter servedHead(FinalAnswer answer) {
@@ -90,7 +90,7 @@
   }
 
   private void write(HttpConnection connection, byte[]... parts) throws IOException {
-    Watchdog.Timer guard = watchdog.after(mostTime, () -> {
+    Watchdog.Timer timer = watchdog.after(writeTimeout, () -> {
       LOG.info("{} did not take its answer in time", connection.peer());
       connection.abort();
     });
@@ -99,7 +99,7 @@
         connection.write(part);
       }
     } finally {
-      guard.cancel();
+      timer.cancel();
     }
   }
 }
--- a/edge/src/main/java/gorseladder/edge/front/CallLog.java
+++ b/edge/src/main/java/gorseladder/edge/front/CallLog.java
@@ -16,27 +16,27 @@
   private static final Logger CALLS = LoggerFactory.getLogger("gorseladder.calls");
 
   /** An answer handed over by more than this after its client's patience is told, in microseconds. */
-  private static final long LATE = 50_000;
+  private static final long MAX_LATE_MICROS = 50_000;
 
   private final Map<Reason, LongAdder> counts = new EnumMap<>(Reason.class);
-  private final LongAdder taken = new LongAdder();
-  private final RuleLog rules;
+  private final LongAdder accepted = new LongAdder();
+  private final RuleLog ruleLog;
 
   /** A log that has {@code rules} look at each answer that was handed over. */
-  public CallLog(RuleLog rules) {
-    this.rules = rules;
+  public CallLog(RuleLog ruleLog) {
+    this.ruleLog = ruleLog;
     for (Reason reason : Reason.values()) {
       counts.put(reason, new LongAdder());
     }
   }
 
   /** A call was taken. */
-  public void taken() {
-    taken.increment();
+  public void callAccepted() {
+    accepted.increment();
   }
 
   /** A call got its final answer. */
-  public void ended(TakenCall call) {
+  public void callEnded(TakenCall call) {
     FinalAnswer answer = call.answer();
     counts.get(answer.reason()).increment();
     CALLS
@@ -53,7 +53,7 @@
   }
 
   /** A delivery was answered from the ledger, without a call of its own. */
-  public void answered(String message, Reason reason, long micros) {
+  public void answeredFromLedger(String message, Reason reason, long micros) {
     counts.get(reason).increment();
     CALLS
         .atInfo()
@@ -64,9 +64,9 @@
   }
 
   /** The answer to a request was handed to the system; one that came too late is told with all its steps. */
-  void written(String message, Reason reason, RequestTimeline times) {
-    rules.answered(message, times.until() + times.lateness(), times.until(), times);
-    if (times.lateness() > LATE) {
+  void answerWritten(String message, Reason reason, RequestTimeline times) {
+    ruleLog.answered(message, times.deadline() + times.lateness(), times.deadline(), times);
+    if (times.lateness() > MAX_LATE_MICROS) {
       CALLS
           .atWarn()
           .addKeyValue("id", message)
@@ -78,7 +78,7 @@
   }
 
   /** A request was refused in a way that is told elsewhere; it is counted here. */
-  void counted(Reason reason) {
+  void countRefusal(Reason reason) {
     counts.get(reason).increment();
   }
 
@@ -96,7 +96,7 @@
   /** Counts since the start: taken, and each reason that occurred. */
   public Map<String, Long> counts() {
     Map<String, Long> all = new java.util.LinkedHashMap<>();
-    all.put("taken", taken.sum());
+    all.put("taken", accepted.sum());
     counts.forEach((reason, count) -> {
       if (count.sum() > 0) {
         all.put(reason.word(), count.sum());
--- a/edge/src/main/java/gorseladder/edge/front/IdleConnections.java
+++ b/edge/src/main/java/gorseladder/edge/front/IdleConnections.java
@@ -15,29 +15,29 @@
  * client that has asked; {@link ThreadReclaimer} says which. Any thread; nothing here blocks.
  */
 final class IdleConnections implements ThreadReclaimer.Source {
-  private final Map<HttpConnection, Long> since = new ConcurrentHashMap<>();
+  private final Map<HttpConnection, Long> idleSince = new ConcurrentHashMap<>();
 
   /** A connection begins to wait for a request. */
-  void waits(HttpConnection connection) {
-    since.put(connection, Clock.micros());
+  void add(HttpConnection connection) {
+    idleSince.put(connection, Clock.micros());
   }
 
   /** It waits no longer; false where it was chosen to end, and then it must carry no request. */
-  boolean resumes(HttpConnection connection) {
-    return since.remove(connection) != null;
+  boolean remove(HttpConnection connection) {
+    return idleSince.remove(connection) != null;
   }
 
   @Override
   public List<IdleConnection> idle(long now) {
     List<IdleConnection> idle = new ArrayList<>();
-    since.forEach((connection, at) ->
-        idle.add(new IdleConnection(new Holder(now - at, false), () -> end(connection))));
+    idleSince.forEach((connection, at) ->
+        idle.add(new IdleConnection(new Holder(now - at, false), () -> closeIfIdle(connection))));
     return idle;
   }
 
   /** Ends it unless a request has come on it. */
-  private boolean end(HttpConnection connection) {
-    if (connection.hasBytesToRead() || since.remove(connection) == null) {
+  private boolean closeIfIdle(HttpConnection connection) {
+    if (connection.hasBytesToRead() || idleSince.remove(connection) == null) {
       return false;
     }
     connection.close();
--- a/edge/src/main/java/gorseladder/edge/front/RequestTimeline.java
+++ b/edge/src/main/java/gorseladder/edge/front/RequestTimeline.java
@@ -28,8 +28,8 @@
 
   private final long arrivedAt;
   private final long waitedForTurn;
-  private final Map<Step, Long> passed = new EnumMap<>(Step.class);
-  private long patience = Long.MAX_VALUE / 4;
+  private final Map<Step, Long> stepTimes = new EnumMap<>(Step.class);
+  private long clientTimeout = Long.MAX_VALUE / 4;
 
   /**
    * A request whose first byte came at that time.
@@ -47,35 +47,35 @@
   }
 
   /** Sets how long its client waits from its arrival on. */
-  void patience(long micros) {
-    patience = micros;
+  void clientTimeout(long micros) {
+    clientTimeout = micros;
   }
 
   /** How long its client waits; very long where that is not known. */
-  long patience() {
-    return patience;
+  long clientTimeout() {
+    return clientTimeout;
   }
 
   /** When its client gives up. */
-  long until() {
-    return arrivedAt + patience;
+  long deadline() {
+    return arrivedAt + clientTimeout;
   }
 
   /** It passes a step now. */
   void mark(Step step) {
-    passed.put(step, Clock.micros());
+    stepTimes.put(step, Clock.micros());
   }
 
   /** By how much its answer was handed over too late; 0 or less where it was in time. */
   long lateness() {
-    return passed.getOrDefault(Step.WRITTEN, arrivedAt) - until();
+    return stepTimes.getOrDefault(Step.WRITTEN, arrivedAt) - deadline();
   }
 
   /** The steps with their milliseconds from the arrival. */
   @Override
   public String toString() {
     StringBuilder text = new StringBuilder("turn waited " + waitedForTurn / 1000);
-    passed.forEach((step, at) -> text.append(", ")
+    stepTimes.forEach((step, at) -> text.append(", ")
         .append(step.name().toLowerCase(Locale.ROOT))
         .append(" +")
         .append((at - arrivedAt) / 1000));
--- a/edge/src/main/java/gorseladder/edge/front/TurnQueue.java
+++ b/edge/src/main/java/gorseladder/edge/front/TurnQueue.java
@@ -11,47 +11,47 @@
 final class TurnQueue {
   private final Turns<Turn> turns;
 
-  TurnQueue(int most) {
-    turns = new Turns<>(most);
+  TurnQueue(int maxTurns) {
+    turns = new Turns<>(maxTurns);
   }
 
   /** One thread's turns; only that thread uses it. */
   final class Turn {
     private final Thread thread = Thread.currentThread();
-    private volatile boolean mine;
+    private volatile boolean granted;
     private long waited;
 
     /** Waits for the turn, which comes in any case: whoever has one gives it. */
-    void take() {
+    void acquire() {
       synchronized (turns) {
-        mine = turns.tryStart(this);
+        granted = turns.tryStart(this);
       }
-      if (!mine) {
-        long began = Clock.micros();
-        while (!mine) {
+      if (!granted) {
+        long waitStart = Clock.micros();
+        while (!granted) {
           LockSupport.park(this);
         }
-        waited += Clock.micros() - began;
+        waited += Clock.micros() - waitStart;
       }
     }
 
     /** Gives the turn to the next; a thread that has none gives nothing. */
-    void give() {
-      if (mine) {
-        mine = false;
+    void release() {
+      if (granted) {
+        granted = false;
         Turn next;
         synchronized (turns) {
           next = turns.finish();
         }
         if (next != null) {
-          next.mine = true;
+          next.granted = true;
           LockSupport.unpark(next.thread);
         }
       }
     }
 
     /** Counts waits anew. */
-    void forgetWaits() {
+    void resetWaited() {
       waited = 0;
     }
 
--- a/edge/src/main/java/gorseladder/edge/front/UnfinishedRequests.java
+++ b/edge/src/main/java/gorseladder/edge/front/UnfinishedRequests.java
@@ -37,7 +37,7 @@
   }
 
   /** Gives up the oldest, whatever it keeps; false where there is none. */
-  public synchronized boolean makeRoom(long wanted) {
+  public synchronized boolean makeRoom(long bytes) {
     Iterator<MessageMemory> oldest = oldestFirst.iterator();
     if (!oldest.hasNext()) {
       return false;
--- a/edge/src/main/java/gorseladder/edge/front/WebhookFront.java
+++ b/edge/src/main/java/gorseladder/edge/front/WebhookFront.java
@@ -48,19 +48,19 @@
    * How often a waiting thread looks whether its client has left, in microseconds: no attempt may begin 0.1 s after
    * that.
    */
-  private static final long LOOK = 50_000;
+  private static final long CLIENT_CHECK_MICROS = 50_000;
 
   /** What is kept of a client's patience for handing over its answer, in microseconds. */
-  private static final long LAST_WRITE = 5_000;
+  private static final long WRITE_RESERVE_MICROS = 5_000;
   /** How often a thread that holds a refusal back looks whether it still should. */
-  private static final long HOLD_MILLIS = 100;
+  private static final long DELAY_STEP_MILLIS = 100;
 
-  private static final long SPREAD = 0x9E3779B97F4A7C15L;
-  private static final long LINGER = 300_000;
-  private static final byte[] CONTINUE =
+  private static final long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
+  private static final long LINGER_MICROS = 300_000;
+  private static final byte[] CONTINUE_RESPONSE =
       "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-  private static final String NO_MEMORY = "as much memory as there is for messages is held";
-  private static final Pattern WAIT =
+  private static final String NO_MEMORY_DETAIL = "as much memory as there is for messages is held";
+  private static final Pattern PREFER_WAIT =
       Pattern.compile("(?:^|[,;\\s])wait=\"?([0-9]{1,6})\"?(?:$|[,;\\s])");
 
   private final WebhookSettings settings;
@@ -68,13 +68,13 @@
   private final Core<TakenCall> core;
   private final AdmissionCheck admission;
   private final AnswerWriter answers;
-  private final StallDetector pauses;
+  private final StallDetector stallDetector;
   private final CallLog log;
   private final AtomicInteger inProgress = new AtomicInteger();
   private final TurnQueue turnQueue;
-  private final IdleConnections idle = new IdleConnections();
-  private final UnfinishedRequests unfinished;
-  private final ThreadReclaimer sharer = new ThreadReclaimer(idle);
+  private final IdleConnections idleConnections = new IdleConnections();
+  private final UnfinishedRequests unfinishedRequests;
+  private final ThreadReclaimer threadReclaimer = new ThreadReclaimer(idleConnections);
   private volatile boolean stopping;
 
   /**
@@ -84,20 +84,20 @@
    */
   public WebhookFront(
       WebhookSettings settings,
-      UnfinishedRequests unfinished,
+      UnfinishedRequests unfinishedRequests,
       AdmissionCheck admission,
       Intake intake,
       Core<TakenCall> core,
       Watchdog watchdog,
-      StallDetector pauses,
+      StallDetector stallDetector,
       CallLog log) {
     this.settings = settings;
-    this.unfinished = unfinished;
+    this.unfinishedRequests = unfinishedRequests;
     this.admission = admission;
     this.intake = intake;
     this.core = core;
-    this.answers = new AnswerWriter(watchdog, settings.answerWrite());
-    this.pauses = pauses;
+    this.answers = new AnswerWriter(watchdog, settings.answerWriteTimeout());
+    this.stallDetector = stallDetector;
     this.log = log;
     this.turnQueue = new TurnQueue(Runtime.getRuntime().availableProcessors());
   }
@@ -108,18 +108,18 @@
    * @param threads a connection has one of them
    */
   public HttpServer listen(InetSocketAddress at, ThreadCache threads) throws IOException {
-    Accepted accepted = new Accepted();
-    HttpServer server = HttpServer.listen(at, "webhook", settings.stackBytes(), threads, accepted);
-    accepted.serves(server);
+    ConnectionHandler handler = new ConnectionHandler();
+    HttpServer server = HttpServer.listen(at, "webhook", settings.stackBytes(), threads, handler);
+    handler.setServer(server);
     return server;
   }
 
   /** Connections as the listener hands them over; each waits until the listener is known here. */
-  private final class Accepted implements HttpServer.Handler {
+  private final class ConnectionHandler implements HttpServer.Handler {
     private final CountDownLatch ready = new CountDownLatch(1);
     private volatile HttpServer server;
 
-    void serves(HttpServer listening) {
+    void setServer(HttpServer listening) {
       server = listening;
       ready.countDown();
     }
@@ -137,12 +137,12 @@
         return;
       }
       // It may have come in a pause that ended just before it was accepted.
-      WebhookFront.this.serve(channel, server, pauses.earliestArrival(earliest));
+      WebhookFront.this.serve(channel, server, stallDetector.earliestArrival(earliest));
     }
 
     @Override
     public void reclaimThread(long waited) {
-      sharer.reclaim(waited);
+      threadReclaimer.reclaim(waited);
     }
   }
 
@@ -158,8 +158,8 @@
 
   private void serve(SocketChannel channel, HttpServer server, long earliest) throws IOException {
     HttpConnection c = new HttpConnection(channel, settings.limits());
-    c.arrivals(new ArrivalTimes(pauses::earliestArrival, earliest));
-    if (!settings.allowed().contains(c.peer().getAddress())) {
+    c.arrivals(new ArrivalTimes(stallDetector::earliestArrival, earliest));
+    if (!settings.allowedNetworks().contains(c.peer().getAddress())) {
       reject(c, Reason.FORBIDDEN_NETWORK, Reason.FORBIDDEN_NETWORK.text);
       return;
     }
@@ -170,17 +170,17 @@
     TurnQueue.Turn turn = turnQueue.new Turn();
     // Whoever has bytes to read and judge needs a turn, and has none while it waits for bytes,
     // a record, an answer or a slow client.
-    c.aroundWaits(turn::give, turn::take);
+    c.aroundWaits(turn::release, turn::acquire);
     try {
       boolean more = true;
       while (more) {
         more = request(c, turn);
       }
     } catch (BadMessage e) {
-      turn.give();
+      turn.release();
       reject(c, reason(e), e.getMessage());
     } finally {
-      turn.give();
+      turn.release();
     }
   }
 
@@ -200,21 +200,21 @@
     c.aroundWaits(() -> {}, () -> {});
     log.rejected(c.peer(), reason, detail);
     answers.write(c, FinalAnswer.of(reason), detail, false);
-    c.closeGracefully(Clock.micros() + LINGER);
+    c.closeGracefully(Clock.micros() + LINGER_MICROS);
   }
 
   /** One request and its answer; false where the connection carries no further one. */
   private boolean request(HttpConnection c, TurnQueue.Turn turn) throws IOException, BadMessage {
-    turn.forgetWaits();
+    turn.resetWaited();
     if (!awaitRequest(c)) {
       return false;
     }
     inProgress.incrementAndGet();
-    MessageMemory memory = unfinished.begin();
+    MessageMemory memory = unfinishedRequests.begin();
     try {
       return exchange(c, turn, memory);
     } finally {
-      unfinished.finish(memory);
+      unfinishedRequests.finish(memory);
       memory.end();
       inProgress.decrementAndGet();
     }
@@ -222,16 +222,16 @@
 
   /** Waits for the first byte of a request; false where none comes, or the connection was chosen to end. */
   private boolean awaitRequest(HttpConnection c) throws IOException {
-    boolean came = false;
-    idle.waits(c);
+    boolean arrived = false;
+    idleConnections.add(c);
     try {
-      came = c.awaitMessage(Clock.micros() + settings.idle());
+      arrived = c.awaitMessage(Clock.micros() + settings.idleTimeout());
     } catch (SocketTimeoutException e) {
       LOG.debug("{} asked nothing for long", c.peer());
     } finally {
-      came &= idle.resumes(c);
+      arrived &= idleConnections.remove(c);
     }
-    return came;
+    return arrived;
   }
 
   private boolean exchange(HttpConnection c, TurnQueue.Turn turn, MessageMemory memory)
@@ -239,26 +239,26 @@
     // Its client has waited since it came: behind another one, in a pause of this process, for a
     // turn.
     long arrivedAt = c.earliestArrival();
-    long until = Clock.micros() + settings.arrival();
+    long deadline = Clock.micros() + settings.arrivalTimeout();
     Head head;
     byte[] body;
     try {
       c.takeMemoryFrom(memory);
       memory.take(HttpConnection.BUFFER_BYTES);
-      head = c.readRequest(until);
+      head = c.readRequest(deadline);
       BodyParser parser = BodyParser.forRequest(head, settings.limits());
-      expectation(c, head, parser);
-      body = c.readBody(parser, until);
-      if (!unfinished.finish(memory)) {
+      answerExpect(c, head, parser);
+      body = c.readBody(parser, deadline);
+      if (!unfinishedRequests.finish(memory)) {
         memory.requireNotEnded();
       }
     } catch (SocketTimeoutException e) {
-      turn.give();
+      turn.release();
       reject(c, Reason.SLOW_SENDER, Reason.SLOW_SENDER.text);
       return false;
     } catch (NoRoomException e) {
-      turn.give();
-      reject(c, Reason.BUSY, NO_MEMORY);
+      turn.release();
+      reject(c, Reason.BUSY, NO_MEMORY_DETAIL);
       return false;
     }
     boolean keep = head.keepsConnection() && !stopping;
@@ -272,28 +272,28 @@
   }
 
   /** Holds a refusal back for as long as admission says, but no longer than its client waits. */
-  private void hold(long until) {
+  private void delayRefusal(long deadline) {
     long since = Clock.micros();
-    long last = until - LAST_WRITE - HOLD_MILLIS * 1_000;
+    long last = deadline - WRITE_RESERVE_MICROS - DELAY_STEP_MILLIS * 1_000;
     try {
       while (!stopping
           && Clock.micros() < last
-          && Clock.micros() - since < admission.holdRefusal()) {
-        Thread.sleep(HOLD_MILLIS);
+          && Clock.micros() - since < admission.refusalDelay()) {
+        Thread.sleep(DELAY_STEP_MILLIS);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private static void expectation(HttpConnection c, Head head, BodyParser body)
+  private static void answerExpect(HttpConnection c, Head head, BodyParser body)
       throws IOException, BadMessage {
     String expect = head.get("expect");
     if (expect != null && !expect.equalsIgnoreCase("100-continue")) {
       throw new BadMessage(BadMessage.Fault.WRONG_EXPECTATION, Reason.WRONG_EXPECTATION.text);
     }
     if (expect != null && head.minorVersion() >= 1 && !body.done() && !c.hasBufferedBytes()) {
-      c.write(CONTINUE);
+      c.write(CONTINUE_RESPONSE);
     }
   }
 
@@ -324,9 +324,9 @@
       try {
         answer = answer();
       } finally {
-        turn.give();
+        turn.release();
         if (pass != null) {
-          pass.gone();
+          pass.ended();
         }
       }
       if (answer.reason() == Reason.GONE) {
@@ -334,54 +334,54 @@
         return false;
       }
       if (answer.reason() == Reason.OVERLOADED) {
-        hold(times.until());
+        delayRefusal(times.deadline());
       }
       answers.write(c, answer, detail, keep);
       times.mark(Step.WRITTEN);
-      log.written(message, answer.reason(), times);
+      log.answerWritten(message, answer.reason(), times);
       return keep;
     }
 
     /** The answer is read no more. */
     void end() {
       if (call != null) {
-        call.readerLeft();
+        call.readerDone();
       }
     }
 
-    private FinalAnswer no(Reason reason, String why) {
+    private FinalAnswer reject(Reason reason, String why) {
       detail = why == null ? reason.text : why;
       log.rejected(c.peer(), reason, detail);
       return FinalAnswer.of(reason);
     }
 
     FinalAnswer answer() {
-      times.patience(patience(head));
+      times.clientTimeout(clientTimeout(head));
       if (stopping) {
-        return no(Reason.STOPPING, null);
+        return reject(Reason.STOPPING, null);
       }
       Endpoint endpoint = settings.endpoints().get(head.path());
       if (endpoint == null) {
-        return no(Reason.UNKNOWN_PATH, null);
+        return reject(Reason.UNKNOWN_PATH, null);
       }
       if (!head.method().equals("POST")) {
-        return no(Reason.WRONG_METHOD, null);
+        return reject(Reason.WRONG_METHOD, null);
       }
       Delivery delivery;
       try {
         delivery = Delivery.of(
             head.get(Delivery.ID), head.get(Delivery.TIMESTAMP), head.get(Delivery.SIGNATURE));
       } catch (IllegalArgumentException e) {
-        return no(Reason.BAD_SIGNATURE, e.getMessage());
+        return reject(Reason.BAD_SIGNATURE, e.getMessage());
       }
       message = endpoint.path() + " " + delivery.id();
       times.mark(Step.READ);
       // Before the signature is checked: whoever is refused here costs little, and nothing of
       // theirs is believed.
       pass = admission.enter(
-          key(message, delivery),
+          messageKey(message, delivery),
           endpoint.tenant(),
-          endpoint.longestAim(),
+          endpoint.maxLatencyTarget(),
           turn.waited(),
           intake.remembers(message));
       if (pass == null) {
@@ -389,20 +389,20 @@
       }
       long wallSeconds = Clock.wallMicros() / 1_000_000;
       Delivery.Check check =
-          delivery.check(body, endpoint.secrets(), wallSeconds, endpoint.tolerance());
+          delivery.check(body, endpoint.secrets(), wallSeconds, endpoint.toleranceSeconds());
       if (check != Delivery.Check.GOOD) {
-        return no(
+        return reject(
             check == Delivery.Check.STALE ? Reason.STALE_TIMESTAMP : Reason.BAD_SIGNATURE, null);
       }
       try {
         return route(endpoint, delivery, Payload.parse(body));
       } catch (IllegalArgumentException e) {
-        return no(Reason.BAD_PAYLOAD, e.getMessage());
+        return reject(Reason.BAD_PAYLOAD, e.getMessage());
       }
     }
 
     private FinalAnswer overloaded() {
-      log.counted(Reason.OVERLOADED);
+      log.countRefusal(Reason.OVERLOADED);
       detail = Reason.OVERLOADED.text;
       return new FinalAnswer(Reason.OVERLOADED, null, admission.retryAfter() * 1_000_000L);
     }
@@ -412,30 +412,31 @@
       String function =
           payload.function() != null || route == null ? payload.function() : route.function();
       if (route == null || function == null || function.isEmpty()) {
-        return no(Reason.UNKNOWN_TYPE, route == null ? null : "the payload names no function");
+        return reject(Reason.UNKNOWN_TYPE, route == null ? null : "the payload names no function");
       }
       RequestClass requestClass = route.requestClass();
-      boolean stays = pass.mayStay(
-          key(message, delivery),
-          requestClass.worth() / settings.topWorth(),
+      boolean admitted = pass.mayStay(
+          messageKey(message, delivery),
+          requestClass.worth() / settings.maxWorth(),
           requestClass.latencyTarget());
       // Another delivery of the message may have been taken meanwhile.
-      if (!stays && !intake.remembers(message)) {
+      if (!admitted && !intake.remembers(message)) {
         return overloaded();
       }
       // Remembered past the last moment at which the same time stamp could pass again, with the
       // tolerance as slack.
-      long keepRequest = intake
+      long requestKeepUntil = intake
           .clock()
           .fromWallClock(
-              (delivery.timestamp() + 2 * endpoint.tolerance()) * 1_000_000, Clock.wallMicros());
-      times.patience(Math.min(requestClass.deadline(), times.patience()));
-      turn.give();
+              (delivery.timestamp() + 2 * endpoint.toleranceSeconds()) * 1_000_000,
+              Clock.wallMicros());
+      times.clientTimeout(Math.min(requestClass.deadline(), times.clientTimeout()));
+      turn.release();
       times.mark(Step.ADMITTED);
-      Intake.Result result = intake.take(new Intake.Delivery(
+      Intake.Result result = intake.handle(new Intake.Delivery(
           message,
           Intake.requestKey(message, delivery.timestamp(), body),
-          keepRequest,
+          requestKeepUntil,
           requestClass,
           endpoint.tenant(),
           function,
@@ -444,13 +445,14 @@
           payload.lanes() > 0 ? payload.lanes() : route.lanes(),
           payload.loadMillis() * 1000,
           times.arrivedAt(),
-          times.patience(),
+          times.clientTimeout(),
           pass));
       times.mark(Step.TAKEN);
       call = result.call();
       if (call == null) {
         detail = result.answer().reason().text;
-        log.answered(message, result.answer().reason(), Clock.micros() - times.arrivedAt());
+        log.answeredFromLedger(
+            message, result.answer().reason(), Clock.micros() - times.arrivedAt());
         return result.answer();
       }
       FinalAnswer answer = await(result.joined());
@@ -458,18 +460,18 @@
       return answer;
     }
 
-    private long key(String message, Delivery delivery) {
-      return message.hashCode() * SPREAD ^ delivery.id().hashCode();
+    private long messageKey(String message, Delivery delivery) {
+      return message.hashCode() * HASH_MULTIPLIER ^ delivery.id().hashCode();
     }
 
     private FinalAnswer await(boolean joined) {
-      long until = times.until();
+      long deadline = times.deadline();
       try {
-        for (long now = Clock.micros(); now < until; now = Clock.micros()) {
-          FinalAnswer answer = call.await(Math.min(until, now + LOOK));
+        for (long now = Clock.micros(); now < deadline; now = Clock.micros()) {
+          FinalAnswer answer = call.await(Math.min(deadline, now + CLIENT_CHECK_MICROS));
           if (answer != null) {
             times.mark(Step.ENDED);
-            intake.awaitRecord(call, until - LAST_WRITE);
+            intake.awaitRecord(call, deadline - WRITE_RESERVE_MICROS);
             times.mark(Step.RECORDED);
             boolean ownerLeft = answer.reason() == Reason.GONE;
             return ownerLeft ? new FinalAnswer(Reason.FAILED_OVERDUE, null, 0) : answer;
@@ -494,9 +496,9 @@
   }
 
   /** The client's patience by {@code Prefer: wait=} (RFC 7240 section 4.3), in microseconds. */
-  private static long patience(Head head) {
+  private static long clientTimeout(Head head) {
     for (String prefer : head.all("prefer")) {
-      Matcher m = WAIT.matcher(prefer);
+      Matcher m = PREFER_WAIT.matcher(prefer);
       if (m.find() && Long.parseLong(m.group(1)) > 0) {
         return Long.parseLong(m.group(1)) * 1_000_000;
       }
--- a/edge/src/main/java/gorseladder/edge/front/WebhookSettings.java
+++ b/edge/src/main/java/gorseladder/edge/front/WebhookSettings.java
@@ -12,22 +12,22 @@
  */
 public record WebhookSettings(
     Map<String, Endpoint> endpoints,
-    Networks allowed,
+    Networks allowedNetworks,
     HttpLimits limits,
     int maxConnections,
-    long arrival,
-    long idle,
-    long answerWrite,
+    long arrivalTimeout,
+    long idleTimeout,
+    long answerWriteTimeout,
     int stackBytes,
-    double topWorth) {
+    double maxWorth) {
   /** One path; the longest aim of its classes in microseconds. */
   public record Endpoint(
       String path,
       String tenant,
       List<Secret> secrets,
-      long tolerance,
+      long toleranceSeconds,
       Map<String, Route> routes,
-      long longestAim) {}
+      long maxLatencyTarget) {}
 
   /** Which class takes an event type, and what a copy needs where the payload does not say. */
   public record Route(RequestClass requestClass, String function, double memoryMb, int lanes) {}
--- a/edge/src/main/java/gorseladder/edge/history/CallHistory.java
+++ b/edge/src/main/java/gorseladder/edge/history/CallHistory.java
@@ -24,9 +24,9 @@
  */
 public final class CallHistory implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(CallHistory.class);
-  private static final int MOST_KEYS = 20_000;
-  private static final long MINUTE = 60_000_000;
-  private static final long LOOK_MILLIS = 500;
+  private static final int MAX_KEYS = 20_000;
+  private static final long MINUTE_MICROS = 60_000_000;
+  private static final long POLL_MILLIS = 500;
 
   private record Key(String function, String requestClass, String tenant) {}
 
@@ -53,33 +53,33 @@
   }
 
   /** The history itself, for whoever reads it while it is written. */
-  public History rows() {
+  public History history() {
     return history;
   }
 
-  private Counts at(String function, String requestClass, String tenant) {
+  private Counts countsFor(String function, String requestClass, String tenant) {
     Key key = new Key(function, requestClass, tenant);
-    Counts known = counts.get(key);
-    if (known == null) {
-      known = counts.computeIfAbsent(
-          counts.size() < MOST_KEYS ? key : new Key("", requestClass, tenant), k -> new Counts());
+    Counts existing = counts.get(key);
+    if (existing == null) {
+      existing = counts.computeIfAbsent(
+          counts.size() < MAX_KEYS ? key : new Key("", requestClass, tenant), k -> new Counts());
     }
-    return known;
+    return existing;
   }
 
-  private Counts of(TakenCall call) {
-    return at(
+  private Counts countsFor(TakenCall call) {
+    return countsFor(
         call.facts().function(),
         call.facts().requestClass().name(),
         call.facts().tenant());
   }
 
   /** A call got its final answer. */
-  public void ended(TakenCall call) {
+  public void callEnded(TakenCall call) {
     // Takes the call's lock, which nobody may wait for with the history's.
     Reason.Kind kind = call.answer().reason().kind;
     synchronized (this) {
-      Counts c = of(call);
+      Counts c = countsFor(call);
       c.calls++;
       c.refused += kind == Reason.Kind.REFUSED || kind == Reason.Kind.REJECTED ? 1 : 0;
       c.failed += kind == Reason.Kind.FAILED ? 1 : 0;
@@ -87,9 +87,9 @@
   }
 
   /** An attempt ended; a served one says what it met. */
-  public synchronized void attempt(AttemptEnd<TakenCall> end) {
+  public synchronized void attemptEnded(AttemptEnd<TakenCall> end) {
     if (end.outcome() == Outcome.OK) {
-      Counts c = of(end.call());
+      Counts c = countsFor(end.call());
       switch (end.copyStatus()) {
         case WARM -> c.found++;
         case BEGAN -> c.began++;
@@ -100,24 +100,24 @@
   }
 
   /** A load order ended; it belongs to no class or tenant. */
-  public synchronized void loaded(Loaded loaded) {
+  public synchronized void loadEnded(Loaded loaded) {
     if (loaded.outcome() == Outcome.OK) {
-      Counts c = at(loaded.function(), "", "");
+      Counts c = countsFor(loaded.function(), "", "");
       c.loads++;
       c.loadMicros += loaded.latency();
     }
   }
 
   private void run() {
-    long minute = Clock.wallMicros() / MINUTE;
+    long minute = Clock.wallMicros() / MINUTE_MICROS;
     while (!closed) {
       try {
-        Thread.sleep(LOOK_MILLIS);
+        Thread.sleep(POLL_MILLIS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         return;
       }
-      long now = Clock.wallMicros() / MINUTE;
+      long now = Clock.wallMicros() / MINUTE_MICROS;
       if (now != minute) {
         long ended = minute;
         Threads.guarded("history", () -> write(ended));
@@ -126,7 +126,7 @@
     }
   }
 
-  private synchronized Map<Key, Counts> take() {
+  private synchronized Map<Key, Counts> takeCounts() {
     Map<Key, Counts> taken = counts;
     counts = new HashMap<>();
     return taken;
@@ -135,7 +135,7 @@
   /** What cannot be written is lost to the history and said so; calls go on. */
   private void write(long minute) {
     List<HistoryRow> rows = new ArrayList<>();
-    take()
+    takeCounts()
         .forEach((k, c) -> rows.add(new HistoryRow(
             minute,
             1,
@@ -168,8 +168,8 @@
   public void close() {
     closed = true;
     try {
-      thread.join(2 * LOOK_MILLIS);
-      write(Clock.wallMicros() / MINUTE);
+      thread.join(2 * POLL_MILLIS);
+      write(Clock.wallMicros() / MINUTE_MICROS);
       history.close();
     } catch (IOException e) {
       LOG.error("the history did not close: {}", e.toString());
--- a/edge/src/main/java/gorseladder/edge/list/ListWatcher.java
+++ b/edge/src/main/java/gorseladder/edge/list/ListWatcher.java
@@ -41,30 +41,30 @@
 public final class ListWatcher implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(ListWatcher.class);
   private static final long CONNECT_MILLIS = 1_000;
-  private static final int LEAST_PAUSE = 50;
-  private static final int MOST_PAUSE = 2_000;
+  private static final int MIN_PAUSE_MILLIS = 50;
+  private static final int MAX_PAUSE_MILLIS = 2_000;
 
   /** Who hears the list. */
-  public interface Hearer {
+  public interface Listener {
     /**
      * A worker's phase and start; {@code at} is when the bytes that say so had arrived. Called before {@link #list}.
      *
      * @param born when it started, 0 for long ago
      */
-    void worker(String worker, Phase phase, long born, long at);
+    void workerReported(String worker, Phase phase, long startedAt, long receivedAt);
 
     /** The whole list. */
-    void list(WorkerListUpdate workers);
+    void listReceived(WorkerListUpdate update);
   }
 
   private final InetSocketAddress address;
   private final String service;
-  private final String agent;
+  private final String userAgent;
   private final long waitMillis;
-  private final Path saved;
-  private final Hearer hearer;
+  private final Path savedList;
+  private final Listener listener;
   private final Map<String, InetSocketAddress> addresses = new ConcurrentHashMap<>();
-  private final StartTimes starts = new StartTimes();
+  private final StartTimes startTimes = new StartTimes();
   /** When the list was last read whole. */
   private long listedAt = StartTimes.ALWAYS_LISTED;
 
@@ -79,18 +79,18 @@
   public ListWatcher(
       InetSocketAddress address,
       String service,
-      String agent,
+      String userAgent,
       long waitMillis,
-      Path saved,
+      Path savedList,
       int stackBytes,
-      Hearer hearer) {
+      Listener listener) {
     this.address = address;
     this.service = service;
-    this.agent = agent;
+    this.userAgent = userAgent;
     this.waitMillis = waitMillis;
-    this.saved = saved;
+    this.savedList = savedList;
     this.stackBytes = stackBytes;
-    this.hearer = hearer;
+    this.listener = listener;
   }
 
   /** The socket address of a worker that was in some list, or null. */
@@ -102,24 +102,26 @@
   public void start() {
     List<WorkerEntry> entries = new ArrayList<>();
     try {
-      if (Files.exists(saved)) {
-        entries = entries(Json.read(Files.readAllBytes(saved)));
+      if (Files.exists(savedList)) {
+        entries = entries(Json.read(Files.readAllBytes(savedList)));
       }
     } catch (IOException | IllegalArgumentException e) {
       LOG.warn(
-          "the saved worker list {} cannot be read and is passed over: {}", saved, e.getMessage());
+          "the saved worker list {} cannot be read and is passed over: {}",
+          savedList,
+          e.getMessage());
     }
-    tell(ListKind.SAVED, entries, Clock.micros());
+    publish(ListKind.SAVED, entries, Clock.micros());
     thread = Threads.start("list", stackBytes, this::follow);
   }
 
   private void follow() {
-    int pause = LEAST_PAUSE;
+    int pause = MIN_PAUSE_MILLIS;
     while (!stopped) {
       try (HttpConnection c = HttpConnection.open(address, CONNECT_MILLIS, HttpLimits.INTERNAL)) {
         connection = c;
         while (!stopped && query(c)) {
-          pause = LEAST_PAUSE;
+          pause = MIN_PAUSE_MILLIS;
         }
       } catch (IOException | BadMessage | RuntimeException | Error e) {
         // Whatever fails is over in a moment, and nothing brings this thread back.
@@ -139,7 +141,7 @@
     } catch (InterruptedException e) {
       stopped = true;
     }
-    return Math.min(MOST_PAUSE, millis * 2);
+    return Math.min(MAX_PAUSE_MILLIS, millis * 2);
   }
 
   private boolean query(HttpConnection c) throws IOException, BadMessage {
@@ -147,13 +149,13 @@
             "GET",
             "/v1/health/service/" + service + "?index=" + index + "&wait=" + waitMillis + "ms",
             Address.print(address))
-        .field("User-Agent", agent)
+        .field("User-Agent", userAgent)
         .with(new byte[0]));
     // Consul adds up to a sixteenth of the wait; a stalled connection is found soon after that.
-    long until = Clock.micros() + (waitMillis + waitMillis / 16 + 2_000) * 1000;
-    Head head = c.readResponse(until);
-    byte[] body = c.readBody(BodyParser.forResponse(head, HttpLimits.INTERNAL), until);
-    long at = Clock.micros();
+    long deadline = Clock.micros() + (waitMillis + waitMillis / 16 + 2_000) * 1000;
+    Head head = c.readResponse(deadline);
+    byte[] body = c.readBody(BodyParser.forResponse(head, HttpLimits.INTERNAL), deadline);
+    long receivedAt = Clock.micros();
     if (head.status() != 200) {
       throw new IOException("status " + head.status());
     }
@@ -161,38 +163,42 @@
     if (next == null || !next.matches("[0-9]{1,18}")) {
       throw new IOException("no X-Consul-Index");
     }
-    boolean news = !next.equals(index);
+    boolean changed = !next.equals(index);
     // An index that goes backward, or is 0, says that the server lost its state: ask anew
     // without one.
     index = Long.parseLong(next) < Long.parseLong(index) || next.equals("0") ? "0" : next;
-    if (news) {
+    if (changed) {
       List<WorkerEntry> entries = entries(Json.read(body));
-      tell(ListKind.FULL, entries, at);
+      publish(ListKind.FULL, entries, receivedAt);
       save(body);
     }
-    listedAt = at;
+    listedAt = receivedAt;
     return head.keepsConnection();
   }
 
-  private void tell(ListKind kind, List<WorkerEntry> entries, long at) {
+  private void publish(ListKind kind, List<WorkerEntry> entries, long receivedAt) {
     Map<String, Phase> phases = new HashMap<>();
     addresses.keySet().forEach(w -> phases.put(w, Phase.GONE));
     entries.forEach(e -> phases.put(e.worker(), e.phase()));
     entries.forEach(e -> addresses.computeIfAbsent(e.worker(), Address::parse));
-    Map<String, Long> born = new HashMap<>();
-    entries.forEach(e -> born.put(e.worker(), e.startedAt()));
-    phases.forEach(
-        (worker, phase) -> hearer.worker(worker, phase, born.getOrDefault(worker, 0L), at));
-    hearer.list(new WorkerListUpdate(kind, entries));
+    Map<String, Long> startedAtByWorker = new HashMap<>();
+    entries.forEach(e -> startedAtByWorker.put(e.worker(), e.startedAt()));
+    phases.forEach((worker, phase) -> listener.workerReported(
+        worker, phase, startedAtByWorker.getOrDefault(worker, 0L), receivedAt));
+    listener.listReceived(new WorkerListUpdate(kind, entries));
     addresses.keySet().removeIf(w -> phases.get(w) == Phase.GONE);
-    starts.forget(w -> phases.get(w) == Phase.GONE);
+    startTimes.forget(w -> phases.get(w) == Phase.GONE);
   }
 
   private void save(byte[] body) {
-    Path fresh = saved.resolveSibling(saved.getFileName() + ".new");
+    Path temporary = savedList.resolveSibling(savedList.getFileName() + ".new");
     try {
-      Files.write(fresh, body);
-      Files.move(fresh, saved, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+      Files.write(temporary, body);
+      Files.move(
+          temporary,
+          savedList,
+          StandardCopyOption.ATOMIC_MOVE,
+          StandardCopyOption.REPLACE_EXISTING);
     } catch (IOException e) {
       LOG.warn("the worker list cannot be saved: {}", e.toString());
     }
@@ -229,7 +235,7 @@
         (int) number(Json.at(service, "Meta", "cell"), 0),
         draining ? Phase.DRAINING : Phase.RUNNING,
         number(Json.at(service, "Meta", "weight"), 1),
-        starts.startedAt(
+        startTimes.startedAt(
             id,
             (long) number(Json.at(service, "Meta", "born"), 0),
             new ClockReading(Clock.micros(), Clock.wallMicros()),
@@ -240,11 +246,11 @@
     return value instanceof String s ? s : "";
   }
 
-  private static double number(Object value, double otherwise) {
+  private static double number(Object value, double fallback) {
     try {
       return value instanceof String s
           ? Double.parseDouble(s)
-          : value instanceof Double d ? d : otherwise;
+          : value instanceof Double d ? d : fallback;
     } catch (NumberFormatException e) {
       throw new IllegalArgumentException("not a number: " + value);
     }
--- a/edge/src/main/java/gorseladder/edge/peers/PeerLink.java
+++ b/edge/src/main/java/gorseladder/edge/peers/PeerLink.java
@@ -19,33 +19,33 @@
  */
 public final class PeerLink implements AutoCloseable {
   /** Hears what other edges say; on the link's own thread. */
-  public interface Hearer {
-    void heard(int sender, String text);
+  public interface Listener {
+    void messageReceived(int sender, String text);
   }
 
   private static final Logger LOG = LoggerFactory.getLogger(PeerLink.class);
-  private static final String MARK = "GL1 ";
-  private static final int MOST_TEXT = 256;
+  private static final String PREFIX = "GL1 ";
+  private static final int MAX_TEXT_BYTES = 256;
 
   private final DatagramSocket socket;
   private final int ordinal;
   private final List<InetSocketAddress> peers;
-  private final Hearer hearer;
+  private final Listener listener;
   private volatile long dropped;
 
   /** Opens the socket and begins to hear. */
   public PeerLink(
-      InetSocketAddress at,
+      InetSocketAddress address,
       int ordinal,
       List<InetSocketAddress> peers,
       int stackBytes,
-      Hearer hearer)
+      Listener listener)
       throws IOException {
-    this.socket = new DatagramSocket(at);
+    this.socket = new DatagramSocket(address);
     this.ordinal = ordinal;
     this.peers = List.copyOf(peers);
-    this.hearer = hearer;
-    Threads.start("peers", stackBytes, this::hear);
+    this.listener = listener;
+    Threads.start("peers", stackBytes, this::receive);
   }
 
   /** Datagrams dropped so far. */
@@ -54,9 +54,9 @@
   }
 
   /** Sends to every peer; what cannot be sent is lost, as any datagram may be. */
-  public void tell(String text) {
-    byte[] bytes = (MARK + ordinal + " " + text).getBytes(StandardCharsets.UTF_8);
-    if (bytes.length > MARK.length() + 12 + MOST_TEXT) {
+  public void broadcast(String text) {
+    byte[] bytes = (PREFIX + ordinal + " " + text).getBytes(StandardCharsets.UTF_8);
+    if (bytes.length > PREFIX.length() + 12 + MAX_TEXT_BYTES) {
       LOG.warn("a message of {} bytes to the other edges was not sent", bytes.length);
       return;
     }
@@ -69,21 +69,21 @@
     }
   }
 
-  private void hear() {
-    Set<InetSocketAddress> known = Set.copyOf(peers);
+  private void receive() {
+    Set<InetSocketAddress> knownPeers = Set.copyOf(peers);
     byte[] buffer = new byte[1024];
     while (!socket.isClosed()) {
       DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
       try {
         socket.receive(packet);
         String text = new String(buffer, 0, packet.getLength(), StandardCharsets.UTF_8);
-        int space = text.indexOf(' ', MARK.length());
-        if (known.contains(packet.getSocketAddress())
-            && text.startsWith(MARK)
+        int space = text.indexOf(' ', PREFIX.length());
+        if (knownPeers.contains(packet.getSocketAddress())
+            && text.startsWith(PREFIX)
             && space > 0
-            && text.substring(MARK.length(), space).matches("[0-9]{1,6}")) {
-          hearer.heard(
-              Integer.parseInt(text.substring(MARK.length(), space)), text.substring(space + 1));
+            && text.substring(PREFIX.length(), space).matches("[0-9]{1,6}")) {
+          listener.messageReceived(
+              Integer.parseInt(text.substring(PREFIX.length(), space)), text.substring(space + 1));
         } else {
           dropped++;
         }
--- a/edge/src/main/java/gorseladder/edge/plans/PlannerLink.java
+++ b/edge/src/main/java/gorseladder/edge/plans/PlannerLink.java
@@ -49,36 +49,37 @@
   private static final long CONNECT_MILLIS = 1_000;
   private static final long ANSWER_MICROS = 10_000_000;
   private static final long COLLECT_SECONDS = 5;
-  private static final int MOST_ROWS = 20_000;
+  private static final int MAX_ROWS = 20_000;
   /** Records of loads ahead kept for a planner that is away; the oldest are dropped and the log says so. */
-  private static final int MOST_LOADS = 20_000;
+  private static final int MAX_LOADS = 20_000;
 
-  private static final int MOST_BACKOFF = 6;
+  private static final int MAX_BACKOFF_STEPS = 6;
 
-  private record Numbered(long number, LoadAheadAccounting.Entry entry, long orderedWall) {}
+  private record NumberedLoad(long number, LoadAheadAccounting.Entry entry, long orderedAtWall) {}
 
   private final InetSocketAddress address;
   private final EdgeSettings settings;
-  private final long boot;
+  private final long openCount;
   private final Core<TakenCall> core;
   private final History history;
   private final Random random = new Random();
-  private final ArrayDeque<Numbered> loads = new ArrayDeque<>();
-  private Map<String, FunctionStats.Snapshot> untold = Map.of();
-  private long loadNumber;
-  private long from;
+  private final ArrayDeque<NumberedLoad> loads = new ArrayDeque<>();
+  private Map<String, FunctionStats.Snapshot> unsentStats = Map.of();
+  private long lastLoadNumber;
+  private long nextRow;
   private int failures;
   private volatile HttpConnection connection;
   private volatile boolean stopped;
   private Thread thread;
 
   /** A link that begins with {@link #start}; {@code boot} tells the lives of this edge apart. */
-  public PlannerLink(EdgeSettings settings, long boot, Core<TakenCall> core, CallHistory history) {
+  public PlannerLink(
+      EdgeSettings settings, long openCount, Core<TakenCall> core, CallHistory history) {
     this.address = Address.parse(settings.getPlanner().getAddress());
     this.settings = settings;
-    this.boot = boot;
+    this.openCount = openCount;
     this.core = core;
-    this.history = history.rows();
+    this.history = history.history();
   }
 
   /** Begins to ask. */
@@ -92,7 +93,7 @@
       while (!stopped) {
         boolean more = false;
         try {
-          more = ask();
+          more = exchangeOnce();
           if (failures > 0) {
             LOG.info("the planner answers again");
           }
@@ -105,11 +106,11 @@
                 Address.print(address),
                 e.toString());
           }
-          drop();
+          closeConnection();
         }
         if (!more) {
           // Edges that lost a planner together must not come back together.
-          long base = settings.getPlanner().getAskMs() << Math.min(failures, MOST_BACKOFF) / 2;
+          long base = settings.getPlanner().getAskMs() << Math.min(failures, MAX_BACKOFF_STEPS) / 2;
           Thread.sleep(base / 2 + (long) (random.nextDouble() * base));
         }
       }
@@ -118,7 +119,7 @@
     }
   }
 
-  private void drop() {
+  private void closeConnection() {
     HttpConnection c = connection;
     connection = null;
     if (c != null) {
@@ -127,26 +128,26 @@
   }
 
   /** One exchange; true where more rows wait to be told. */
-  private boolean ask() throws IOException, BadMessage, InterruptedException {
-    PlannerReport collected = collect();
-    History.Batch batch = history.read(from, MOST_ROWS);
+  private boolean exchangeOnce() throws IOException, BadMessage, InterruptedException {
+    PlannerReport report = collect();
+    History.Batch batch = history.read(nextRow, MAX_ROWS);
     boolean caughtUp = batch.next() >= history.nextNumber();
     Ask.Builder ask = Ask.newBuilder()
         .setOrdinal(settings.getOrdinal())
         .setEdges(settings.getEdges())
-        .setBoot(boot)
+        .setBoot(openCount)
         .setHistory(history.identity())
-        .setAsked(from)
+        .setAsked(nextRow)
         .setFrom(batch.from())
         .setNext(batch.next())
         .setCaughtUp(caughtUp)
-        .setEpoch(collected.epoch())
-        .setVersion(collected.version());
+        .setEpoch(report.epoch())
+        .setVersion(report.version());
     for (HistoryRow row : batch.rows()) {
       ask.addRow(ByteString.copyFrom(row.toBytes()));
     }
-    untold = collected.functionStats();
-    collected
+    unsentStats = report.functionStats();
+    report
         .functionStats()
         .forEach((f, s) -> ask.addSeen(gorseladder.config.exchange.Seen.newBuilder()
             .setFunction(f)
@@ -155,55 +156,55 @@
             .setLanes(s.lanes())
             .setWorkUs((long) s.workMicros())
             .setLoadUs((long) s.loadMicros())));
-    collected
+    report
         .workers()
         .forEach(w -> ask.addWorker(Worker.newBuilder().setName(w.worker()).setWeight(w.weight())));
-    loads.forEach(l -> ask.addLoad(print(l)));
+    loads.forEach(l -> ask.addLoad(toProto(l)));
     Answer answer = exchange(ask.build().toByteArray());
-    untold = Map.of();
+    unsentStats = Map.of();
     loads.removeIf(l -> l.number() <= answer.getLoadsKept());
-    boolean moved =
+    boolean cursorMoved =
         !answer.getHistory().equals(history.identity()) || answer.getWant() != batch.next();
-    from = answer.getHistory().equals(history.identity()) ? answer.getWant() : 0;
+    nextRow = answer.getHistory().equals(history.identity()) ? answer.getWant() : 0;
     if (answer.hasPlan()) {
       core.takePlan(plan(answer.getPlan(), Clock.micros()));
     }
-    return moved || !caughtUp;
+    return cursorMoved || !caughtUp;
   }
 
   /** What the core has to tell; what an earlier exchange could not tell is counted again. */
   private PlannerReport collect() throws IOException, InterruptedException {
-    CompletableFuture<PlannerReport> got = new CompletableFuture<>();
-    Map<String, FunctionStats.Snapshot> again = untold;
-    untold = Map.of();
-    core.collectReport(again, got::complete);
+    CompletableFuture<PlannerReport> future = new CompletableFuture<>();
+    Map<String, FunctionStats.Snapshot> unsent = unsentStats;
+    unsentStats = Map.of();
+    core.collectReport(unsent, future::complete);
     try {
-      PlannerReport collected = got.get(COLLECT_SECONDS, TimeUnit.SECONDS);
-      long ago = Clock.wallMicros() - Clock.micros();
-      for (LoadAheadAccounting.Entry e : collected.loads()) {
-        loads.addLast(new Numbered(++loadNumber, e, e.orderedAt() + ago));
+      PlannerReport report = future.get(COLLECT_SECONDS, TimeUnit.SECONDS);
+      long wallOffset = Clock.wallMicros() - Clock.micros();
+      for (LoadAheadAccounting.Entry e : report.loads()) {
+        loads.addLast(new NumberedLoad(++lastLoadNumber, e, e.orderedAt() + wallOffset));
       }
-      if (loads.size() > MOST_LOADS) {
+      if (loads.size() > MAX_LOADS) {
         LOG.warn(
             "{} records of loads ahead are dropped: no planner took them",
-            loads.size() - MOST_LOADS);
-        while (loads.size() > MOST_LOADS) {
+            loads.size() - MAX_LOADS);
+        while (loads.size() > MAX_LOADS) {
           loads.removeFirst();
         }
       }
-      return collected;
+      return report;
     } catch (ExecutionException | TimeoutException e) {
       throw new IOException("the core did not answer", e);
     }
   }
 
-  private static LoadAhead print(Numbered l) {
+  private static LoadAhead toProto(NumberedLoad l) {
     LoadAheadAccounting.Entry e = l.entry();
     return LoadAhead.newBuilder()
         .setNumber(l.number())
         .setWorker(e.worker())
         .setFunction(e.function())
-        .setOrderedAt(l.orderedWall())
+        .setOrderedAt(l.orderedAtWall())
         .setLoadUs(e.loadMicros())
         .setMegabyteSeconds(e.megabyteSeconds())
         .setRenewals(e.renewals())
@@ -217,7 +218,7 @@
   private Answer exchange(byte[] body) throws IOException, BadMessage {
     HttpConnection c = connection;
     if (c == null || c.peerGone()) {
-      drop();
+      closeConnection();
       c = HttpConnection.open(address, CONNECT_MILLIS, HttpLimits.INTERNAL);
       connection = c;
     }
@@ -256,7 +257,7 @@
   @Override
   public void close() {
     stopped = true;
-    drop();
+    closeConnection();
     if (thread != null) {
       thread.interrupt();
     }
--- a/edge/src/main/java/gorseladder/edge/runners/AnswerReader.java
+++ b/edge/src/main/java/gorseladder/edge/runners/AnswerReader.java
@@ -7,7 +7,7 @@
 /** Takes the result out of a runner's answer. Any thread. */
 final class AnswerReader {
   /** Bytes of memory that reading an answer takes for each of its bytes, beside the answer itself. */
-  static final int COST = 5;
+  static final int MEMORY_PER_ANSWER_BYTE = 5;
 
   private AnswerReader() {}
 
@@ -18,7 +18,7 @@
    * @throws IllegalArgumentException where the answer is not an inference response
    */
   static byte[] result(byte[] answer, MessageMemory memory) throws NoRoomException {
-    memory.take((long) COST * answer.length);
+    memory.take((long) MEMORY_PER_ANSWER_BYTE * answer.length);
     byte[] result = Oip.content(answer).data();
     memory.shrinkTo(result.length);
     return result;
--- a/edge/src/main/java/gorseladder/edge/runners/RunnerSettings.java
+++ b/edge/src/main/java/gorseladder/edge/runners/RunnerSettings.java
@@ -6,10 +6,10 @@
  * @param mayDuplicate two attempts of a call may be out at a time
  */
 public record RunnerSettings(
-    int edge,
-    long connect,
-    long order,
-    long connectionIdle,
-    long unsafeConnectionIdle,
+    int edgeOrdinal,
+    long connectTimeout,
+    long orderTimeout,
+    long connectionIdleLimit,
+    long unsafeConnectionIdleLimit,
     int maxAnswerBytes,
     boolean mayDuplicate) {}
--- a/edge/src/main/java/gorseladder/edge/runners/Runners.java
+++ b/edge/src/main/java/gorseladder/edge/runners/Runners.java
@@ -56,32 +56,32 @@
  */
 public final class Runners implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Runners.class);
-  private static final byte[] NOTHING = {};
+  private static final byte[] EMPTY = {};
 
   /** Bytes of memory that making a request takes for each byte of its payload, beside its head. */
-  private static final int REQUEST_COST = 5;
+  private static final int MEMORY_PER_PAYLOAD_BYTE = 5;
 
   private final RunnerSettings settings;
   private final HttpLimits limits;
-  private final UnfinishedAnswers unfinished;
+  private final UnfinishedAnswers unfinishedAnswers;
   private final Ledger ledger;
   private final SendGate gate;
   private final Function<String, InetSocketAddress> addresses;
   private final ThreadCache threads;
   private final Watchdog watchdog;
   private final RuleLog rules;
-  private final Map<String, ArrayDeque<Kept>> idle = new ConcurrentHashMap<>();
-  private final Map<TakenCall, Map<Integer, Exchange>> out = new ConcurrentHashMap<>();
-  private volatile Hearer hearer;
+  private final Map<String, ArrayDeque<IdleConnection>> idleConnections = new ConcurrentHashMap<>();
+  private final Map<TakenCall, Map<Integer, Exchange>> exchanges = new ConcurrentHashMap<>();
+  private volatile Listener listener;
 
   /** Who hears how attempts and load orders ended: exactly one report for each. */
-  public interface Hearer {
+  public interface Listener {
     void attemptEnded(AttemptEnd<TakenCall> end);
 
     void loadEnded(Loaded loaded);
   }
 
-  private record Kept(HttpConnection connection, long since) {}
+  private record IdleConnection(HttpConnection connection, long idleSince) {}
 
   /**
    * Runner connections by these settings.
@@ -92,7 +92,7 @@
    */
   public Runners(
       RunnerSettings settings,
-      UnfinishedAnswers unfinished,
+      UnfinishedAnswers unfinishedAnswers,
       Ledger ledger,
       SendGate gate,
       Function<String, InetSocketAddress> addresses,
@@ -100,7 +100,7 @@
       ThreadCache threads,
       RuleLog rules) {
     this.settings = settings;
-    this.unfinished = unfinished;
+    this.unfinishedAnswers = unfinishedAnswers;
     this.limits = new HttpLimits(16_384, 100, 65_536, settings.maxAnswerBytes());
     this.ledger = ledger;
     this.gate = gate;
@@ -111,8 +111,8 @@
   }
 
   /** Names who hears the ends; once, before anything is sent. */
-  public void reportTo(Hearer hears) {
-    hearer = hears;
+  public void setListener(Listener target) {
+    listener = target;
   }
 
   /**
@@ -122,19 +122,20 @@
    * @param news the number of the list's news that it comes with, from 1
    * @param at when its bytes reached this process
    */
-  public void told(String worker, Phase phase, long born, long news, long at) {
+  public void workerReported(
+      String worker, Phase phase, long startedAt, long listUpdates, long receivedAt) {
     synchronized (gate) {
-      gate.phaseReported(worker, phase, at);
+      gate.phaseReported(worker, phase, receivedAt);
       if (phase != Phase.GONE) {
-        gate.startReported(worker, born, news, at);
+        gate.startReported(worker, startedAt, listUpdates, receivedAt);
       }
     }
   }
 
   /** A call was taken. */
-  public void taken(long at) {
+  public void callAccepted(long acceptedAt) {
     synchronized (gate) {
-      gate.callAccepted(at);
+      gate.callAccepted(acceptedAt);
     }
   }
 
@@ -148,13 +149,13 @@
   /** Starts an attempt. */
   public void send(TakenCall call, int number, String worker, long timeout) {
     Exchange exchange = new Exchange(call, number, worker, timeout);
-    out.computeIfAbsent(call, c -> new ConcurrentHashMap<>()).put(number, exchange);
+    exchanges.computeIfAbsent(call, c -> new ConcurrentHashMap<>()).put(number, exchange);
     exchange.start();
   }
 
   /** Stops an attempt; its end still comes. */
   public void cancel(TakenCall call, int number) {
-    Exchange exchange = out.getOrDefault(call, Map.of()).get(number);
+    Exchange exchange = exchanges.getOrDefault(call, Map.of()).get(number);
     if (exchange != null) {
       exchange.cancel();
     }
@@ -165,10 +166,11 @@
    *
    * @param news how many news of the list were known when it was decided
    */
-  public void load(String worker, String function, int copies, long news) {
-    long began = Clock.micros();
-    if (!threads.execute(() -> hearer.loadEnded(order(worker, function, copies, news, began)))) {
-      hearer.loadEnded(new Loaded(worker, function, 0, Outcome.MOOT, 0));
+  public void load(String worker, String function, int copies, long listUpdates) {
+    long startedAt = Clock.micros();
+    if (!threads.execute(() ->
+        listener.loadEnded(sendLoadOrder(worker, function, copies, listUpdates, startedAt)))) {
+      listener.loadEnded(new Loaded(worker, function, 0, Outcome.MOOT, 0));
     }
   }
 
@@ -177,28 +179,28 @@
     private final TakenCall call;
     private final int number;
     private final String worker;
-    private final long began = Clock.micros();
-    private final long until;
-    private final MessageMemory memory = unfinished.memory();
+    private final long startedAt = Clock.micros();
+    private final long deadline;
+    private final MessageMemory memory = unfinishedAnswers.newMemory();
     private Progress progress = Progress.WAITING;
     private HttpConnection connection;
     private boolean cancelled;
     /** The time that its runner is told, in microseconds, and when its bytes began to leave. */
-    private long timePassed;
+    private long timeoutSent;
 
-    private long leftAt;
-    private Verdict lastLook;
+    private long sentAt;
+    private Verdict sendVerdict;
     /** Bytes of the request that are written, and what ends a write that is stuck. */
-    private int written;
+    private int writtenBytes;
 
-    private Watchdog.Timer guard;
+    private Watchdog.Timer writeTimer;
 
     Exchange(TakenCall call, int number, String worker, long timeout) {
       this.call = call;
       this.number = number;
       this.worker = worker;
-      long deadline = call.facts().deadlineAt();
-      this.until = timeout > 0 ? Math.min(deadline, began + timeout) : deadline;
+      long callDeadline = call.facts().deadlineAt();
+      this.deadline = timeout > 0 ? Math.min(callDeadline, startedAt + timeout) : callDeadline;
     }
 
     /** Gives it a thread; where the system has none it waits for one, for as long as {@link ConnectionWait} says. */
@@ -207,11 +209,11 @@
         return;
       }
       long now = Clock.micros();
-      long look = isCancelled() ? -1 : ConnectionWait.retryDelay(now - began, until - now);
-      if (look < 0) {
+      long delay = isCancelled() ? -1 : ConnectionWait.retryDelay(now - startedAt, deadline - now);
+      if (delay < 0) {
         end(Ending.NO_RESOURCE);
       } else {
-        watchdog.after(look, this::start);
+        watchdog.after(delay, this::start);
       }
     }
 
@@ -242,9 +244,9 @@
       }
       Effect effect = call.facts().requestClass().effect();
       progress = Progress.CONNECTING;
-      if (!hold(borrow(worker, effect))) {
-        long wait = Math.min(settings.connect(), until - Clock.micros()) / 1000;
-        if (!hold(HttpConnection.open(address, wait, limits))) {
+      if (!attach(takeIdle(worker, effect))) {
+        long wait = Math.min(settings.connectTimeout(), deadline - Clock.micros()) / 1000;
+        if (!attach(HttpConnection.open(address, wait, limits))) {
           end(Ending.CANCELLED);
           return;
         }
@@ -252,8 +254,8 @@
       progress = Progress.CONNECTED;
       if (Repeats.recordBeforeSend(effect)) {
         try {
-          long ticket = call.recordLeaving(ledger.clock().micros());
-          if (!RecordWait.until(ledger, ticket, until)) {
+          long ticket = call.recordSending(ledger.clock().micros());
+          if (!RecordWait.awaitUntil(ledger, ticket, deadline)) {
             LOG.warn("an attempt was not sent: it was not on record in its time");
             end(Ending.GATE_CLOSED);
             return;
@@ -267,13 +269,13 @@
       if (!writeRequest()) {
         return;
       }
-      lookAgain(Clock.micros());
-      unfinished.begin(memory, this::cancel);
+      checkRules(Clock.micros());
+      unfinishedAnswers.register(memory, this::cancel);
       connection.takeMemoryFrom(memory);
-      Head head = connection.readResponse(until);
+      Head head = connection.readResponse(deadline);
       progress = Progress.RESPONDING;
-      byte[] body = connection.readBody(BodyParser.forResponse(head, limits), until);
-      if (!unfinished.finish(memory)) {
+      byte[] body = connection.readBody(BodyParser.forResponse(head, limits), deadline);
+      if (!unfinishedAnswers.finish(memory)) {
         memory.requireNotEnded();
       }
       answered(head, body);
@@ -281,56 +283,56 @@
 
     /** Writes the request where the last look allows it; false where it does not. */
     private boolean writeRequest() throws IOException {
-      memory.take(
-          HttpConnection.BUFFER_BYTES + (long) REQUEST_COST * call.facts().body().length);
+      memory.take(HttpConnection.BUFFER_BYTES
+          + (long) MEMORY_PER_PAYLOAD_BYTE * call.facts().body().length);
       byte[] message = message();
       memory.shrinkTo(message.length);
-      boolean left = write(message);
+      boolean sent = write(message);
       memory.shrinkTo(0);
-      return left;
+      return sent;
     }
 
     private boolean write(byte[] message) throws IOException {
       try {
-        if (!call.sendAtomically(() -> leave(message))) {
+        if (!call.sendAtomically(() -> checkAndWrite(message))) {
           // Without the call's lock: who hears of it has locks of its own.
-          end(AttemptOutcomes.endingOfDenied(lastLook));
+          end(AttemptOutcomes.endingOfDenied(sendVerdict));
           return false;
         }
-        connection.writeFrom(message, written);
+        connection.writeFrom(message, writtenBytes);
       } finally {
-        if (guard != null) {
-          guard.cancel();
+        if (writeTimer != null) {
+          writeTimer.cancel();
         }
       }
       return true;
     }
 
     /** The last look and the first bytes; the call's lock is held, so that nobody may be told of it here. */
-    private boolean leave(byte[] message) throws IOException {
-      lastLook = look();
-      if (!lastLook.allowed()) {
+    private boolean checkAndWrite(byte[] message) throws IOException {
+      sendVerdict = checkSend();
+      if (!sendVerdict.allowed()) {
         return false;
       }
       progress = Progress.SENDING;
-      guard = watchdog.after(Math.max(0, until - Clock.micros()), connection::abort);
-      written = connection.writeAtOnce(message);
+      writeTimer = watchdog.after(Math.max(0, deadline - Clock.micros()), connection::abort);
+      writtenBytes = connection.writeAtOnce(message);
       return true;
     }
 
     /** The last look; nothing but the write itself comes after it. */
-    private Verdict look() {
+    private Verdict checkSend() {
       Verdict verdict;
       synchronized (gate) {
         long now = Clock.micros();
-        Call.SendConditions look = new Call.SendConditions(
-            isCancelled() ? now : until,
+        Call.SendConditions conditions = new Call.SendConditions(
+            isCancelled() ? now : deadline,
             !gate.maySendCall(worker),
             gate.restartedSince(worker, call.attempt(number).listUpdatesAtDecision()),
             0,
             settings.mayDuplicate());
-        verdict = call.trySend(number, look, now);
-        leftAt = now;
+        verdict = call.trySend(number, conditions, now);
+        sentAt = now;
       }
       if (!verdict.allowed()) {
         LOG.debug(
@@ -340,36 +342,36 @@
     }
 
     /** Has the rules looked at once more, now that its bytes were written. */
-    private void lookAgain(long writtenAt) {
-      long drainToldAt;
-      long restartToldAt;
+    private void checkRules(long writtenAt) {
+      long drainReportedAt;
+      long restartReportedAt;
       synchronized (gate) {
-        drainToldAt = gate.drainToldAt(worker);
-        restartToldAt = gate.restartToldAt(worker);
+        drainReportedAt = gate.drainToldAt(worker);
+        restartReportedAt = gate.restartToldAt(worker);
       }
       TakenCall.Facts facts = call.facts();
-      Written written = new Written(
-          leftAt,
+      Written write = new Written(
+          sentAt,
           writtenAt,
-          drainToldAt,
+          drainReportedAt,
           gate.drainGrace(),
-          restartToldAt,
+          restartReportedAt,
           call.attempt(number).decidedAt(),
           call.endedAt(),
-          timePassed,
+          timeoutSent,
           facts.deadlineAt(),
           facts.requestClass().effect(),
           facts.requestClass().repeatWindow(),
           settings.mayDuplicate(),
           call.otherSentAttempts(number));
-      rules.written(facts.message(), written);
+      rules.written(facts.message(), write);
     }
 
     private synchronized boolean isCancelled() {
       return cancelled;
     }
 
-    private synchronized boolean hold(HttpConnection opened) {
+    private synchronized boolean attach(HttpConnection opened) {
       if (opened != null && cancelled) {
         opened.close();
         return false;
@@ -387,12 +389,12 @@
 
     private byte[] message() {
       TakenCall.Facts f = call.facts();
-      long millisLeft = Math.max(0, (until - Clock.micros()) / 1000);
-      timePassed = millisLeft * 1_000;
+      long millisLeft = Math.max(0, (deadline - Clock.micros()) / 1000);
+      timeoutSent = millisLeft * 1_000;
       HeadWriter w = HeadWriter.request("POST", Oip.inferTarget(f.function()), worker)
           .field("Content-Type", "application/json")
           .field("X-Request-Id", f.message().substring(f.message().indexOf(' ') + 1))
-          .field(Oip.EDGE_ORDINAL, settings.edge())
+          .field(Oip.EDGE_ORDINAL, settings.edgeOrdinal())
           .field(Oip.TIMEOUT_MILLIS, millisLeft)
           .field(Oip.MEMORY_MB, (long) f.memoryMb())
           .field(Oip.LANES, f.lanes());
@@ -414,7 +416,7 @@
     }
 
     private void answered(Head head, byte[] body) throws NoRoomException {
-      giveBack(worker, release(), head, call.facts().requestClass().effect());
+      returnConnection(worker, release(), head, call.facts().requestClass().effect());
       boolean neverRan = "no".equals(head.get(Oip.EXECUTED));
       Outcome outcome = AttemptOutcomes.of(progress, Ending.RESPONSE, head.status(), neverRan);
       byte[] result = null;
@@ -431,35 +433,36 @@
     }
 
     private void end(Ending ending) {
-      Ending told = isCancelled() ? Ending.CANCELLED : ending;
+      Ending reportedEnding = isCancelled() ? Ending.CANCELLED : ending;
       synchronized (this) {
         if (connection != null) {
           connection.abort();
         }
       }
-      report(AttemptOutcomes.of(progress, told, 0, false), null, null);
+      report(AttemptOutcomes.of(progress, reportedEnding, 0, false), null, null);
     }
 
     private void report(Outcome outcome, Head head, byte[] result) {
-      unfinished.finish(memory);
+      unfinishedAnswers.finish(memory);
       if (result == null) {
         memory.end();
       } else {
-        call.keep(memory);
+        call.holdAnswerMemory(memory);
       }
-      out.computeIfPresent(call, (c, all) -> {
+      exchanges.computeIfPresent(call, (c, all) -> {
         all.remove(number);
         return all.isEmpty() ? null : all;
       });
-      CopyStatus note = head == null ? CopyStatus.NONE : note(head.get(Oip.COPY_STATUS));
+      CopyStatus copyStatus =
+          head == null ? CopyStatus.NONE : copyStatus(head.get(Oip.COPY_STATUS));
       Map<String, Double> load =
           head == null ? Map.of() : LoadReport.parse(head.get(LoadReport.HEADER));
-      hearer.attemptEnded(new AttemptEnd<>(
-          call, number, outcome, result, note, head == null ? -1 : crowd(head), load));
+      listener.attemptEnded(new AttemptEnd<>(
+          call, number, outcome, result, copyStatus, head == null ? -1 : concurrency(head), load));
     }
   }
 
-  private static CopyStatus note(String copy) {
+  private static CopyStatus copyStatus(String copy) {
     return copy == null
         ? CopyStatus.NONE
         : switch (copy) {
@@ -471,81 +474,89 @@
         };
   }
 
-  private static int crowd(Head head) {
-    String crowd = head.get(Oip.CONCURRENCY);
-    return crowd != null && crowd.matches("[0-9]{1,6}") ? Integer.parseInt(crowd) : -1;
+  private static int concurrency(Head head) {
+    String concurrency = head.get(Oip.CONCURRENCY);
+    return concurrency != null && concurrency.matches("[0-9]{1,6}")
+        ? Integer.parseInt(concurrency)
+        : -1;
   }
 
-  private Loaded order(String worker, String function, int copies, long decidedWith, long began) {
+  private Loaded sendLoadOrder(
+      String worker, String function, int copies, long listUpdates, long startedAt) {
     Progress progress = Progress.CONNECTING;
-    long until = began + settings.order();
+    long deadline = startedAt + settings.orderTimeout();
     InetSocketAddress address = addresses.apply(worker);
-    MessageMemory memory = unfinished.memory();
-    try (HttpConnection connection =
-        address == null ? null : HttpConnection.open(address, settings.connect() / 1000, limits)) {
+    MessageMemory memory = unfinishedAnswers.newMemory();
+    try (HttpConnection connection = address == null
+        ? null
+        : HttpConnection.open(address, settings.connectTimeout() / 1000, limits)) {
       boolean open;
       synchronized (gate) {
         open = connection != null
-            && gate.maySendLoadOrder(worker, decidedWith, Clock.micros()).allowed();
+            && gate.maySendLoadOrder(worker, listUpdates, Clock.micros()).allowed();
       }
       if (!open) {
         return loaded(
-            worker, function, 0, connection == null ? Outcome.CONNECT_FAILED : Outcome.MOOT, began);
+            worker,
+            function,
+            0,
+            connection == null ? Outcome.CONNECT_FAILED : Outcome.MOOT,
+            startedAt);
       }
       progress = Progress.SENDING;
       connection.write(HeadWriter.request("POST", Oip.loadTarget(function), worker)
           .field("Content-Type", "application/json")
           .field("Connection", "close")
-          .field(Oip.EDGE_ORDINAL, settings.edge())
+          .field(Oip.EDGE_ORDINAL, settings.edgeOrdinal())
           .with(Oip.loadRequest(copies)));
       connection.takeMemoryFrom(memory);
-      Head head = connection.readResponse(until);
-      byte[] body = connection.readBody(BodyParser.forResponse(head, limits), until);
+      Head head = connection.readResponse(deadline);
+      byte[] body = connection.readBody(BodyParser.forResponse(head, limits), deadline);
       Outcome outcome = AttemptOutcomes.of(
           Progress.RESPONDING, Ending.RESPONSE, head.status(), "no".equals(head.get(Oip.EXECUTED)));
       return loaded(
-          worker, function, Oip.copiesIn(outcome == Outcome.OK ? body : NOTHING), outcome, began);
+          worker, function, Oip.copiesIn(outcome == Outcome.OK ? body : EMPTY), outcome, startedAt);
     } catch (SocketTimeoutException e) {
       return loaded(
-          worker, function, 0, AttemptOutcomes.of(progress, Ending.TIMED_OUT, 0, false), began);
+          worker, function, 0, AttemptOutcomes.of(progress, Ending.TIMED_OUT, 0, false), startedAt);
     } catch (NoRoomException e) {
       LOG.warn("an order to {} was given up: {}", worker, e.getMessage());
       return loaded(
-          worker, function, 0, AttemptOutcomes.of(progress, Ending.CANCELLED, 0, false), began);
+          worker, function, 0, AttemptOutcomes.of(progress, Ending.CANCELLED, 0, false), startedAt);
     } catch (IOException | BadMessage | IllegalArgumentException e) {
       return loaded(
-          worker, function, 0, AttemptOutcomes.of(progress, Ending.BROKEN, 0, false), began);
+          worker, function, 0, AttemptOutcomes.of(progress, Ending.BROKEN, 0, false), startedAt);
     } finally {
       memory.end();
     }
   }
 
   private static Loaded loaded(
-      String worker, String function, int copies, Outcome outcome, long began) {
+      String worker, String function, int copies, Outcome outcome, long startedAt) {
     return new Loaded(
-        worker, function, outcome == Outcome.OK ? copies : 0, outcome, Clock.micros() - began);
+        worker, function, outcome == Outcome.OK ? copies : 0, outcome, Clock.micros() - startedAt);
   }
 
   /** The newest kept connection that this call may use and whose other side still stands; null where there is none. */
-  private HttpConnection borrow(String worker, Effect effect) {
-    ArrayDeque<Kept> kept = idle.get(worker);
+  private HttpConnection takeIdle(String worker, Effect effect) {
+    ArrayDeque<IdleConnection> kept = idleConnections.get(worker);
     while (kept != null) {
-      Kept newest;
+      IdleConnection newest;
       synchronized (kept) {
         newest = kept.pollLast();
       }
       if (newest == null) {
         return null;
       }
-      long age = Clock.micros() - newest.since();
+      long age = Clock.micros() - newest.idleSince();
       if (ConnectionChoice.mayReuse(
-              effect, age, settings.connectionIdle(), settings.unsafeConnectionIdle())
+              effect, age, settings.connectionIdleLimit(), settings.unsafeConnectionIdleLimit())
           && !newest.connection().peerGone()
           && !newest.connection().hasBufferedBytes()) {
         return newest.connection();
       }
       boolean onlyTooOldForThis = effect == Effect.UNSAFE
-          && ConnectionChoice.mayReuse(Effect.SAFE, age, settings.connectionIdle(), 0);
+          && ConnectionChoice.mayReuse(Effect.SAFE, age, settings.connectionIdleLimit(), 0);
       if (onlyTooOldForThis) {
         keep(kept, newest);
         return null;
@@ -555,19 +566,21 @@
     return null;
   }
 
-  private static void keep(ArrayDeque<Kept> kept, Kept connection) {
+  private static void keep(ArrayDeque<IdleConnection> kept, IdleConnection connection) {
     synchronized (kept) {
       kept.addLast(connection);
     }
   }
 
-  private void giveBack(String worker, HttpConnection connection, Head head, Effect effect) {
-    ArrayDeque<Kept> kept = idle.computeIfAbsent(worker, w -> new ArrayDeque<>());
+  private void returnConnection(
+      String worker, HttpConnection connection, Head head, Effect effect) {
+    ArrayDeque<IdleConnection> kept =
+        idleConnections.computeIfAbsent(worker, w -> new ArrayDeque<>());
     synchronized (kept) {
       if (head.keepsConnection()
           && !connection.hasBufferedBytes()
           && ConnectionChoice.mayKeep(effect, kept.size())) {
-        keep(kept, new Kept(connection, Clock.micros()));
+        keep(kept, new IdleConnection(connection, Clock.micros()));
         return;
       }
     }
@@ -575,30 +588,32 @@
   }
 
   /** Drops what belongs to workers that are gone, and connections idle too long; called now and then. */
-  public void check() {
+  public void cleanUp() {
     long now = Clock.micros();
-    idle.forEach((worker, kept) -> {
+    idleConnections.forEach((worker, kept) -> {
       synchronized (kept) {
         while (!kept.isEmpty()
             && (addresses.apply(worker) == null
-                || now - kept.peekFirst().since() >= settings.connectionIdle())) {
+                || now - kept.peekFirst().idleSince() >= settings.connectionIdleLimit())) {
           kept.pollFirst().connection().close();
         }
       }
     });
-    idle.keySet().removeIf(worker -> addresses.apply(worker) == null);
-    Set<String> inUse = new HashSet<>();
-    out.values().forEach(all -> all.values().forEach(exchange -> inUse.add(exchange.worker)));
+    idleConnections.keySet().removeIf(worker -> addresses.apply(worker) == null);
+    Set<String> busyWorkers = new HashSet<>();
+    exchanges
+        .values()
+        .forEach(all -> all.values().forEach(exchange -> busyWorkers.add(exchange.worker)));
     synchronized (gate) {
-      gate.retainWorkers(worker -> addresses.apply(worker) != null || inUse.contains(worker));
+      gate.retainWorkers(worker -> addresses.apply(worker) != null || busyWorkers.contains(worker));
     }
   }
 
   @Override
   public void close() {
     threads.close();
-    out.values().forEach(all -> all.values().forEach(Exchange::cancel));
-    idle.values().forEach(kept -> {
+    exchanges.values().forEach(all -> all.values().forEach(Exchange::cancel));
+    idleConnections.values().forEach(kept -> {
       synchronized (kept) {
         kept.forEach(k -> k.connection().close());
         kept.clear();
--- a/edge/src/main/java/gorseladder/edge/runners/UnfinishedAnswers.java
+++ b/edge/src/main/java/gorseladder/edge/runners/UnfinishedAnswers.java
@@ -19,57 +19,58 @@
  */
 public final class UnfinishedAnswers {
   /** Of four bytes of the budget answers may take three. */
-  private static final int PARTS = 4;
+  private static final int REQUEST_SHARE_DIVISOR = 4;
 
-  private final ByteBudget all;
-  private final ByteBudget answers;
-  private final LongPredicate requestsMakeRoom;
-  private final Map<MessageMemory, Runnable> open = new ConcurrentHashMap<>();
+  private final ByteBudget messageBudget;
+  private final ByteBudget answerBudget;
+  private final LongPredicate evictRequest;
+  private final Map<MessageMemory, Runnable> evictable = new ConcurrentHashMap<>();
 
   /**
    * Answers within a budget.
    *
    * @param requestsMakeRoom gives up a request that is not whole; false where there is none
    */
-  public UnfinishedAnswers(ByteBudget all, LongPredicate requestsMakeRoom) {
-    this.all = all;
-    this.answers = new ByteBudget(all.limit() - all.limit() / PARTS);
-    this.requestsMakeRoom = requestsMakeRoom;
+  public UnfinishedAnswers(ByteBudget messageBudget, LongPredicate evictRequest) {
+    this.messageBudget = messageBudget;
+    this.answerBudget =
+        new ByteBudget(messageBudget.limit() - messageBudget.limit() / REQUEST_SHARE_DIVISOR);
+    this.evictRequest = evictRequest;
   }
 
   /** The longest answer that can be taken in, with what reading it takes beside it. */
-  public long longest() {
-    return answers.limit() / (1 + AnswerReader.COST);
+  public long maxAnswerBytes() {
+    return answerBudget.limit() / (1 + AnswerReader.MEMORY_PER_ANSWER_BYTE);
   }
 
   /** The memory of an attempt or an order, for its request and then for its answer. */
-  MessageMemory memory() {
-    return new MessageMemory(List.of(answers, all), this::makeRoom);
+  MessageMemory newMemory() {
+    return new MessageMemory(List.of(answerBudget, messageBudget), this::makeRoom);
   }
 
   /** An answer is awaited from now on; {@code giveUp} ends its attempt, from any thread and without blocking. */
-  void begin(MessageMemory answer, Runnable giveUp) {
-    open.put(answer, giveUp);
+  void register(MessageMemory answer, Runnable giveUp) {
+    evictable.put(answer, giveUp);
   }
 
   /** It is whole, or its attempt ends; false where it was given up before. */
   boolean finish(MessageMemory answer) {
-    return open.remove(answer) != null;
+    return evictable.remove(answer) != null;
   }
 
   private boolean makeRoom(long bytes) {
-    boolean withinPart = answers.used() + bytes <= answers.limit();
-    return withinPart && requestsMakeRoom.test(bytes) || giveUpLargest();
+    boolean withinAnswerBudget = answerBudget.used() + bytes <= answerBudget.limit();
+    return withinAnswerBudget && evictRequest.test(bytes) || evictLargest();
   }
 
-  private boolean giveUpLargest() {
-    Optional<MessageMemory> largest = open.keySet().stream()
+  private boolean evictLargest() {
+    Optional<MessageMemory> largest = evictable.keySet().stream()
         .filter(answer -> answer.taken() > 0)
         .max(Comparator.comparingLong(MessageMemory::taken));
     if (largest.isEmpty()) {
       return false;
     }
-    Runnable giveUp = open.remove(largest.get());
+    Runnable giveUp = evictable.remove(largest.get());
     if (giveUp != null) {
       largest.get().end();
       giveUp.run();
--- a/edge/src/test/java/gorseladder/edge/core/TakenCallTest.java
+++ b/edge/src/test/java/gorseladder/edge/core/TakenCallTest.java
@@ -69,7 +69,7 @@
     assertTrue(call.finish(REFUSED, 1));
     assertFalse(call.finish(SERVED, 2));
     assertFalse(leaves(call, attempt));
-    assertEquals(0, call.recordLeaving(9));
+    assertEquals(0, call.recordSending(9));
     assertEquals(REFUSED, call.answer());
     assertEquals(1, ends.get());
     assertEquals(Stage.CLOSED, ledger.get("m").stage());
@@ -79,14 +79,14 @@
   @Test
   void whatLeftCountsAsMayHaveRunUnlessItIsKnownNotTo() throws IOException {
     TakenCall out = call("out", false);
-    out.recordLeaving(9);
+    out.recordSending(9);
     leaves(out, out.addAttempt("w", 0, 0));
     out.finish(new FinalAnswer(Reason.FAILED_TIMEOUT, null, 0), 1);
     assertTrue(ledger.get("out").mayHaveRun());
     assertEquals(9, ledger.get("out").leftAt());
 
     TakenCall full = call("full", false);
-    full.recordLeaving(9);
+    full.recordSending(9);
     int attempt = full.addAttempt("w", 0, 0);
     leaves(full, attempt);
     full.ended(attempt, Outcome.FULL, 2);
@@ -102,7 +102,7 @@
   @Test
   void anAnswerThatComesAfterTheEndIsKeptForTheSendersNextTry() throws IOException {
     TakenCall call = call("late", false);
-    call.recordLeaving(9);
+    call.recordSending(9);
     leaves(call, call.addAttempt("w", 0, 0));
     call.onServedResult(new byte[] {7});
     assertEquals(Stage.LEAVING, ledger.get("late").stage(), "not over yet");
@@ -126,7 +126,7 @@
       Thread sender = new Thread(() -> {
         try {
           barrier.await();
-          call.recordLeaving(9);
+          call.recordSending(9);
           leaves[0] = leaves(call, attempt);
         } catch (Exception e) {
           throw new IllegalStateException(e);
@@ -150,10 +150,10 @@
   void eachAttemptWaitsForTheRecordOfTheFirstLeaving() throws IOException {
     TakenCall call = call("twice", false);
     call.addAttempt("v", 0, 0);
-    long first = call.recordLeaving(9);
+    long first = call.recordSending(9);
     call.addAttempt("w", 0, 0);
     assertTrue(first > 0);
-    assertEquals(first, call.recordLeaving(9));
+    assertEquals(first, call.recordSending(9));
   }
 
   private static boolean leaves(TakenCall call, int attempt) {
--- a/edge/src/test/java/gorseladder/edge/history/CallHistoryTest.java
+++ b/edge/src/test/java/gorseladder/edge/history/CallHistoryTest.java
@@ -43,10 +43,10 @@
       CompletableFuture<Void> tellsOfTheEnd;
       CompletableFuture<Void> tellsMore;
       synchronized (call) {
-        tellsOfTheEnd = CompletableFuture.runAsync(() -> history.ended(call));
+        tellsOfTheEnd = CompletableFuture.runAsync(() -> history.callEnded(call));
         Thread.sleep(MOMENT_MILLIS);
         tellsMore = CompletableFuture.runAsync(
-            () -> history.loaded(new Loaded("w", "f", 1, Outcome.OK, 5)));
+            () -> history.loadEnded(new Loaded("w", "f", 1, Outcome.OK, 5)));
         assertDoesNotThrow(() -> tellsMore.get(5, TimeUnit.SECONDS), "the history is held up");
       }
       tellsOfTheEnd.get(5, TimeUnit.SECONDS);
--- a/edge/src/test/java/gorseladder/edge/peers/PeerLinkTest.java
+++ b/edge/src/test/java/gorseladder/edge/peers/PeerLinkTest.java
@@ -48,15 +48,15 @@
         assertEquals("3 sick w2", heard.poll(5, TimeUnit.SECONDS));
         assertEquals("3 sick w2", heard.poll(5, TimeUnit.SECONDS));
         assertEquals(10, link.dropped());
-        link.tell("hello");
+        link.broadcast("hello");
         DatagramPacket packet = new DatagramPacket(new byte[100], 100);
         peer.setSoTimeout(5_000);
         peer.receive(packet);
         assertEquals(
             "GL1 0 hello",
             new String(packet.getData(), 0, packet.getLength(), StandardCharsets.UTF_8));
-        link.tell("x".repeat(400));
-        link.tell("after");
+        link.broadcast("x".repeat(400));
+        link.broadcast("after");
         peer.receive(packet);
         assertEquals(
             "GL1 0 after",
--- a/edge/src/test/java/gorseladder/edge/runners/RunnersTest.java
+++ b/edge/src/test/java/gorseladder/edge/runners/RunnersTest.java
@@ -96,7 +96,7 @@
         Runners runners = runners(ledger, watchdog, server)) {
       CompletableFuture<Boolean> locked = new CompletableFuture<>();
       TakenCall call = call(ledger);
-      runners.reportTo(new Runners.Hearer() {
+      runners.setListener(new Runners.Listener() {
         @Override
         public void attemptEnded(AttemptEnd<TakenCall> end) {
           locked.complete(Thread.holdsLock(call));
@@ -121,7 +121,7 @@
         watchdog,
         new ThreadCache("attempt", 1, STACK),
         new RuleLog());
-    runners.reportTo(new Runners.Hearer() {
+    runners.setListener(new Runners.Listener() {
       @Override
       public void attemptEnded(AttemptEnd<TakenCall> end) {}
 
--- a/testbed/src/test/java/gorseladder/testbed/LastLookTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/LastLookTest.java
@@ -106,7 +106,7 @@
           false,
           null,
           256 << 10);
-      runners.reportTo(new Runners.Hearer() {
+      runners.setListener(new Runners.Listener() {
         @Override
         public void attemptEnded(Core.AttemptEnd<TakenCall> end) {
           core.attemptEnded(end);
@@ -124,14 +124,14 @@
           1000,
           15_000,
           new ThreadCache("read", 1, 256 << 10),
-          new Intake.Hearer() {
+          new Intake.Listener() {
             @Override
-            public void taken(TakenCall call) {}
+            public void callAccepted(TakenCall call) {}
 
             @Override
-            public void ended(TakenCall call) {}
+            public void callEnded(TakenCall call) {}
           });
-      intake.admitTo(core);
+      intake.setCore(core);
       core.workerListChanged(new WorkerListUpdate(
           ListKind.SAVED,
           List.of(
@@ -142,7 +142,7 @@
       // decision and write.
       synchronized (gate) {
         call = intake
-            .take(new Intake.Delivery(
+            .handle(new Intake.Delivery(
                 "m",
                 "r",
                 9_000_000_000_000_000L,
