--- a/edge/src/main/java/gorseladder/edge/Edge.java
+++ b/edge/src/main/java/gorseladder/edge/Edge.java
@@ -41,16 +41,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One edge: ledger, runner connections, core, worker list, peers and the webhook front, put together and taken apart.
+ * An edge: creates, connects and closes the ledger, the runner connections, the core, the worker list, the peer link
+ * and the webhook front.
  */
 public final class Edge implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Edge.class);
   private static final long CHECK_INTERVAL_MICROS = 1_000_000;
   private static final int CORE_STACK_BYTES = 1 << 20;
-  /** Threads for connections of clients, and as many for attempts, that stand ready from the start. */
+  /** Idle threads that are started in advance, for client connections and for attempts each. */
   private static final int MIN_IDLE_THREADS = 16;
 
-  /** Threads that read from the ledger and stand ready from the start. */
+  /** Idle threads that are started in advance for reads from the ledger. */
   private static final int MIN_IDLE_READERS = 2;
 
   private final EdgeSettings settings;
@@ -75,15 +76,16 @@
   private String ledgerProblem;
 
   /**
-   * Starts an edge by checked settings.
+   * Starts an edge.
    *
-   * @throws IOException where the ledger cannot be used or an address is taken; the text says which
+   * @param settings checked settings
+   * @throws IOException if the ledger cannot be used or an address is taken; the message says which
    */
   public Edge(EdgeSettings settings) throws IOException {
     this(settings, EdgeSystem.defaults(settings.getLimits().getStackBytes()));
   }
 
-  /** As above, on a machine that tests choose. */
+  /** Starts an edge with a given ledger file system and given thread factories, for tests. */
   public Edge(EdgeSettings settings, EdgeSystem system) throws IOException {
     this.settings = settings;
     EdgeConfig config = new EdgeConfig(settings);
@@ -92,7 +94,7 @@
     UnfinishedAnswers answers = new UnfinishedAnswers(messageBudget, requests::makeRoom);
     if (answers.maxAnswerBytes() < settings.getRunners().getMaxAnswerBytes()) {
       LOG.warn(
-          "there is memory for answers of {} bytes, and not of runners.max_answer_bytes",
+          "the message memory allows answers of {} bytes, less than runners.max_answer_bytes",
           answers.maxAnswerBytes());
     }
     Path directory = Path.of(settings.getDataDirectory());
@@ -260,12 +262,12 @@
 
     @Override
     public void subscribeWorkerList() {
-      // The list is followed from the start on and never given up.
+      // The worker list is followed from the start until the edge closes.
     }
   }
 
   private final class WorkerListListener implements ListWatcher.Listener {
-    /** News of the list told to the core; the thread's that watches the list. */
+    /** Number of list updates given to the core; used only by the thread that watches the list. */
     private long updateCount;
 
     @Override
@@ -303,27 +305,27 @@
     }
   }
 
-  /** Where webhooks are taken. */
+  /** Returns the address that accepts webhooks. */
   public InetSocketAddress address() {
     return server.address();
   }
 
-  /** Bytes that requests and answers take at present. */
+  /** Returns the bytes of memory that requests and answers use now. */
   public long messageBytes() {
     return messageBudget.used();
   }
 
-  /** Counts since the start, by the words of the log. */
+  /** Returns the number of calls since the start, by the names used in the log. */
   public Map<String, Long> counts() {
     return callLog.counts();
   }
 
-  /** How often a rule was broken as far as this edge can see; empty where none was. */
+  /** Returns how often this edge saw each rule broken; empty if none was. */
   public Map<Rule, Long> rulesBroken() {
     return ruleLog.counts();
   }
 
-  /** Takes nothing new, answers what was taken, then closes; at the latest after the told time. */
+  /** Stops accepting calls, answers the accepted ones and closes, at the latest after {@code stop_ms}. */
   public void stop() throws InterruptedException {
     front.stop();
     intake.stop();
@@ -342,7 +344,7 @@
     close();
   }
 
-  /** Ends at once; calls in hand get no answer. */
+  /** Closes at once; calls in progress get no answer. */
   @Override
   public void close() {
     if (closed.getAndSet(true)) {
--- a/edge/src/main/java/gorseladder/edge/EdgeConfig.java
+++ b/edge/src/main/java/gorseladder/edge/EdgeConfig.java
@@ -19,12 +19,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Turns checked settings into what each part is told; times become microseconds. Translation only. */
+/** Translates checked settings into the settings of each part; milliseconds become microseconds. */
 final class EdgeConfig {
   /** The resolution of the router's timers. */
   private static final long TICK_MICROS = 2_000;
 
-  /** The part of the heap that messages may take where the settings name no bound. */
+  /** Divides the heap size to give the message memory if the settings name no bound. */
   private static final int MESSAGE_HEAP_DIVISOR = 4;
 
   private final EdgeSettings s;
@@ -33,7 +33,11 @@
     this.s = settings;
   }
 
-  /** Throws IllegalArgumentException where a secret cannot check signatures. */
+  /**
+   * Checks a webhook secret.
+   *
+   * @throws IllegalArgumentException if the secret cannot verify signatures
+   */
   static void checkSecret(String text) {
     if (!Secret.parse(text).canCheck()) {
       throw new IllegalArgumentException(
@@ -140,7 +144,7 @@
             .orElse(1));
   }
 
-  /** Bytes that all requests and answers may take together. */
+  /** Returns the bytes that all requests and answers may use together. */
   long messageBudgetBytes() {
     long configured = s.getLimits().getMaxMessageBytes();
     return configured > 0 ? configured : Runtime.getRuntime().maxMemory() / MESSAGE_HEAP_DIVISOR;
--- a/edge/src/main/java/gorseladder/edge/EdgeMain.java
+++ b/edge/src/main/java/gorseladder/edge/EdgeMain.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 
 /**
- * Runs one edge until it is told to stop. SIGTERM or SIGINT stops it in order: nothing new is taken and what was taken
- * is answered; a second signal ends it at once.
+ * Runs one edge until it is stopped. SIGTERM or SIGINT stops it gracefully: it accepts no new calls and answers the
+ * accepted ones. A second signal ends it at once.
  */
 public final class EdgeMain {
   /** Exit codes. */
@@ -24,10 +24,12 @@
 
   private EdgeMain() {}
 
-  /** Runs the edge of the settings file named first; ends with the process that holds its standard input. */
+  /**
+   * Runs the edge of the settings file that is the first argument. The process halts when its standard input closes,
+   * that is when its parent ends.
+   */
   public static void main(String[] args) throws InterruptedException {
-    // Not by way of Threads: that class has a logger, and the settings decide how logging is set
-    // up.
+    // Threads has a logger, which must not be created before the settings configure logging.
     Thread parent = new Thread(EdgeMain::haltWithParent, "parent");
     parent.setDaemon(true);
     parent.start();
@@ -40,21 +42,26 @@
         continue;
       }
     } catch (IOException e) {
-      // As good as its end.
+      // A read error counts as the end of the stream.
     }
     Runtime.getRuntime().halt(EXIT_KILLED);
   }
 
-  /** Runs until a signal comes; one line of JSON on {@code out} says when it is ready and where. */
+  /**
+   * Runs until a signal arrives.
+   *
+   * @param out receives one line of JSON with the address when the edge is ready
+   * @param err receives the faults of the settings and of the start
+   * @return the exit code
+   */
   public static int run(Path file, PrintStream out, PrintStream err) throws InterruptedException {
-    // Not by way of Edge: its class has a logger, and the settings decide how logging is set
-    // up.
+    // Edge has a logger, which must not be created before the settings configure logging.
     SettingsFile loaded = SettingsFile.load(file, EdgeConfig::checkSecret);
     if (!loaded.faults().isEmpty()) {
       loaded.faults().forEach(err::println);
       return BAD_SETTINGS;
     }
-    // Read by the logging's configuration, which must not be touched before.
+    // The logging configuration reads these properties when the first logger is created.
     System.setProperty(
         "gorseladder.log.form", loaded.settings().getLog().getForm().name());
     System.setProperty("gorseladder.log.level", loaded.settings().getLog().getLevel());
--- a/edge/src/main/java/gorseladder/edge/EdgeSystem.java
+++ b/edge/src/main/java/gorseladder/edge/EdgeSystem.java
@@ -5,15 +5,15 @@
 import java.util.concurrent.ThreadFactory;
 
 /**
- * What an edge has of its machine; tests give one that fails.
+ * The file system and the threads that an edge uses; tests pass ones that fail.
  *
- * @param ledgerFiles where the ledger is kept
- * @param clientThreads makes the threads that serve connections of clients
- * @param attemptThreads makes the threads that carry attempts and orders to runners
+ * @param ledgerFiles file operations of the ledger
+ * @param clientThreads creates the threads that serve client connections
+ * @param attemptThreads creates the threads that carry attempts and load orders to runners
  */
 public record EdgeSystem(
     LedgerFiles ledgerFiles, ThreadFactory clientThreads, ThreadFactory attemptThreads) {
-  /** The machine as it is, with threads of that stack. */
+  /** The real file system, and threads with the given stack size. */
   public static EdgeSystem defaults(int stackBytes) {
     return new EdgeSystem(
         LedgerFiles.DEFAULT,
--- a/edge/src/main/java/gorseladder/edge/core/AdmissionCheck.java
+++ b/edge/src/main/java/gorseladder/edge/core/AdmissionCheck.java
@@ -7,27 +7,33 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Where calls ask {@link Admission} whether they may enter, before their signature and the ledger cost anything. Any
- * thread. Refusals are counted and told in one line a few seconds apart: a line each would cost more than the refusals.
+ * Asks {@link Admission} whether a call may enter, before its signature check or the ledger cost anything. Refusals are
+ * counted and logged in one line every few seconds, since a line for each would cost more than the refusal itself.
+ *
+ * <p>Thread safe.
  */
 public final class AdmissionCheck {
   private static final Logger LOG = LoggerFactory.getLogger(AdmissionCheck.class);
   private static final long WARNING_INTERVAL_MICROS = 5_000_000;
 
-  /** Null where no call is ever refused here. */
+  /** Null if every call is admitted. */
   private final Admission admission;
 
   private long lastId;
   private long lastWarningAt;
   private long refusalsAtLastWarning;
 
-  /** A check that asks; null for one that admits every call. */
+  /**
+   * Creates a check.
+   *
+   * @param admission decides; null to admit every call
+   */
   public AdmissionCheck(Admission admission) {
     this.admission = admission;
     this.lastWarningAt = Clock.micros() - WARNING_INTERVAL_MICROS;
   }
 
-  /** A call inside, until it is sent for the first time or has ended. */
+  /** An admitted call, until it is first sent or has ended. */
   public final class Pass {
     private final long id;
     private final String tenant;
@@ -42,7 +48,11 @@
       this.known = known;
     }
 
-    /** Asks again now that the class is known; false where the call is refused after all and is not inside any more. */
+    /**
+     * Repeats the admission decision once the call's class is known.
+     *
+     * @return false if the call is refused; it then no longer counts as admitted
+     */
     public boolean mayStay(long message, double worth, long latencyTarget) {
       if (admission == null || known) {
         return true;
@@ -56,12 +66,12 @@
       }
     }
 
-    /** The call left for a runner. */
+    /** The call was sent to a runner. */
     void sent() {
       end(true);
     }
 
-    /** The call ended, or was no call. */
+    /** The call ended, or its request turned out not to be a call. */
     public void ended() {
       end(false);
     }
@@ -81,13 +91,13 @@
   }
 
   /**
-   * Lets a call in or refuses it.
+   * Admits or refuses a call.
    *
-   * @param waited microseconds that it waited to be read
-   * @param remembered true where something is remembered of the message: such a call is never refused here, since an
-   *     earlier delivery of it may have run
-   * @param longestAim the longest aim of the classes it may be of, in microseconds
-   * @return null where it is refused
+   * @param maxLatencyTarget the highest latency target of the classes that the call may belong to, in microseconds
+   * @param waited microseconds that the request waited to be read
+   * @param known true if the ledger knows the message; such a call is never refused here, since an earlier delivery of
+   *     it may have run
+   * @return null if the call is refused
    */
   public synchronized Pass enter(
       long message, String tenant, long maxLatencyTarget, long waited, boolean known) {
@@ -116,12 +126,12 @@
     return allowed;
   }
 
-  /** Whole seconds for a refused client to wait. */
+  /** Returns the whole seconds that a refused client should wait. */
   public synchronized int retryAfter() {
     return admission.retryAfter();
   }
 
-  /** Microseconds for which a refusal is held back before it is told, as things are now. */
+  /** Returns the microseconds by which a refusal is delayed at present. */
   public synchronized long refusalDelay() {
     return admission.refusalDelay();
   }
--- a/edge/src/main/java/gorseladder/edge/core/Intake.java
+++ b/edge/src/main/java/gorseladder/edge/core/Intake.java
@@ -27,16 +27,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stands between the fronts and the core: looks a delivery up in the ledger, asks {@link Repeats} what it means, and
- * admits, joins or turns it away. Two deliveries of one message are judged one after the other. Any thread.
+ * Connects the webhook front with the core: looks a delivery up in the ledger, asks {@link Repeats} what to do with it,
+ * and then starts a call, joins a call in progress or answers at once. Deliveries of the same message are handled one
+ * after the other.
+ *
+ * <p>Thread safe.
  */
 public final class Intake {
   private static final Logger LOG = LoggerFactory.getLogger(Intake.class);
   private static final int LOCK_STRIPES = 256;
 
   /**
-   * What a front hands over; {@code request} identifies the signed request, {@code requestKeepUntil} is the ledger's
-   * time.
+   * A delivery whose signature is valid; times in microseconds.
+   *
+   * @param request identifies the signed request
+   * @param requestKeepUntil how long the signed request is kept, by the ledger's clock
+   * @param clientTimeout how long the client waits from {@code arrivedAt} on
    */
   public record Delivery(
       String message,
@@ -53,10 +59,10 @@
       long clientTimeout,
       AdmissionCheck.Pass pass) {}
 
-  /** What became of a delivery: a call to wait for, or an answer at once. */
+  /** The outcome for a delivery: a call to wait for, or an immediate answer. */
   public record Result(TakenCall call, boolean joined, FinalAnswer answer) {}
 
-  /** Hears of each call taken, before the core does. */
+  /** Receives the start of each accepted call, before the core does, and its end. */
   public interface Listener {
     void callAccepted(TakenCall call);
 
@@ -71,7 +77,7 @@
   private final long answerReserve;
   private final Listener listener;
   private final Map<String, TakenCall> callsByMessage = new ConcurrentHashMap<>();
-  /** Signed requests of calls that are out and on record with their end only. */
+  /** Signed requests of calls in progress that are recorded only with the end. */
   private final Set<String> requestsInProgress = ConcurrentHashMap.newKeySet();
 
   private final Object[] stripeLocks = new Object[LOCK_STRIPES];
@@ -80,13 +86,13 @@
   private volatile boolean stopping;
 
   /**
-   * An intake before the ledger and the core.
+   * Creates an intake; {@link #setCore} must follow.
    *
-   * @param maxCalls calls in hand at the most
+   * @param maxCalls the most calls in progress at a time
    * @param keepMicros how long a message is remembered
-   * @param maxKept the longest answer kept for repeats, in bytes
-   * @param reserve part of a client's patience kept back for writing the answer, in microseconds
-   * @param readers threads that read from the ledger
+   * @param maxStoredAnswerBytes the longest answer that is stored for repeats
+   * @param answerReserve part of the client's timeout that is reserved for writing the answer, in microseconds
+   * @param ledgerReaders threads for reads from the ledger
    */
   public Intake(
       Ledger ledger,
@@ -108,35 +114,35 @@
     }
   }
 
-  /** Names the core; once, before the first delivery. */
+  /** Sets the core that accepted calls go to; called once, before the first delivery. */
   public void setCore(Core<TakenCall> target) {
     core = target;
   }
 
-  /** Takes nothing new from now on; calls in hand go on. */
+  /** Refuses new deliveries from now on; calls in progress continue. */
   public void stop() {
     stopping = true;
   }
 
-  /** The time by which messages are remembered. */
+  /** Returns the clock that the ledger uses for expiry. */
   public LedgerClock clock() {
     return ledger.clock();
   }
 
-  /** Calls in hand. */
+  /** Returns the number of calls in progress. */
   public int callsInProgress() {
     return callsByMessage.size();
   }
 
   /**
-   * True where anything is known of the message, so that turning it away unseen could be wrong. Never waits for the
-   * disk.
+   * Returns true if the message is in progress or recorded; such a delivery must not be refused without a look at its
+   * record. Never waits for the disk.
    */
   public boolean remembers(String message) {
     return callsByMessage.containsKey(message) || ledger.isMessageIndexed(message);
   }
 
-  /** Judges a delivery whose signature holds. */
+  /** Handles a delivery whose signature is valid. */
   public Result handle(Delivery d) {
     if (stopping) {
       return new Result(null, false, FinalAnswer.of(Reason.STOPPING));
@@ -153,7 +159,7 @@
     }
   }
 
-  /** Turns a delivery away of whose message something is on record that cannot be read. */
+  /** Answers a delivery whose message has a record that cannot be read. */
   private static Result recordUnreadable(Delivery d, String why) {
     if (Repeats.mayRefuseUnreadable(d.requestClass().effect())) {
       return recordUnavailable(null, why);
@@ -162,14 +168,18 @@
     return new Result(null, false, FinalAnswer.of(Reason.FAILED_UNKNOWN_EFFECT));
   }
 
-  /** Judges a delivery by what was remembered of it; null where that is out of date by now. */
+  /**
+   * Handles a delivery given the stored record of its message.
+   *
+   * @return null if the stored record is no longer the newest
+   */
   private Result handle(Delivery d, RecordLookup.StoredRecord stored) {
     TakenCall call = null;
     long ticket;
     try {
       synchronized (stripeLocks[Math.floorMod(d.message().hashCode(), LOCK_STRIPES)]) {
         byte[] content = digest(d.requestClass().name(), d.function(), d.body());
-        // In this order: a call that ends in between has its record before it leaves.
+        // This order matters: a call that ends in between puts its record before it is removed.
         boolean requestInProgress = requestsInProgress.contains(d.request());
         TakenCall inProgress = callsByMessage.get(d.message());
         if (inProgress == null && !lookup.isNewest(d.message(), stored)) {
@@ -223,7 +233,7 @@
       }
       listener.callAccepted(call);
       if (ticket > 0 && !RecordWait.awaitUntil(ledger, ticket, call.facts().deadlineAt())) {
-        return recordUnavailable(call, "a call was not on record in its client's time");
+        return recordUnavailable(call, "the record of a call was not written before its deadline");
       }
     } catch (LedgerException e) {
       return recordUnavailable(call, e.getMessage());
@@ -235,9 +245,9 @@
   }
 
   /**
-   * Turns a delivery away that is not on record.
+   * Refuses a delivery that could not be recorded.
    *
-   * @param call was not offered to the core; null where there is none yet
+   * @param call the call, not yet offered to the core; null if none was created
    */
   private static Result recordUnavailable(TakenCall call, String why) {
     LOG.error("{}", why);
@@ -273,7 +283,10 @@
         Arrays.equals(entry.contentDigest(), content));
   }
 
-  /** A joined or repeated delivery's own signature is remembered too; whoever replays it later gets 409. */
+  /**
+   * Answers a delivery that starts no call. The signed request of a joined or repeated delivery is recorded too, so
+   * that a replay of it gets 409.
+   */
   private Result answerDuplicate(
       Decision decision, Delivery d, LedgerEntry known, TakenCall inProgress)
       throws LedgerException {
@@ -302,10 +315,10 @@
   }
 
   /**
-   * Waits until the end of a call may be told: for some classes its record must be durable first, where that is so in
-   * time.
+   * Waits until the end of a call may be answered: for some classes the record of the end must be durable first, unless
+   * that takes too long.
    *
-   * @param until when it must be told in any case, in microseconds
+   * @param deadline when the answer must be given in any case, on {@link Clock#micros()}
    */
   public void awaitRecord(TakenCall call, long deadline) {
     if (!Repeats.recordBeforeAnswer(call.facts().requestClass().effect())) {
@@ -314,11 +327,13 @@
     }
     try {
       if (!RecordWait.awaitUntil(ledger, call.endTicket(), deadline)) {
-        LOG.warn("{} is answered before its end is on record", call.facts().message());
+        LOG.warn(
+            "{} is answered before the record of its end is written",
+            call.facts().message());
       }
     } catch (LedgerException e) {
-      // The answer is given all the same: it is true, and after a kill the message counts as
-      // may have run.
+      // The answer is correct and is given anyway; after a kill the message counts as one that may
+      // have run.
       LOG.error("{}", e.getMessage());
     }
   }
@@ -330,7 +345,8 @@
   }
 
   /**
-   * Identifies a signed request by all that its signature covers, so that a changed signature list is the same request.
+   * Returns a key of a signed request from everything that its signature covers, so that a changed list of signatures
+   * gives the same key.
    */
   public static String requestKey(String message, long timestamp, byte[] body) {
     MessageDigest sha = Digests.sha256();
--- a/edge/src/main/java/gorseladder/edge/core/RecordLookup.java
+++ b/edge/src/main/java/gorseladder/edge/core/RecordLookup.java
@@ -11,23 +11,23 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Reads what the ledger remembers of a delivery, within the time of its client.
+ * Reads the records of a message and of a signed request from the ledger, within the client's timeout.
  *
- * <p>Guards against a disk that takes seconds for a read: a repeat would be answered after its client had left, and
- * whoever reads with a lock held stops others. So the reading is done before the delivery is judged, on a thread of its
- * own where the disk may be needed; the judgement then asks whether what was read is still the newest. It could harm
- * where records of one message follow each other faster than one is read; each of them is read once more then.
+ * <p>A disk may take seconds for a read, so the read happens before the delivery is judged, without a lock, and on
+ * another thread if it may need the disk. A reader that waited longer would answer after its client had left, and one
+ * that held a lock would block others. The caller then checks that the record read is still the newest. If records of a
+ * message are put faster than they can be read, each of them is read again.
  *
- * <p>Any thread.
+ * <p>Thread safe.
  */
 final class RecordLookup {
   /**
-   * What was remembered.
+   * The result of a lookup.
    *
-   * @param record the ledger's name of the newest record of the message, -1 for none
-   * @param entry what that record says; null for none, or one that has expired
-   * @param requestKnown the signed request stood in the ledger's tables
-   * @param requestSeen it was taken before, and may not be taken again
+   * @param recordId the ledger's id of the newest record of the message, -1 for none
+   * @param entry the record; null if there is none or it has expired
+   * @param requestIndexed the ledger's tables held the signed request at the lookup
+   * @param requestSeen the signed request was accepted before and must not be accepted again
    */
   record StoredRecord(
       long recordId, LedgerEntry entry, boolean requestIndexed, boolean requestSeen) {}
@@ -35,17 +35,21 @@
   private final Ledger ledger;
   private final ThreadCache threads;
 
-  /** Reads from a ledger; each read that may need the disk has one of the threads meanwhile. */
+  /**
+   * Creates a lookup.
+   *
+   * @param threads run the reads that may need the disk
+   */
   RecordLookup(Ledger ledger, ThreadCache threads) {
     this.ledger = ledger;
     this.threads = threads;
   }
 
   /**
-   * What is remembered of a message and a signed request.
+   * Looks up a message and a signed request.
    *
-   * @param until when it is of no more use ({@link Clock#micros()})
-   * @throws LedgerException where it cannot be read, or not by then
+   * @param deadline the latest time at which the result is of use, on {@link Clock#micros()}
+   * @throws LedgerException if the record cannot be read, or not before the deadline
    */
   StoredRecord find(String message, String request, long deadline) throws LedgerException {
     long recordId = ledger.newestRecordId(message);
@@ -61,12 +65,12 @@
     return awaitTask(task, deadline);
   }
 
-  /** True where nothing newer was put since; never waits for the disk. */
+  /** Returns true if no newer record of the message was put since the lookup; never waits for the disk. */
   boolean isNewest(String message, StoredRecord stored) {
     return ledger.newestRecordId(message) == stored.recordId();
   }
 
-  /** True where the signed request was taken before, as far as was read or has come to be known since. */
+  /** Returns true if the signed request was accepted before, according to the lookup or to the tables now. */
   boolean requestSeen(String request, StoredRecord stored) {
     return stored.requestSeen() || !stored.requestIndexed() && ledger.isRequestIndexed(request);
   }
@@ -76,7 +80,7 @@
     try {
       return task.get(Math.max(0, deadline - Clock.micros()), TimeUnit.MICROSECONDS);
     } catch (TimeoutException e) {
-      throw new LedgerException("a record was not read in its client's time", e);
+      throw new LedgerException("a record was not read before its client's timeout", e);
     } catch (ExecutionException e) {
       throw e.getCause() instanceof LedgerException failed
           ? failed
--- a/edge/src/main/java/gorseladder/edge/core/RecordWait.java
+++ b/edge/src/main/java/gorseladder/edge/core/RecordWait.java
@@ -5,23 +5,23 @@
 import gorseladder.store.LedgerException;
 
 /**
- * Waits for a record of a call no longer than the call has time.
+ * Waits until a record of a call is written, at most until a deadline.
  *
- * <p>Guards against a disk that takes seconds for a write and then succeeds: whatever waited for it was answered when
- * the disk was done, after its client had left. It could harm where the wait ends just before the record is written:
- * what was taken is then refused though it could have been sent, and a served answer may not be given again after a
- * kill.
+ * <p>Without the deadline, a disk that takes seconds for a write and then succeeds would delay the answer until after
+ * the client has left. The cost: if the record is written just after the deadline, a call is refused although it could
+ * have been sent, or a served answer may not be available for a repeat after a kill.
  *
- * <p>Any thread.
+ * <p>Thread safe.
  */
 public final class RecordWait {
   private RecordWait() {}
 
   /**
-   * True once the ticket's record is written; false where it was not by that time.
+   * Waits for the record of a ticket.
    *
-   * @param until on {@link Clock#micros()}
-   * @throws LedgerException where records cannot be written at present
+   * @param deadline the latest time to wait for, on {@link Clock#micros()}
+   * @return true if the record is written, false at the deadline
+   * @throws LedgerException if records cannot be written at present
    */
   public static boolean awaitUntil(Ledger ledger, long ticket, long deadline)
       throws LedgerException {
--- a/edge/src/main/java/gorseladder/edge/core/TakenCall.java
+++ b/edge/src/main/java/gorseladder/edge/core/TakenCall.java
@@ -14,8 +14,8 @@
 import java.util.function.Consumer;
 
 /**
- * A call of which the ledger keeps records: they are written under the call's lock, so that they stand in the order in
- * which its end and the leaving of its bytes came.
+ * An accepted call that is recorded in the ledger. Records are put under the call's lock, so that their order is the
+ * order in which its bytes were sent and it ended.
  */
 public final class TakenCall extends Call {
   private final Ledger ledger;
@@ -24,29 +24,31 @@
   private final Consumer<TakenCall> onEnd;
   private final boolean mayHaveRunBefore;
   private LedgerEntry entry;
-  /** The signed request, where it is recorded with the end. */
+  /** The signed request if it is recorded with the end, otherwise null. */
   private final String request;
 
   private final long requestKeepUntil;
   private long sendTicket;
   private long endTicket;
-  /** The ledger's name of the record of the end; -1 where it could not be put. */
+  /** The ledger's id of the end record; -1 if it could not be put. */
   private long endRecordId = -1;
 
   private int waiters = 1;
-  /** Clients that wait for the answer, or have it and are being written to. */
+  /** Clients that wait for the answer or to which it is being written. */
   private int readers = 1;
 
   private final List<MessageMemory> answerMemory = new ArrayList<>(1);
 
   /**
-   * A call just taken.
+   * Creates an accepted call.
    *
-   * @param entry its record in the ledger; one that may have run says that an earlier delivery of the message did
-   * @param request the signed request where it is recorded with the end, null where it is on record already
-   * @param maxKept the longest answer kept for repeats, in bytes
-   * @param pass told when the call is first sent, and when it has ended
-   * @param onEnd told once, when the call has its final answer
+   * @param entry its record in the ledger; its {@code mayHaveRun} means that an earlier delivery of the message may
+   *     have run
+   * @param request the signed request if it is to be recorded with the end, null if it is already recorded
+   * @param requestKeepUntil how long the signed request is kept, by the ledger's clock
+   * @param maxStoredAnswerBytes the longest answer that is stored for repeats
+   * @param pass is told when the call is first sent and when it has ended
+   * @param onEnd runs once, when the call has its final answer
    */
   public TakenCall(
       long id,
@@ -69,16 +71,17 @@
     this.onEnd = onEnd;
   }
 
-  /** What is remembered of the message now; while the call is out the ledger may not have it yet. */
+  /** Returns the newest record of the message; the ledger may not hold it yet while the call is in progress. */
   synchronized LedgerEntry entry() {
     return entry;
   }
 
   /**
-   * Records that bytes of this call are about to leave for a runner; returns the ticket to wait for, 0 where the call
-   * has ended. Every attempt waits for the one record: that an earlier attempt put it does not say that it is written.
+   * Records that bytes of this call are about to be sent to a runner. Every attempt waits for the same record, since it
+   * may not be written yet when a later attempt starts.
    *
-   * @param now the ledger's time
+   * @param now the time by the ledger's clock
+   * @return the ticket of the record to wait for, 0 if the call has ended
    */
   public synchronized long recordSending(long now) throws LedgerException {
     if (isFinished()) {
@@ -111,7 +114,7 @@
     releaseAnswerMemory();
   }
 
-  /** Has the memory of an attempt's answer taken until the call has ended and no client reads its answer any more. */
+  /** Holds the memory of an attempt's answer until the call has ended and no client reads the answer any more. */
   public void holdAnswerMemory(MessageMemory answer) {
     synchronized (this) {
       answerMemory.add(answer);
@@ -119,7 +122,7 @@
     releaseAnswerMemory();
   }
 
-  /** A client has its answer or has left; once for each that waited. */
+  /** One client has its answer or has left; called once for each client that waited. */
   public void readerDone() {
     synchronized (this) {
       readers--;
@@ -136,11 +139,11 @@
     }
   }
 
-  /** A served answer that came after the call had ended otherwise: kept for the sender's next try. */
+  /** Stores a served answer that came after the call had ended in another way, for the next delivery of the message. */
   @Override
   protected synchronized void onServedResult(byte[] body) {
     FinalAnswer end = answer();
-    // On the core's thread: a look at the ledger's tables, not at its files.
+    // This runs on the core's thread, so it reads only the ledger's tables, not its files.
     if (end != null
         && end.reason().kind != Reason.Kind.SERVED
         && entry.stage() == Stage.CLOSED
@@ -163,14 +166,14 @@
       endTicket = ledger.put(facts().message(), entry, request, requestKeepUntil);
       endRecordId = ledger.newestRecordId(facts().message());
     } catch (LedgerException e) {
-      // The record of its leaving stands: a repeat finds that it may have run, which is the
+      // The record of the send remains, so a repeat finds that the call may have run, which is the
       // safe side.
       endTicket = 0;
       endRecordId = -1;
     }
   }
 
-  /** Waits for the final answer; null where there is none by then. */
+  /** Waits for the final answer; returns null if there is none at the deadline. */
   public synchronized FinalAnswer await(long deadline) throws InterruptedException {
     while (answer() == null) {
       long remaining = deadline - Clock.micros();
@@ -182,18 +185,22 @@
     return answer();
   }
 
-  /** A further delivery of the message waits for the same answer. */
+  /** Adds a client that waits for the same answer. */
   synchronized void join() {
     waiters++;
     readers++;
   }
 
-  /** A client that waited left; true where it was the last. */
+  /**
+   * A waiting client left.
+   *
+   * @return true if it was the last one
+   */
   public synchronized boolean waiterLeft() {
     return --waiters == 0;
   }
 
-  /** The ledger's ticket of the record of the end. */
+  /** Returns the ledger ticket of the end record. */
   public synchronized long endTicket() {
     return endTicket;
   }
