--- a/edge/src/main/java/gorseladder/edge/front/AnswerWriter.java
+++ b/edge/src/main/java/gorseladder/edge/front/AnswerWriter.java
@@ -14,8 +14,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes final answers to clients: the runner's result, or problem details (RFC 9457). A client that does not take its
- * answer in time loses its connection. Any thread; one at a time for a connection.
+ * Writes final answers to clients: the runner's result, or problem details (RFC 9457). A client that does not read its
+ * answer in time loses its connection.
+ *
+ * <p>Thread safe; one answer at a time for each connection.
  */
 final class AnswerWriter {
   private static final Logger LOG = LoggerFactory.getLogger(AnswerWriter.class);
@@ -24,7 +26,11 @@
   private final Watchdog watchdog;
   private final long writeTimeout;
 
-  /** Answers that their clients have to take within so many microseconds. */
+  /**
+   * Creates a writer.
+   *
+   * @param writeTimeout the time within which a client must read its answer, in microseconds
+   */
   AnswerWriter(Watchdog watchdog, long writeTimeout) {
     this.watchdog = watchdog;
     this.writeTimeout = writeTimeout;
@@ -33,8 +39,8 @@
   /**
    * Writes an answer.
    *
-   * @param detail says more than the reason's own text, in problem details; may be null
-   * @param keep the connection carries further requests
+   * @param detail the {@code detail} of the problem details, if it says more than the reason's text; may be null
+   * @param keep the connection stays open for further requests
    */
   void write(HttpConnection connection, FinalAnswer answer, String detail, boolean keep)
       throws IOException {
@@ -44,7 +50,7 @@
     if (!keep) {
       head.field("Connection", "close");
     }
-    // A long body follows its head in a write of its own, which needs no copy of it.
+    // A long body is written separately from its head, which avoids copying it.
     if (body.length <= HttpConnection.BUFFER_BYTES) {
       write(connection, head.with(body));
     } else {
--- a/edge/src/main/java/gorseladder/edge/front/CallLog.java
+++ b/edge/src/main/java/gorseladder/edge/front/CallLog.java
@@ -11,18 +11,27 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The line that each call ends with, and counts by the same words. What was not taken is counted apart. Any thread. */
+/**
+ * Writes the log line of each call and counts calls by reason. Requests that do not become calls have lines and counts
+ * of their own.
+ *
+ * <p>Thread safe.
+ */
 public final class CallLog {
   private static final Logger CALLS = LoggerFactory.getLogger("gorseladder.calls");
 
-  /** An answer handed over by more than this after its client's patience is told, in microseconds. */
+  /** An answer later than this after the client's timeout is logged, in microseconds. */
   private static final long MAX_LATE_MICROS = 50_000;
 
   private final Map<Reason, LongAdder> counts = new EnumMap<>(Reason.class);
   private final LongAdder accepted = new LongAdder();
   private final RuleLog ruleLog;
 
-  /** A log that has {@code rules} look at each answer that was handed over. */
+  /**
+   * Creates a log.
+   *
+   * @param ruleLog checks each written answer
+   */
   public CallLog(RuleLog ruleLog) {
     this.ruleLog = ruleLog;
     for (Reason reason : Reason.values()) {
@@ -30,7 +39,7 @@
     }
   }
 
-  /** A call was taken. */
+  /** A call was accepted. */
   public void callAccepted() {
     accepted.increment();
   }
@@ -63,7 +72,7 @@
         .log("not taken");
   }
 
-  /** The answer to a request was handed to the system; one that came too late is told with all its steps. */
+  /** The answer to a request was handed to the operating system; a late one is logged with its timeline. */
   void answerWritten(String message, Reason reason, RequestTimeline times) {
     ruleLog.answered(message, times.deadline() + times.lateness(), times.deadline(), times);
     if (times.lateness() > MAX_LATE_MICROS) {
@@ -77,12 +86,12 @@
     }
   }
 
-  /** A request was refused in a way that is told elsewhere; it is counted here. */
+  /** Counts a refusal that is logged elsewhere. */
   void countRefusal(Reason reason) {
     counts.get(reason).increment();
   }
 
-  /** A request was turned away before it could be a call. */
+  /** A request was rejected before it could become a call. */
   public void rejected(InetSocketAddress peer, Reason reason, String detail) {
     counts.get(reason).increment();
     CALLS
@@ -93,7 +102,7 @@
         .log("rejected");
   }
 
-  /** Counts since the start: taken, and each reason that occurred. */
+  /** Returns the counts since the start: accepted calls, and each reason that occurred. */
   public Map<String, Long> counts() {
     Map<String, Long> all = new java.util.LinkedHashMap<>();
     all.put("taken", accepted.sum());
--- a/edge/src/main/java/gorseladder/edge/front/IdleConnections.java
+++ b/edge/src/main/java/gorseladder/edge/front/IdleConnections.java
@@ -11,18 +11,22 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Connections that hold a thread and wait for a request. Where no thread can be had one of them gives its own to a
- * client that has asked; {@link ThreadReclaimer} says which. Any thread; nothing here blocks.
+ * Connections that hold a thread while they wait for a request. If the system has no thread for a client that has sent
+ * a request, one of them is closed to release its thread; {@link ThreadReclaimer} chooses which.
+ *
+ * <p>Thread safe; no method blocks.
  */
 final class IdleConnections implements ThreadReclaimer.Source {
   private final Map<HttpConnection, Long> idleSince = new ConcurrentHashMap<>();
 
-  /** A connection begins to wait for a request. */
+  /** Adds a connection that starts to wait for a request. */
   void add(HttpConnection connection) {
     idleSince.put(connection, Clock.micros());
   }
 
-  /** It waits no longer; false where it was chosen to end, and then it must carry no request. */
+  /**
+   * Removes a connection that no longer waits; returns false if it was chosen to be closed and must carry no request.
+   */
   boolean remove(HttpConnection connection) {
     return idleSince.remove(connection) != null;
   }
@@ -35,7 +39,7 @@
     return idle;
   }
 
-  /** Ends it unless a request has come on it. */
+  /** Closes a connection unless a request has arrived on it. */
   private boolean closeIfIdle(HttpConnection connection) {
     if (connection.hasBytesToRead() || idleSince.remove(connection) == null) {
       return false;
--- a/edge/src/main/java/gorseladder/edge/front/RequestTimeline.java
+++ b/edge/src/main/java/gorseladder/edge/front/RequestTimeline.java
@@ -6,23 +6,23 @@
 import java.util.Map;
 
 /**
- * When one request passed each step on its way to its answer, so that a late answer can be explained. Times are
- * microseconds of {@link Clock#micros()}. The request's own thread.
+ * Records when a request passed each step on its way to its answer, to explain late answers. Times are microseconds of
+ * {@link Clock#micros()}. Used only by the request's thread.
  */
 final class RequestTimeline {
-  /** Steps in their order; a request may end before it came to all of them. */
+  /** Steps in order; a request may end before it reaches the last one. */
   enum Step {
     /** Its head and body are read. */
     READ,
-    /** It may enter, and its signature and route are good. */
+    /** It is admitted, and its signature and route are valid. */
     ADMITTED,
-    /** It is a call, on record where its class wants that. */
+    /** It is an accepted call, recorded if its class requires that. */
     TAKEN,
     /** Its call has a final answer. */
     ENDED,
-    /** The end is on record where its class wants that. */
+    /** The end is recorded if its class requires that. */
     RECORDED,
-    /** Its answer is handed to the system. */
+    /** Its answer is handed to the operating system. */
     WRITTEN
   }
 
@@ -32,8 +32,9 @@
   private long clientTimeout = Long.MAX_VALUE / 4;
 
   /**
-   * A request whose first byte came at that time.
+   * Creates the timeline of a request.
    *
+   * @param arrivedAt when its first byte arrived
    * @param waitedForTurn how long it then waited to be read
    */
   RequestTimeline(long arrivedAt, long waitedForTurn) {
@@ -41,37 +42,37 @@
     this.waitedForTurn = waitedForTurn;
   }
 
-  /** When its first byte came. */
+  /** Returns when its first byte arrived. */
   long arrivedAt() {
     return arrivedAt;
   }
 
-  /** Sets how long its client waits from its arrival on. */
+  /** Sets how long the client waits from the arrival on. */
   void clientTimeout(long micros) {
     clientTimeout = micros;
   }
 
-  /** How long its client waits; very long where that is not known. */
+  /** Returns how long the client waits; very long if that is unknown. */
   long clientTimeout() {
     return clientTimeout;
   }
 
-  /** When its client gives up. */
+  /** Returns when the client stops waiting. */
   long deadline() {
     return arrivedAt + clientTimeout;
   }
 
-  /** It passes a step now. */
+  /** Records that the request passes a step now. */
   void mark(Step step) {
     stepTimes.put(step, Clock.micros());
   }
 
-  /** By how much its answer was handed over too late; 0 or less where it was in time. */
+  /** Returns how long after the deadline the answer was handed over; 0 or less if it was in time. */
   long lateness() {
     return stepTimes.getOrDefault(Step.WRITTEN, arrivedAt) - deadline();
   }
 
-  /** The steps with their milliseconds from the arrival. */
+  /** Lists the steps with their milliseconds since the arrival. */
   @Override
   public String toString() {
     StringBuilder text = new StringBuilder("turn waited " + waitedForTurn / 1000);
--- a/edge/src/main/java/gorseladder/edge/front/TurnQueue.java
+++ b/edge/src/main/java/gorseladder/edge/front/TurnQueue.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Lets so many threads read and judge requests at once; {@link Turns} says who is next. A turn is never held while its
- * holder waits.
+ * Limits how many threads read and check requests at the same time; {@link Turns} decides the order. A turn is never
+ * held while its holder waits.
  */
 final class TurnQueue {
   private final Turns<Turn> turns;
@@ -15,13 +15,13 @@
     turns = new Turns<>(maxTurns);
   }
 
-  /** One thread's turns; only that thread uses it. */
+  /** The turns of one thread; used only by that thread. */
   final class Turn {
     private final Thread thread = Thread.currentThread();
     private volatile boolean granted;
     private long waited;
 
-    /** Waits for the turn, which comes in any case: whoever has one gives it. */
+    /** Waits for a turn. The wait always ends, since every holder releases its turn. */
     void acquire() {
       synchronized (turns) {
         granted = turns.tryStart(this);
@@ -35,7 +35,7 @@
       }
     }
 
-    /** Gives the turn to the next; a thread that has none gives nothing. */
+    /** Passes the turn to the next thread; without effect if this thread has none. */
     void release() {
       if (granted) {
         granted = false;
@@ -50,12 +50,12 @@
       }
     }
 
-    /** Counts waits anew. */
+    /** Resets the time waited. */
     void resetWaited() {
       waited = 0;
     }
 
-    /** Microseconds waited since. */
+    /** Returns the microseconds waited since the last reset. */
     long waited() {
       return waited;
     }
--- a/edge/src/main/java/gorseladder/edge/front/UnfinishedRequests.java
+++ b/edge/src/main/java/gorseladder/edge/front/UnfinishedRequests.java
@@ -8,35 +8,36 @@
 import java.util.Set;
 
 /**
- * Requests that are not whole yet, in the order in which their first bytes were read. Past the bound on the memory of
- * messages the oldest makes room; a request that is whole never does.
+ * Bounds the memory of requests that are still being received, ordered by their first byte. If the message memory is
+ * full, the oldest one is evicted; a complete request never is.
  *
- * <p>Guards against clients that leave requests half sent: what all of them keep is bounded, and what a client that
- * sends its request in one go needs is there. It could harm a slow honest client, which is told to come again. Any
- * thread.
+ * <p>This guards against clients that leave requests half sent: the memory that they hold is bounded, and a client that
+ * sends its request in one go finds memory. The cost: a slow honest client may be told to try again.
+ *
+ * <p>Thread safe.
  */
 public final class UnfinishedRequests {
   private final ByteBudget budget;
   private final Set<MessageMemory> oldestFirst = new LinkedHashSet<>();
 
-  /** Requests that take their memory from that budget. */
+  /** Creates the bound on requests that use this budget. */
   public UnfinishedRequests(ByteBudget budget) {
     this.budget = budget;
   }
 
-  /** A request begins. */
+  /** Returns the memory account of a request whose first byte has arrived. */
   synchronized MessageMemory begin() {
     MessageMemory request = new MessageMemory(List.of(budget), this::makeRoom);
     oldestFirst.add(request);
     return request;
   }
 
-  /** It is whole, or ends; false where it had to make room before. */
+  /** Unregisters a request that is complete or ends; returns false if it was evicted before. */
   synchronized boolean finish(MessageMemory request) {
     return oldestFirst.remove(request);
   }
 
-  /** Gives up the oldest, whatever it keeps; false where there is none. */
+  /** Evicts the oldest request, whatever its size; returns false if there is none. */
   public synchronized boolean makeRoom(long bytes) {
     Iterator<MessageMemory> oldest = oldestFirst.iterator();
     if (!oldest.hasNext()) {
--- a/edge/src/main/java/gorseladder/edge/front/WebhookFront.java
+++ b/edge/src/main/java/gorseladder/edge/front/WebhookFront.java
@@ -38,21 +38,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes signed webhooks over HTTP/1.1 (Standard Webhooks specification; RFC 9112) and answers with the runner's result
- * or problem details (RFC 9457). A thread a connection: it reads a request, waits for its answer, writes it and reads
- * the next, so pipelined requests are answered in their order. It decides nothing about workers.
+ * Accepts signed webhooks over HTTP/1.1 (Standard Webhooks specification; RFC 9112) and answers with the runner's
+ * result or problem details (RFC 9457). Each connection has a thread that reads a request, waits for its answer, writes
+ * it and reads the next request, so pipelined requests are answered in order. The front makes no decisions about
+ * workers.
  */
 public final class WebhookFront {
   private static final Logger LOG = LoggerFactory.getLogger(WebhookFront.class);
-  /**
-   * How often a waiting thread looks whether its client has left, in microseconds: no attempt may begin 0.1 s after
-   * that.
-   */
+  /** How often a waiting thread checks whether its client has left: no attempt may start more than 0.1 s after that. */
   private static final long CLIENT_CHECK_MICROS = 50_000;
 
-  /** What is kept of a client's patience for handing over its answer, in microseconds. */
+  /** The part of a client's timeout that is reserved for writing its answer. */
   private static final long WRITE_RESERVE_MICROS = 5_000;
-  /** How often a thread that holds a refusal back looks whether it still should. */
+  /** How often a thread that delays a refusal checks whether it still should. */
   private static final long DELAY_STEP_MILLIS = 100;
 
   private static final long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
@@ -78,9 +76,9 @@
   private volatile boolean stopping;
 
   /**
-   * A front that hands calls to the intake.
+   * Creates a front.
    *
-   * @param unfinished bounds the memory of requests
+   * @param unfinishedRequests bounds the memory of requests
    */
   public WebhookFront(
       WebhookSettings settings,
@@ -103,9 +101,9 @@
   }
 
   /**
-   * Begins to listen.
+   * Starts to listen.
    *
-   * @param threads a connection has one of them
+   * @param threads one for each connection
    */
   public HttpServer listen(InetSocketAddress at, ThreadCache threads) throws IOException {
     ConnectionHandler handler = new ConnectionHandler();
@@ -114,7 +112,7 @@
     return server;
   }
 
-  /** Connections as the listener hands them over; each waits until the listener is known here. */
+  /** Serves the connections of the listener; each waits until {@link #setServer} was called. */
   private final class ConnectionHandler implements HttpServer.Handler {
     private final CountDownLatch ready = new CountDownLatch(1);
     private volatile HttpServer server;
@@ -136,7 +134,7 @@
       } catch (InterruptedException e) {
         return;
       }
-      // It may have come in a pause that ended just before it was accepted.
+      // It may have arrived during a stall of this process that ended just before the accept.
       WebhookFront.this.serve(channel, server, stallDetector.earliestArrival(earliest));
     }
 
@@ -146,12 +144,12 @@
     }
   }
 
-  /** Answers no further request on connections that are open; what was taken is still answered. */
+  /** Serves no further requests on open connections; accepted calls are still answered. */
   public void stop() {
     stopping = true;
   }
 
-  /** Requests of which a byte has arrived and whose answer is not wholly written. */
+  /** Returns the number of requests of which a byte has arrived and whose answer is not fully written. */
   public int inProgress() {
     return inProgress.get();
   }
@@ -168,8 +166,8 @@
       return;
     }
     TurnQueue.Turn turn = turnQueue.new Turn();
-    // Whoever has bytes to read and judge needs a turn, and has none while it waits for bytes,
-    // a record, an answer or a slow client.
+    // A thread needs a turn to read and check bytes; it has none while it waits for bytes, a
+    // record, an answer or a slow client.
     c.aroundWaits(turn::release, turn::acquire);
     try {
       boolean more = true;
@@ -195,7 +193,7 @@
     };
   }
 
-  /** Answers a request that cannot be read further, and closes so that the client still gets the answer. */
+  /** Answers a request that cannot be read further, and closes so that the client still receives the answer. */
   private void reject(HttpConnection c, Reason reason, String detail) throws IOException {
     c.aroundWaits(() -> {}, () -> {});
     log.rejected(c.peer(), reason, detail);
@@ -203,7 +201,7 @@
     c.closeGracefully(Clock.micros() + LINGER_MICROS);
   }
 
-  /** One request and its answer; false where the connection carries no further one. */
+  /** Serves one request; returns false if the connection carries no further one. */
   private boolean request(HttpConnection c, TurnQueue.Turn turn) throws IOException, BadMessage {
     turn.resetWaited();
     if (!awaitRequest(c)) {
@@ -220,14 +218,14 @@
     }
   }
 
-  /** Waits for the first byte of a request; false where none comes, or the connection was chosen to end. */
+  /** Waits for the first byte of a request; returns false if none comes or the connection was chosen to be closed. */
   private boolean awaitRequest(HttpConnection c) throws IOException {
     boolean arrived = false;
     idleConnections.add(c);
     try {
       arrived = c.awaitMessage(Clock.micros() + settings.idleTimeout());
     } catch (SocketTimeoutException e) {
-      LOG.debug("{} asked nothing for long", c.peer());
+      LOG.debug("{} sent no request within the idle timeout", c.peer());
     } finally {
       arrived &= idleConnections.remove(c);
     }
@@ -236,8 +234,8 @@
 
   private boolean exchange(HttpConnection c, TurnQueue.Turn turn, MessageMemory memory)
       throws IOException, BadMessage {
-    // Its client has waited since it came: behind another one, in a pause of this process, for a
-    // turn.
+    // The client has waited since the request arrived: behind another request, during a stall of
+    // this process, or for a turn.
     long arrivedAt = c.earliestArrival();
     long deadline = Clock.micros() + settings.arrivalTimeout();
     Head head;
@@ -271,7 +269,7 @@
     }
   }
 
-  /** Holds a refusal back for as long as admission says, but no longer than its client waits. */
+  /** Delays a refusal for as long as the admission says, but not past the client's timeout. */
   private void delayRefusal(long deadline) {
     long since = Clock.micros();
     long last = deadline - WRITE_RESERVE_MICROS - DELAY_STEP_MILLIS * 1_000;
@@ -297,7 +295,7 @@
     }
   }
 
-  /** One request on its way to its answer. */
+  /** A request that is being answered. */
   private final class Exchange {
     private final HttpConnection c;
     private final TurnQueue.Turn turn;
@@ -307,7 +305,7 @@
     private String message = "";
     private String detail;
     private AdmissionCheck.Pass pass;
-    /** What its client waits for; null where nothing was taken for it. */
+    /** The call that the client waits for; null if none was accepted. */
     private TakenCall call;
 
     Exchange(HttpConnection c, TurnQueue.Turn turn, Head head, byte[] body, RequestTimeline times) {
@@ -318,7 +316,7 @@
       this.times = times;
     }
 
-    /** Finds the answer and writes it; false where the connection carries no further request. */
+    /** Determines the answer and writes it; returns false if the connection carries no further request. */
     boolean run(boolean keep) throws IOException {
       FinalAnswer answer;
       try {
@@ -342,7 +340,7 @@
       return keep;
     }
 
-    /** The answer is read no more. */
+    /** Releases the answer, which is no longer read. */
     void end() {
       if (call != null) {
         call.readerDone();
@@ -376,8 +374,8 @@
       }
       message = endpoint.path() + " " + delivery.id();
       times.mark(Step.READ);
-      // Before the signature is checked: whoever is refused here costs little, and nothing of
-      // theirs is believed.
+      // Admission comes before the signature check, so that a refusal is cheap. Nothing in the
+      // request is trusted yet.
       pass = admission.enter(
           messageKey(message, delivery),
           endpoint.tenant(),
@@ -419,11 +417,11 @@
           messageKey(message, delivery),
           requestClass.worth() / settings.maxWorth(),
           requestClass.latencyTarget());
-      // Another delivery of the message may have been taken meanwhile.
+      // Another delivery of the message may have been accepted meanwhile.
       if (!admitted && !intake.remembers(message)) {
         return overloaded();
       }
-      // Remembered past the last moment at which the same time stamp could pass again, with the
+      // The signed request is kept until its time stamp can no longer pass the check, plus the
       // tolerance as slack.
       long requestKeepUntil = intake
           .clock()
@@ -495,7 +493,7 @@
     }
   }
 
-  /** The client's patience by {@code Prefer: wait=} (RFC 7240 section 4.3), in microseconds. */
+  /** Returns the client's timeout from {@code Prefer: wait=} (RFC 7240 section 4.3), in microseconds. */
   private static long clientTimeout(Head head) {
     for (String prefer : head.all("prefer")) {
       Matcher m = PREFER_WAIT.matcher(prefer);
--- a/edge/src/main/java/gorseladder/edge/front/WebhookSettings.java
+++ b/edge/src/main/java/gorseladder/edge/front/WebhookSettings.java
@@ -8,7 +8,9 @@
 import java.util.Map;
 
 /**
- * What the webhook front is told; times in microseconds, the tolerance in seconds, the worth of the class worth most.
+ * Settings of the webhook front; times in microseconds.
+ *
+ * @param maxWorth the highest worth of a class
  */
 public record WebhookSettings(
     Map<String, Endpoint> endpoints,
@@ -20,7 +22,11 @@
     long answerWriteTimeout,
     int stackBytes,
     double maxWorth) {
-  /** One path; the longest aim of its classes in microseconds. */
+  /**
+   * The settings of one path; the latency target is in microseconds.
+   *
+   * @param maxLatencyTarget the highest latency target of its classes
+   */
   public record Endpoint(
       String path,
       String tenant,
@@ -29,6 +35,6 @@
       Map<String, Route> routes,
       long maxLatencyTarget) {}
 
-  /** Which class takes an event type, and what a copy needs where the payload does not say. */
+  /** The class of an event type, and the needs of a copy if the payload does not state them. */
   public record Route(RequestClass requestClass, String function, double memoryMb, int lanes) {}
 }
--- a/edge/src/main/java/gorseladder/edge/runners/AnswerReader.java
+++ b/edge/src/main/java/gorseladder/edge/runners/AnswerReader.java
@@ -4,18 +4,18 @@
 import gorseladder.runtime.NoRoomException;
 import gorseladder.wire.oip.Oip;
 
-/** Takes the result out of a runner's answer. Any thread. */
+/** Extracts the result from a runner's answer. Thread safe. */
 final class AnswerReader {
-  /** Bytes of memory that reading an answer takes for each of its bytes, beside the answer itself. */
+  /** Bytes of memory that parsing takes for each byte of an answer, in addition to the answer itself. */
   static final int MEMORY_PER_ANSWER_BYTE = 5;
 
   private AnswerReader() {}
 
   /**
-   * The result; afterwards its bytes alone are taken.
+   * Returns the result; afterwards {@code memory} accounts for the result alone.
    *
-   * @param memory holds the answer, which the caller keeps no longer
-   * @throws IllegalArgumentException where the answer is not an inference response
+   * @param memory accounts for the answer, which the caller no longer keeps
+   * @throws IllegalArgumentException if the answer is not an inference response
    */
   static byte[] result(byte[] answer, MessageMemory memory) throws NoRoomException {
     memory.take((long) MEMORY_PER_ANSWER_BYTE * answer.length);
--- a/edge/src/main/java/gorseladder/edge/runners/RunnerSettings.java
+++ b/edge/src/main/java/gorseladder/edge/runners/RunnerSettings.java
@@ -1,9 +1,10 @@
 package gorseladder.edge.runners;
 
 /**
- * What the runner side is told; times in microseconds.
+ * Settings of the runner connections; times in microseconds.
  *
- * @param mayDuplicate two attempts of a call may be out at a time
+ * @param unsafeConnectionIdleLimit as {@code connectionIdleLimit}, for calls of an unsafe class
+ * @param mayDuplicate two attempts of a call may be in progress at a time
  */
 public record RunnerSettings(
     int edgeOrdinal,
--- a/edge/src/main/java/gorseladder/edge/runners/Runners.java
+++ b/edge/src/main/java/gorseladder/edge/runners/Runners.java
@@ -48,17 +48,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Owns the connections to the runners. Each attempt and each load order runs on a thread of its own that blocks on a
- * socket, and ends in exactly one report to the core. What an end is worth is judged by {@link AttemptOutcomes}; whether
- * bytes may still leave by {@link SendGate}, asked last before the write.
+ * Owns the connections to the runners. Each attempt and each load order runs on its own thread with blocking I/O and
+ * ends in exactly one report to the core. {@link AttemptOutcomes} gives the outcome of an end; {@link SendGate} decides
+ * whether a call or a load order may still be sent, and is asked immediately before the write.
  *
- * <p>Any thread.
+ * <p>Thread safe.
  */
 public final class Runners implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Runners.class);
   private static final byte[] EMPTY = {};
 
-  /** Bytes of memory that making a request takes for each byte of its payload, beside its head. */
+  /** Bytes of memory that building a request takes for each byte of its payload, in addition to its head. */
   private static final int MEMORY_PER_PAYLOAD_BYTE = 5;
 
   private final RunnerSettings settings;
@@ -74,7 +74,7 @@
   private final Map<TakenCall, Map<Integer, Exchange>> exchanges = new ConcurrentHashMap<>();
   private volatile Listener listener;
 
-  /** Who hears how attempts and load orders ended: exactly one report for each. */
+  /** Receives the end of each attempt and each load order, exactly once. */
   public interface Listener {
     void attemptEnded(AttemptEnd<TakenCall> end);
 
@@ -84,11 +84,11 @@
   private record IdleConnection(HttpConnection connection, long idleSince) {}
 
   /**
-   * Runner connections by these settings.
+   * Creates the runner connections; {@link #setListener} must follow.
    *
-   * @param unfinished bounds the memory of requests to runners and of their answers
-   * @param addresses gives the socket address of a worker id
-   * @param threads each attempt and each order has one while it is out; closed with this
+   * @param unfinishedAnswers bounds the memory of requests to runners and of their answers
+   * @param addresses gives the socket address of a worker id, null for a worker that is gone
+   * @param threads one for each attempt and each load order in progress; closed with this object
    */
   public Runners(
       RunnerSettings settings,
@@ -110,17 +110,17 @@
     this.threads = threads;
   }
 
-  /** Names who hears the ends; once, before anything is sent. */
+  /** Sets the listener; called once, before anything is sent. */
   public void setListener(Listener target) {
     listener = target;
   }
 
   /**
-   * News of a worker.
+   * Passes on what the worker list reports of a worker.
    *
-   * @param born when it started, 0 for long ago
-   * @param news the number of the list's news that it comes with, from 1
-   * @param at when its bytes reached this process
+   * @param startedAt when the worker started, 0 for long ago
+   * @param listUpdates the number of the list update that reports it, from 1
+   * @param receivedAt when the bytes of the update reached this process
    */
   public void workerReported(
       String worker, Phase phase, long startedAt, long listUpdates, long receivedAt) {
@@ -132,28 +132,27 @@
     }
   }
 
-  /** A call was taken. */
+  /** Notes the arrival of an accepted call. */
   public void callAccepted(long acceptedAt) {
     synchronized (gate) {
       gate.callAccepted(acceptedAt);
     }
   }
 
-  /** Calls and orders that were stopped at the last look, for the log. */
+  /** Returns the number of calls and orders that the send gate stopped, for the log. */
   public String gateSummary() {
     synchronized (gate) {
       return gate.refusedCalls() + " calls, " + gate.refusedOrders() + " orders";
     }
   }
 
-  /** Starts an attempt. */
   public void send(TakenCall call, int number, String worker, long timeout) {
     Exchange exchange = new Exchange(call, number, worker, timeout);
     exchanges.computeIfAbsent(call, c -> new ConcurrentHashMap<>()).put(number, exchange);
     exchange.start();
   }
 
-  /** Stops an attempt; its end still comes. */
+  /** Cancels an attempt; its end is still reported. */
   public void cancel(TakenCall call, int number) {
     Exchange exchange = exchanges.getOrDefault(call, Map.of()).get(number);
     if (exchange != null) {
@@ -162,9 +161,9 @@
   }
 
   /**
-   * Orders copies of a function held; its end comes by {@link Hearer#loadEnded}.
+   * Orders a runner to hold copies of a function; the end is reported by {@link Listener#loadEnded}.
    *
-   * @param news how many news of the list were known when it was decided
+   * @param listUpdates the number of list updates known when the order was decided
    */
   public void load(String worker, String function, int copies, long listUpdates) {
     long startedAt = Clock.micros();
@@ -174,7 +173,7 @@
     }
   }
 
-  /** One attempt on its way. */
+  /** An attempt in progress. */
   private final class Exchange {
     private final TakenCall call;
     private final int number;
@@ -185,14 +184,17 @@
     private Progress progress = Progress.WAITING;
     private HttpConnection connection;
     private boolean cancelled;
-    /** The time that its runner is told, in microseconds, and when its bytes began to leave. */
+    /** The timeout that the runner is told, in microseconds. */
     private long timeoutSent;
 
+    /** When the send conditions were checked, immediately before the first bytes. */
     private long sentAt;
+
     private Verdict sendVerdict;
-    /** Bytes of the request that are written, and what ends a write that is stuck. */
+    /** Bytes of the request written so far. */
     private int writtenBytes;
 
+    /** Aborts a write that does not end. */
     private Watchdog.Timer writeTimer;
 
     Exchange(TakenCall call, int number, String worker, long timeout) {
@@ -203,7 +205,10 @@
       this.deadline = timeout > 0 ? Math.min(callDeadline, startedAt + timeout) : callDeadline;
     }
 
-    /** Gives it a thread; where the system has none it waits for one, for as long as {@link ConnectionWait} says. */
+    /**
+     * Starts the attempt on its own thread. If the system has no thread, retries for as long as {@link ConnectionWait}
+     * says.
+     */
     void start() {
       if (threads.execute(this::run)) {
         return;
@@ -221,7 +226,7 @@
       try {
         exchange();
       } catch (BadMessage e) {
-        LOG.warn("runner {} answered what is not HTTP/1.1: {}", worker, e.getMessage());
+        LOG.warn("runner {} sent a response that is not HTTP/1.1: {}", worker, e.getMessage());
         end(Ending.MALFORMED);
       } catch (SocketTimeoutException e) {
         end(Ending.TIMED_OUT);
@@ -256,7 +261,7 @@
         try {
           long ticket = call.recordSending(ledger.clock().micros());
           if (!RecordWait.awaitUntil(ledger, ticket, deadline)) {
-            LOG.warn("an attempt was not sent: it was not on record in its time");
+            LOG.warn("an attempt was not sent: its record was not written before its deadline");
             end(Ending.GATE_CLOSED);
             return;
           }
@@ -281,7 +286,7 @@
       answered(head, body);
     }
 
-    /** Writes the request where the last look allows it; false where it does not. */
+    /** Writes the request if the send conditions allow it; returns false if they do not. */
     private boolean writeRequest() throws IOException {
       memory.take(HttpConnection.BUFFER_BYTES
           + (long) MEMORY_PER_PAYLOAD_BYTE * call.facts().body().length);
@@ -295,7 +300,7 @@
     private boolean write(byte[] message) throws IOException {
       try {
         if (!call.sendAtomically(() -> checkAndWrite(message))) {
-          // Without the call's lock: who hears of it has locks of its own.
+          // The call's lock must not be held here: the listener takes locks of its own.
           end(AttemptOutcomes.endingOfDenied(sendVerdict));
           return false;
         }
@@ -308,7 +313,10 @@
       return true;
     }
 
-    /** The last look and the first bytes; the call's lock is held, so that nobody may be told of it here. */
+    /**
+     * Checks the send conditions and writes the first bytes. The caller holds the call's lock, so listeners must not be
+     * called from here.
+     */
     private boolean checkAndWrite(byte[] message) throws IOException {
       sendVerdict = checkSend();
       if (!sendVerdict.allowed()) {
@@ -320,7 +328,7 @@
       return true;
     }
 
-    /** The last look; nothing but the write itself comes after it. */
+    /** Checks the send conditions; only the write itself may follow. */
     private Verdict checkSend() {
       Verdict verdict;
       synchronized (gate) {
@@ -341,7 +349,7 @@
       return verdict;
     }
 
-    /** Has the rules looked at once more, now that its bytes were written. */
+    /** Checks the rules again now that the bytes are written. */
     private void checkRules(long writtenAt) {
       long drainReportedAt;
       long restartReportedAt;
@@ -408,7 +416,7 @@
       return w.with(Oip.request(f.message(), f.body()));
     }
 
-    /** The connection's end here: a cancel that comes now must not reach whoever uses it next. */
+    /** Detaches the connection, so that a later cancel does not reach its next user. */
     private synchronized HttpConnection release() {
       HttpConnection released = connection;
       connection = null;
@@ -425,7 +433,9 @@
           result = AnswerReader.result(body, memory);
         } catch (IllegalArgumentException e) {
           LOG.warn(
-              "runner {} answered what is not an inference response: {}", worker, e.getMessage());
+              "runner {} sent a body that is not an inference response: {}",
+              worker,
+              e.getMessage());
           outcome = Outcome.ERROR;
         }
       }
@@ -537,7 +547,9 @@
         worker, function, outcome == Outcome.OK ? copies : 0, outcome, Clock.micros() - startedAt);
   }
 
-  /** The newest kept connection that this call may use and whose other side still stands; null where there is none. */
+  /**
+   * Takes the newest idle connection that this call may use and that the runner has not closed; null if there is none.
+   */
   private HttpConnection takeIdle(String worker, Effect effect) {
     ArrayDeque<IdleConnection> kept = idleConnections.get(worker);
     while (kept != null) {
@@ -587,7 +599,10 @@
     connection.close();
   }
 
-  /** Drops what belongs to workers that are gone, and connections idle too long; called now and then. */
+  /**
+   * Closes connections that belong to workers that are gone or have been idle too long, and drops the state of workers
+   * that are gone. Called periodically.
+   */
   public void cleanUp() {
     long now = Clock.micros();
     idleConnections.forEach((worker, kept) -> {
--- a/edge/src/main/java/gorseladder/edge/runners/UnfinishedAnswers.java
+++ b/edge/src/main/java/gorseladder/edge/runners/UnfinishedAnswers.java
@@ -10,15 +10,18 @@
 import java.util.function.LongPredicate;
 
 /**
- * Answers of runners that are not whole yet. They take their memory from the budget of all messages, and at most a part
- * of it, so that requests always find room. Past the bound of all, requests that are not whole make room; past the
- * part, or where there are none, the unfinished answer that keeps most does, and its attempt is given up.
+ * Bounds the memory of runner answers that are still being received. They share the budget of all messages, but may use
+ * only part of it, so that requests always find room. If the shared budget is full, an unfinished request is evicted;
+ * if the part for answers is full or there is no unfinished request, the largest unfinished answer is evicted and its
+ * attempt is given up.
  *
- * <p>Guards against runners whose answers do not end. It could harm a long answer that would have been whole soon. Any
- * thread.
+ * <p>This guards against runners whose answers do not end. The cost: a long answer may be given up shortly before its
+ * end.
+ *
+ * <p>Thread safe.
  */
 public final class UnfinishedAnswers {
-  /** Of four bytes of the budget answers may take three. */
+  /** Answers may use all of the budget but one part in this many. */
   private static final int REQUEST_SHARE_DIVISOR = 4;
 
   private final ByteBudget messageBudget;
@@ -27,9 +30,9 @@
   private final Map<MessageMemory, Runnable> evictable = new ConcurrentHashMap<>();
 
   /**
-   * Answers within a budget.
+   * Creates the bound.
    *
-   * @param requestsMakeRoom gives up a request that is not whole; false where there is none
+   * @param evictRequest gives up an unfinished request; false if there is none
    */
   public UnfinishedAnswers(ByteBudget messageBudget, LongPredicate evictRequest) {
     this.messageBudget = messageBudget;
@@ -38,22 +41,25 @@
     this.evictRequest = evictRequest;
   }
 
-  /** The longest answer that can be taken in, with what reading it takes beside it. */
+  /** Returns the longest answer, in bytes, that fits together with the memory that parsing it takes. */
   public long maxAnswerBytes() {
     return answerBudget.limit() / (1 + AnswerReader.MEMORY_PER_ANSWER_BYTE);
   }
 
-  /** The memory of an attempt or an order, for its request and then for its answer. */
+  /** Returns the memory account of an attempt or a load order, for its request and then for its answer. */
   MessageMemory newMemory() {
     return new MessageMemory(List.of(answerBudget, messageBudget), this::makeRoom);
   }
 
-  /** An answer is awaited from now on; {@code giveUp} ends its attempt, from any thread and without blocking. */
+  /**
+   * Registers an answer that is about to be received; {@code giveUp} ends its attempt, on any thread and without
+   * blocking.
+   */
   void register(MessageMemory answer, Runnable giveUp) {
     evictable.put(answer, giveUp);
   }
 
-  /** It is whole, or its attempt ends; false where it was given up before. */
+  /** Unregisters an answer that is complete or whose attempt ends; returns false if it was evicted before. */
   boolean finish(MessageMemory answer) {
     return evictable.remove(answer) != null;
   }
