--- a/edge/src/main/java/gorseladder/edge/history/CallHistory.java
+++ b/edge/src/main/java/gorseladder/edge/history/CallHistory.java
@@ -18,9 +18,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Counts what happened by function, class and tenant and writes a row of each to the history once a minute, from a
- * thread of its own: a slow disk delays the history, never a call. Past a bound on keys in a minute the rest is counted
- * under an empty function, so that sums stay exact. Any thread.
+ * Counts calls, attempts and loads by function, class and tenant, and writes a row of each to the history once a
+ * minute. It has its own thread, so that a slow disk delays the history but never a call. Beyond a maximum number of
+ * keys in a minute, further functions are counted under an empty function name, so that sums stay exact.
+ *
+ * <p>Thread safe.
  */
 public final class CallHistory implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(CallHistory.class);
@@ -46,13 +48,13 @@
   private Map<Key, Counts> counts = new HashMap<>();
   private volatile boolean closed;
 
-  /** Writes to an open history, which it closes at its end. */
+  /** Creates the counters of an open history, which {@link #close} closes. */
   public CallHistory(History history, int stackBytes) {
     this.history = history;
     this.thread = Threads.start("history", stackBytes, this::run);
   }
 
-  /** The history itself, for whoever reads it while it is written. */
+  /** Returns the history, which may be read while it is written. */
   public History history() {
     return history;
   }
@@ -74,9 +76,9 @@
         call.facts().tenant());
   }
 
-  /** A call got its final answer. */
+  /** Counts the final answer of a call. */
   public void callEnded(TakenCall call) {
-    // Takes the call's lock, which nobody may wait for with the history's.
+    // This takes the call's lock, so it must come before the lock of this object is taken.
     Reason.Kind kind = call.answer().reason().kind;
     synchronized (this) {
       Counts c = countsFor(call);
@@ -86,7 +88,7 @@
     }
   }
 
-  /** An attempt ended; a served one says what it met. */
+  /** Counts the copy status of an attempt that was served. */
   public synchronized void attemptEnded(AttemptEnd<TakenCall> end) {
     if (end.outcome() == Outcome.OK) {
       Counts c = countsFor(end.call());
@@ -99,7 +101,7 @@
     }
   }
 
-  /** A load order ended; it belongs to no class or tenant. */
+  /** Counts a load order that ended; it belongs to no class or tenant. */
   public synchronized void loadEnded(Loaded loaded) {
     if (loaded.outcome() == Outcome.OK) {
       Counts c = countsFor(loaded.function(), "", "");
@@ -132,7 +134,7 @@
     return taken;
   }
 
-  /** What cannot be written is lost to the history and said so; calls go on. */
+  /** Writes the rows of a minute. Rows that cannot be written are lost, with a log line; calls go on. */
   private void write(long minute) {
     List<HistoryRow> rows = new ArrayList<>();
     takeCounts()
@@ -151,7 +153,7 @@
             c.loads,
             c.loadMicros)));
     if (rows.isEmpty()) {
-      // Says that this edge ran: a minute without any row is one of which nothing is known.
+      // The empty row shows that this edge ran: nothing is known of a minute without any row.
       rows.add(new HistoryRow(minute, 1, "", "", "", 0, 0, 0, 0, 0, 0, 0, 0));
     }
     try {
@@ -163,7 +165,7 @@
     }
   }
 
-  /** Writes what was counted and closes the history. */
+  /** Writes the current counts and closes the history. */
   @Override
   public void close() {
     closed = true;
@@ -172,7 +174,7 @@
       write(Clock.wallMicros() / MINUTE_MICROS);
       history.close();
     } catch (IOException e) {
-      LOG.error("the history did not close: {}", e.toString());
+      LOG.error("the history cannot be closed: {}", e.toString());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/edge/src/main/java/gorseladder/edge/list/ListWatcher.java
+++ b/edge/src/main/java/gorseladder/edge/list/ListWatcher.java
@@ -31,12 +31,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the worker list by Consul's blocking health query ({@code /v1/health/service/NAME?index=N&wait=T}, Consul
- * HTTP API, "Blocking Queries") and keeps the last list on disk for a cold start. A service instance names, in its meta
- * data, {@code zone}, {@code cell}, {@code phase} ({@code running} or {@code draining}), {@code weight} and
- * {@code born} (milliseconds since 1970, absent where long ago). An instance that is not in the list is gone.
+ * Follows the worker list with Consul's blocking health query ({@code /v1/health/service/NAME?index=N&wait=T}, Consul
+ * HTTP API, "Blocking Queries") and saves the last list on disk for a cold start. A service instance has the meta data
+ * {@code zone}, {@code cell}, {@code phase} ({@code running} or {@code draining}), {@code weight} and {@code born}
+ * (milliseconds since 1970, absent if long ago). A worker that is not in the list is gone.
  *
- * <p>A broken answer, an entry that cannot be read or an unreachable list leave the old list in force. One thread.
+ * <p>If the list cannot be reached or read, the previous list stays in force. The watcher has one thread.
  */
 public final class ListWatcher implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(ListWatcher.class);
@@ -44,16 +44,17 @@
   private static final int MIN_PAUSE_MILLIS = 50;
   private static final int MAX_PAUSE_MILLIS = 2_000;
 
-  /** Who hears the list. */
+  /** Receives the contents of the list. */
   public interface Listener {
     /**
-     * A worker's phase and start; {@code at} is when the bytes that say so had arrived. Called before {@link #list}.
+     * Called for each worker before {@link #listReceived}.
      *
-     * @param born when it started, 0 for long ago
+     * @param startedAt when the worker started, 0 for long ago
+     * @param receivedAt when the bytes of the list had arrived
      */
     void workerReported(String worker, Phase phase, long startedAt, long receivedAt);
 
-    /** The whole list. */
+    /** Called with the whole list. */
     void listReceived(WorkerListUpdate update);
   }
 
@@ -65,7 +66,7 @@
   private final Listener listener;
   private final Map<String, InetSocketAddress> addresses = new ConcurrentHashMap<>();
   private final StartTimes startTimes = new StartTimes();
-  /** When the list was last read whole. */
+  /** When the list was last read completely. */
   private long listedAt = StartTimes.ALWAYS_LISTED;
 
   private final Random random = new Random();
@@ -75,7 +76,7 @@
   private String index = "0";
   private Thread thread;
 
-  /** A watcher that starts with {@link #start()}. */
+  /** Creates a watcher; {@link #start()} starts it. */
   public ListWatcher(
       InetSocketAddress address,
       String service,
@@ -93,12 +94,12 @@
     this.listener = listener;
   }
 
-  /** The socket address of a worker that was in some list, or null. */
+  /** Returns the socket address of a worker of the current list, or null. */
   public InetSocketAddress address(String worker) {
     return addresses.get(worker);
   }
 
-  /** Tells the saved list, empty where there is none, and begins to follow the list. */
+  /** Passes on the saved list, empty if there is none, and starts to follow the list. */
   public void start() {
     List<WorkerEntry> entries = new ArrayList<>();
     try {
@@ -124,7 +125,7 @@
           pause = MIN_PAUSE_MILLIS;
         }
       } catch (IOException | BadMessage | RuntimeException | Error e) {
-        // Whatever fails is over in a moment, and nothing brings this thread back.
+        // Every error is retried, since nothing would restart this thread.
         if (!stopped) {
           LOG.warn(
               "worker list at {}: {}; the old list stays", Address.print(address), e.toString());
@@ -134,7 +135,7 @@
     }
   }
 
-  /** Waits between tries, longer each time and by chance, so that edges do not return together. */
+  /** Waits between tries, longer each time and with random jitter, so that edges do not retry together. */
   private int pause(int millis) {
     try {
       Thread.sleep(stopped ? 0 : millis / 2 + random.nextInt(millis));
@@ -151,7 +152,7 @@
             Address.print(address))
         .field("User-Agent", userAgent)
         .with(new byte[0]));
-    // Consul adds up to a sixteenth of the wait; a stalled connection is found soon after that.
+    // Consul adds up to a sixteenth of the wait; a stalled connection is detected soon after that.
     long deadline = Clock.micros() + (waitMillis + waitMillis / 16 + 2_000) * 1000;
     Head head = c.readResponse(deadline);
     byte[] body = c.readBody(BodyParser.forResponse(head, HttpLimits.INTERNAL), deadline);
@@ -164,8 +165,8 @@
       throw new IOException("no X-Consul-Index");
     }
     boolean changed = !next.equals(index);
-    // An index that goes backward, or is 0, says that the server lost its state: ask anew
-    // without one.
+    // An index that goes backward or is 0 means that the server lost its state: query again without
+    // an index.
     index = Long.parseLong(next) < Long.parseLong(index) || next.equals("0") ? "0" : next;
     if (changed) {
       List<WorkerEntry> entries = entries(Json.read(body));
--- a/edge/src/main/java/gorseladder/edge/peers/PeerLink.java
+++ b/edge/src/main/java/gorseladder/edge/peers/PeerLink.java
@@ -13,12 +13,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Messages between edges, one UDP datagram each: {@code GL1 ORDINAL TEXT}, at most 256 bytes of text. They may be lost,
- * late or doubled; the module that reads them must bear that. A datagram from an address that is no peer, or of another
- * form, is dropped and counted.
+ * Exchanges messages with the other edges, one UDP datagram each: {@code GL1 ORDINAL TEXT}, with at most 256 bytes of
+ * text. Messages may be lost, late or duplicated; the receiver must tolerate that. A datagram from an address that is
+ * not a peer's, or of another form, is dropped and counted.
  */
 public final class PeerLink implements AutoCloseable {
-  /** Hears what other edges say; on the link's own thread. */
+  /** Receives the messages of other edges, on the link's own thread. */
   public interface Listener {
     void messageReceived(int sender, String text);
   }
@@ -33,7 +33,7 @@
   private final Listener listener;
   private volatile long dropped;
 
-  /** Opens the socket and begins to hear. */
+  /** Opens the socket and starts to receive. */
   public PeerLink(
       InetSocketAddress address,
       int ordinal,
@@ -48,12 +48,12 @@
     Threads.start("peers", stackBytes, this::receive);
   }
 
-  /** Datagrams dropped so far. */
+  /** Returns the number of datagrams dropped. */
   public long dropped() {
     return dropped;
   }
 
-  /** Sends to every peer; what cannot be sent is lost, as any datagram may be. */
+  /** Sends a message to every peer; a message that cannot be sent is lost. */
   public void broadcast(String text) {
     byte[] bytes = (PREFIX + ordinal + " " + text).getBytes(StandardCharsets.UTF_8);
     if (bytes.length > PREFIX.length() + 12 + MAX_TEXT_BYTES) {
@@ -64,7 +64,7 @@
       try {
         socket.send(new DatagramPacket(bytes, bytes.length, peer));
       } catch (IOException e) {
-        LOG.debug("no message to {}: {}", Address.print(peer), e.toString());
+        LOG.debug("cannot send a message to {}: {}", Address.print(peer), e.toString());
       }
     }
   }
--- a/edge/src/main/java/gorseladder/edge/plans/PlannerLink.java
+++ b/edge/src/main/java/gorseladder/edge/plans/PlannerLink.java
@@ -40,9 +40,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Asks the planner now and then: tells it rows of history, what was seen of functions and the account, and hands the
- * plan it answers to the core. A planner that is away changes nothing here: the plan in hand runs out by itself, and
- * what could not be told is told later. One thread of its own; a slow planner delays no call.
+ * Periodically exchanges data with the planner: sends it rows of history, function statistics and the accounting of
+ * loads ahead, and passes the plan that it returns to the core. If the planner is unavailable, the current plan
+ * expires, and what could not be sent is sent later. The link has its own thread, so that a slow planner delays no
+ * call.
  */
 public final class PlannerLink implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(PlannerLink.class);
@@ -50,7 +51,7 @@
   private static final long ANSWER_MICROS = 10_000_000;
   private static final long COLLECT_SECONDS = 5;
   private static final int MAX_ROWS = 20_000;
-  /** Records of loads ahead kept for a planner that is away; the oldest are dropped and the log says so. */
+  /** Records of loads ahead kept while the planner is unavailable; the oldest are dropped with a log line. */
   private static final int MAX_LOADS = 20_000;
 
   private static final int MAX_BACKOFF_STEPS = 6;
@@ -72,7 +73,11 @@
   private volatile boolean stopped;
   private Thread thread;
 
-  /** A link that begins with {@link #start}; {@code boot} tells the lives of this edge apart. */
+  /**
+   * Creates a link; {@link #start} starts it.
+   *
+   * @param openCount identifies this run of the edge
+   */
   public PlannerLink(
       EdgeSettings settings, long openCount, Core<TakenCall> core, CallHistory history) {
     this.address = Address.parse(settings.getPlanner().getAddress());
@@ -82,7 +87,7 @@
     this.history = history.history();
   }
 
-  /** Begins to ask. */
+  /** Starts the exchanges. */
   public void start() {
     thread = Threads.start(
         "planner-link", Math.max(256 << 10, settings.getLimits().getStackBytes()), this::run);
@@ -99,7 +104,7 @@
           }
           failures = 0;
         } catch (IOException | BadMessage | RuntimeException | Error e) {
-          // Whatever fails is over in a moment, and nothing brings this thread back.
+          // Every error is retried, since nothing would restart this thread.
           if (failures++ == 0 && !stopped) {
             LOG.warn(
                 "the planner at {} does not answer ({}); the plan in hand runs out, calls go on",
@@ -109,7 +114,7 @@
           closeConnection();
         }
         if (!more) {
-          // Edges that lost a planner together must not come back together.
+          // The random delay spreads the retries of edges that lost the planner at the same time.
           long base = settings.getPlanner().getAskMs() << Math.min(failures, MAX_BACKOFF_STEPS) / 2;
           Thread.sleep(base / 2 + (long) (random.nextDouble() * base));
         }
@@ -127,7 +132,7 @@
     }
   }
 
-  /** One exchange; true where more rows wait to be told. */
+  /** Makes one exchange; returns true if more rows are waiting to be sent. */
   private boolean exchangeOnce() throws IOException, BadMessage, InterruptedException {
     PlannerReport report = collect();
     History.Batch batch = history.read(nextRow, MAX_ROWS);
@@ -172,7 +177,7 @@
     return cursorMoved || !caughtUp;
   }
 
-  /** What the core has to tell; what an earlier exchange could not tell is counted again. */
+  /** Collects the report of the core, including the statistics that an earlier exchange could not send. */
   private PlannerReport collect() throws IOException, InterruptedException {
     CompletableFuture<PlannerReport> future = new CompletableFuture<>();
     Map<String, FunctionStats.Snapshot> unsent = unsentStats;
@@ -234,7 +239,7 @@
     try {
       return Answer.parseFrom(content);
     } catch (InvalidProtocolBufferException e) {
-      throw new IOException("what it answered is no answer", e);
+      throw new IOException("the response is not a valid answer message", e);
     }
   }
 
