--- a/edge/src/test/java/gorseladder/edge/ExampleTest.java
+++ b/edge/src/test/java/gorseladder/edge/ExampleTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The example that the README begins with is checked and started, with a port and a folder of the test's own. */
+/** Checks and starts the example of the README, with a port and a directory of its own. */
 class ExampleTest {
   @TempDir
   Path dir;
@@ -24,10 +24,10 @@
     Path example = Path.of("..", "examples", "edge.txtpb");
     assertEquals(List.of(), Edge.load(example).faults());
     String text = Files.readString(example);
-    String own = text.replace("127.0.0.1:8080", "127.0.0.1:0")
+    String ownText = text.replace("127.0.0.1:8080", "127.0.0.1:0")
         .replace("/var/lib/gorseladder/edge-0", dir.resolve("data").toString());
-    assertTrue(own.contains(dir.toString()) && !own.contains("8080"));
-    SettingsFile settings = Edge.load(Files.writeString(dir.resolve("edge.txtpb"), own));
+    assertTrue(ownText.contains(dir.toString()) && !ownText.contains("8080"));
+    SettingsFile settings = Edge.load(Files.writeString(dir.resolve("edge.txtpb"), ownText));
     assertEquals(List.of(), settings.faults());
     try (Edge edge = new Edge(settings.settings());
         HttpConnection c = HttpConnection.open(edge.address(), 2_000, HttpLimits.INTERNAL)) {
--- a/edge/src/test/java/gorseladder/edge/core/TakenCallTest.java
+++ b/edge/src/test/java/gorseladder/edge/core/TakenCallTest.java
@@ -23,9 +23,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Where the end of a call and the leaving of its bytes meet. */
+/** Order of the end of a call and the sending of its bytes. */
 class TakenCallTest {
-  private static final RequestClass ISSUE =
+  private static final RequestClass UNSAFE_CLASS =
       new RequestClass("issue", Effect.UNSAFE, Group.ALL, 0, 1_000, 3_000, 1, 0.2, false);
   private static final FinalAnswer REFUSED = new FinalAnswer(Reason.REFUSED_UNSENT, null, 1);
   private static final FinalAnswer SERVED = new FinalAnswer(Reason.SERVED, new byte[] {1}, 0);
@@ -33,7 +33,7 @@
   @TempDir
   Path dir;
 
-  private final AtomicInteger ends = new AtomicInteger();
+  private final AtomicInteger endCount = new AtomicInteger();
   private Ledger ledger;
 
   @BeforeEach
@@ -52,14 +52,14 @@
     ledger.put(message, entry);
     return new TakenCall(
         1,
-        new TakenCall.Facts(message, ISSUE, "", "f", new byte[0], 1, 1, 0, false, 0, 3_000),
+        new TakenCall.Facts(message, UNSAFE_CLASS, "", "f", new byte[0], 1, 1, 0, false, 0, 3_000),
         ledger,
         entry,
         null,
         0,
         100,
         new AdmissionCheck(null).enter(1, "", 0, 0, false),
-        c -> ends.incrementAndGet());
+        c -> endCount.incrementAndGet());
   }
 
   @Test
@@ -68,10 +68,10 @@
     int attempt = call.addAttempt("w", 0, 0);
     assertTrue(call.finish(REFUSED, 1));
     assertFalse(call.finish(SERVED, 2));
-    assertFalse(leaves(call, attempt));
+    assertFalse(trySend(call, attempt));
     assertEquals(0, call.recordSending(9));
     assertEquals(REFUSED, call.answer());
-    assertEquals(1, ends.get());
+    assertEquals(1, endCount.get());
     assertEquals(Stage.CLOSED, ledger.get("m").stage());
     assertFalse(ledger.get("m").mayHaveRun());
   }
@@ -80,7 +80,7 @@
   void whatLeftCountsAsMayHaveRunUnlessItIsKnownNotTo() throws IOException {
     TakenCall out = call("out", false);
     out.recordSending(9);
-    leaves(out, out.addAttempt("w", 0, 0));
+    trySend(out, out.addAttempt("w", 0, 0));
     out.finish(new FinalAnswer(Reason.FAILED_TIMEOUT, null, 0), 1);
     assertTrue(ledger.get("out").mayHaveRun());
     assertEquals(9, ledger.get("out").leftAt());
@@ -88,7 +88,7 @@
     TakenCall full = call("full", false);
     full.recordSending(9);
     int attempt = full.addAttempt("w", 0, 0);
-    leaves(full, attempt);
+    trySend(full, attempt);
     full.ended(attempt, Outcome.FULL, 2);
     full.finish(REFUSED, 1);
     assertFalse(ledger.get("full").mayHaveRun());
@@ -103,9 +103,9 @@
   void anAnswerThatComesAfterTheEndIsKeptForTheSendersNextTry() throws IOException {
     TakenCall call = call("late", false);
     call.recordSending(9);
-    leaves(call, call.addAttempt("w", 0, 0));
+    trySend(call, call.addAttempt("w", 0, 0));
     call.onServedResult(new byte[] {7});
-    assertEquals(Stage.LEAVING, ledger.get("late").stage(), "not over yet");
+    assertEquals(Stage.LEAVING, ledger.get("late").stage(), "not finished yet");
     call.finish(new FinalAnswer(Reason.FAILED_TIMEOUT, null, 0), 1);
     call.onServedResult(new byte[] {7});
     assertEquals(Stage.SERVED, ledger.get("late").stage());
@@ -114,20 +114,23 @@
     assertEquals(7, ledger.get("late").answer()[0]);
   }
 
-  /** Two threads, thousands of times: either the bytes left and the record says so, or they did not leave. */
+  /**
+   * Races the end of a call against a send, thousands of times: either the bytes were sent and the record says so, or
+   * they were not sent.
+   */
   @Test
   void anEndAndALeavingNeverCross() throws Exception {
     CyclicBarrier barrier = new CyclicBarrier(2);
-    int left = 0;
+    int sentCount = 0;
     for (int round = 0; round < 3_000; round++) {
       TakenCall call = call("r" + round, false);
       int attempt = call.addAttempt("w", 0, 0);
-      boolean[] leaves = new boolean[1];
+      boolean[] sent = new boolean[1];
       Thread sender = new Thread(() -> {
         try {
           barrier.await();
           call.recordSending(9);
-          leaves[0] = leaves(call, attempt);
+          sent[0] = trySend(call, attempt);
         } catch (Exception e) {
           throw new IllegalStateException(e);
         }
@@ -136,15 +139,15 @@
       barrier.await();
       call.finish(REFUSED, 1);
       sender.join();
-      assertEquals(leaves[0], ledger.get("r" + round).mayHaveRun(), "round " + round);
+      assertEquals(sent[0], ledger.get("r" + round).mayHaveRun(), "round " + round);
       assertEquals(Stage.CLOSED, ledger.get("r" + round).stage());
-      left += leaves[0] ? 1 : 0;
+      sentCount += sent[0] ? 1 : 0;
     }
-    assertTrue(left < 3_000 && ends.get() == 3_000, left + " left");
+    assertTrue(sentCount < 3_000 && endCount.get() == 3_000, sentCount + " sent");
   }
 
   /**
-   * A second attempt beside the first, or after it: it may not leave before the record of the leaving stands either.
+   * A second attempt, beside the first or after it, must not be sent either before the record of the send is written.
    */
   @Test
   void eachAttemptWaitsForTheRecordOfTheFirstLeaving() throws IOException {
@@ -156,8 +159,9 @@
     assertEquals(first, call.recordSending(9));
   }
 
-  private static boolean leaves(TakenCall call, int attempt) {
-    Call.SendConditions look = new Call.SendConditions(Long.MAX_VALUE, false, false, 0, false);
-    return call.trySend(attempt, look, 1).allowed();
+  private static boolean trySend(TakenCall call, int attempt) {
+    Call.SendConditions conditions =
+        new Call.SendConditions(Long.MAX_VALUE, false, false, 0, false);
+    return call.trySend(attempt, conditions, 1).allowed();
   }
 }
--- a/edge/src/test/java/gorseladder/edge/history/CallHistoryTest.java
+++ b/edge/src/test/java/gorseladder/edge/history/CallHistoryTest.java
@@ -22,16 +22,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The history is told of calls and attempts by threads that hold locks of their own. */
+/** The history is called by threads that hold locks of their own. */
 class CallHistoryTest {
   private static final RequestClass SAFE =
       new RequestClass("safe", Effect.SAFE, Group.ALL, 0, 1_000, 3_000, 1, 0.2, false);
-  private static final long MOMENT_MILLIS = 200;
+  private static final long WAIT_MILLIS = 200;
 
   @TempDir
   Path dir;
 
-  /** While one thread tells of the end of a call whose lock another one holds, the other one may tell of it too. */
+  /**
+   * While one thread reports the end of a call whose lock another thread holds, that other thread can report to the
+   * history too.
+   */
   @Test
   void whoHoldsACallMayTellOfItWhileItsEndIsTold() throws Exception {
     try (Ledger ledger = Ledger.open(dir.resolve("ledger"), false, 100);
@@ -40,16 +43,16 @@
             256 << 10)) {
       TakenCall call = call(ledger);
       call.finish(new FinalAnswer(Reason.GONE, null, 0), 1);
-      CompletableFuture<Void> tellsOfTheEnd;
-      CompletableFuture<Void> tellsMore;
+      CompletableFuture<Void> endReport;
+      CompletableFuture<Void> loadReport;
       synchronized (call) {
-        tellsOfTheEnd = CompletableFuture.runAsync(() -> history.callEnded(call));
-        Thread.sleep(MOMENT_MILLIS);
-        tellsMore = CompletableFuture.runAsync(
+        endReport = CompletableFuture.runAsync(() -> history.callEnded(call));
+        Thread.sleep(WAIT_MILLIS);
+        loadReport = CompletableFuture.runAsync(
             () -> history.loadEnded(new Loaded("w", "f", 1, Outcome.OK, 5)));
-        assertDoesNotThrow(() -> tellsMore.get(5, TimeUnit.SECONDS), "the history is held up");
+        assertDoesNotThrow(() -> loadReport.get(5, TimeUnit.SECONDS), "the history is blocked");
       }
-      tellsOfTheEnd.get(5, TimeUnit.SECONDS);
+      endReport.get(5, TimeUnit.SECONDS);
     }
   }
 
--- a/edge/src/test/java/gorseladder/edge/peers/PeerLinkTest.java
+++ b/edge/src/test/java/gorseladder/edge/peers/PeerLinkTest.java
@@ -12,25 +12,25 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Datagrams may be malformed, doubled or from strangers; what peers say still comes through. */
+/** Datagrams may be malformed, duplicated or from strangers; messages of peers are still received. */
 class PeerLinkTest {
   @Test
   void onlyWellFormedWordsOfPeersAreHeard() throws Exception {
-    BlockingQueue<String> heard = new ArrayBlockingQueue<>(100);
-    InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
-    try (DatagramSocket peer = new DatagramSocket(any);
-        DatagramSocket stranger = new DatagramSocket(any);
-        DatagramSocket taken = new DatagramSocket(any)) {
-      InetSocketAddress at = new InetSocketAddress("127.0.0.1", taken.getLocalPort());
-      taken.close();
+    BlockingQueue<String> received = new ArrayBlockingQueue<>(100);
+    InetSocketAddress anyPort = new InetSocketAddress("127.0.0.1", 0);
+    try (DatagramSocket peer = new DatagramSocket(anyPort);
+        DatagramSocket stranger = new DatagramSocket(anyPort);
+        DatagramSocket reserved = new DatagramSocket(anyPort)) {
+      InetSocketAddress address = new InetSocketAddress("127.0.0.1", reserved.getLocalPort());
+      reserved.close();
       try (PeerLink link = new PeerLink(
-          at,
+          address,
           0,
           List.of((InetSocketAddress) peer.getLocalSocketAddress()),
           128 << 10,
-          (sender, text) -> heard.add(sender + " " + text))) {
-        send(stranger, at, "GL1 3 sick w1");
-        for (String bad : new String[] {
+          (sender, text) -> received.add(sender + " " + text))) {
+        send(stranger, address, "GL1 3 sick w1");
+        for (String malformed : new String[] {
           "",
           "GL1",
           "GL1 3",
@@ -41,12 +41,12 @@
           "GL1 99999999999 sick",
           "x".repeat(1500)
         }) {
-          send(peer, at, bad);
+          send(peer, address, malformed);
         }
-        send(peer, at, "GL1 3 sick w2");
-        send(peer, at, "GL1 3 sick w2");
-        assertEquals("3 sick w2", heard.poll(5, TimeUnit.SECONDS));
-        assertEquals("3 sick w2", heard.poll(5, TimeUnit.SECONDS));
+        send(peer, address, "GL1 3 sick w2");
+        send(peer, address, "GL1 3 sick w2");
+        assertEquals("3 sick w2", received.poll(5, TimeUnit.SECONDS));
+        assertEquals("3 sick w2", received.poll(5, TimeUnit.SECONDS));
         assertEquals(10, link.dropped());
         link.broadcast("hello");
         DatagramPacket packet = new DatagramPacket(new byte[100], 100);
--- a/edge/src/test/java/gorseladder/edge/runners/RunnersTest.java
+++ b/edge/src/test/java/gorseladder/edge/runners/RunnersTest.java
@@ -35,29 +35,30 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class RunnersTest {
-  private static final int STACK = 256 << 10;
-  private static final long SECOND = 1_000_000;
-  private static final Rules RULES = new Rules(500_000, 0.2, SECOND, 2, SECOND, 0, 0, 0);
-  private static final RequestClass SAFE =
-      new RequestClass("safe", Effect.SAFE, Group.ALL, 0, SECOND, 5 * SECOND, 1, 0.2, false);
+  private static final int STACK_BYTES = 256 << 10;
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final Rules RULES =
+      new Rules(500_000, 0.2, SECOND_MICROS, 2, SECOND_MICROS, 0, 0, 0);
+  private static final RequestClass SAFE = new RequestClass(
+      "safe", Effect.SAFE, Group.ALL, 0, SECOND_MICROS, 5 * SECOND_MICROS, 1, 0.2, false);
 
   @TempDir
   Path dir;
 
-  private final CountDownLatch looked = new CountDownLatch(1);
-  private final CountDownLatch ended = new CountDownLatch(1);
+  private final CountDownLatch sendChecked = new CountDownLatch(1);
+  private final CountDownLatch callEnded = new CountDownLatch(1);
 
-  /** Holds an attempt up between its last look and its write until its call has ended, or for a moment. */
+  /** Blocks an attempt between its send check and its write until its call has ended, or for 300 ms. */
   private final class SlowWatchdog extends Watchdog {
     private SlowWatchdog() {
-      super("watchdog", STACK);
+      super("watchdog", STACK_BYTES);
     }
 
     @Override
     public Timer after(long micros, Runnable task) {
-      looked.countDown();
+      sendChecked.countDown();
       try {
-        ended.await(300, TimeUnit.MILLISECONDS);
+        callEnded.await(300, TimeUnit.MILLISECONDS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -75,24 +76,26 @@
       TakenCall call = call(ledger);
       runners.send(call, call.addAttempt("runner", Clock.micros(), 0), "runner", 0);
       try (Socket runner = server.accept()) {
-        assertTrue(looked.await(5, TimeUnit.SECONDS));
+        assertTrue(sendChecked.await(5, TimeUnit.SECONDS));
         call.finish(new FinalAnswer(Reason.FAILED_TIMEOUT, null, 0), Clock.micros());
         int arrived = runner.getInputStream().available();
-        ended.countDown();
-        assertTrue(arrived > 0, "its bytes had not left when it ended, and left after that");
+        callEnded.countDown();
+        assertTrue(
+            arrived > 0,
+            "its bytes had not been sent when the call ended, and were sent after that");
       }
     }
   }
 
   /**
-   * Guards against threads that wait for each other: who hears of an attempt has locks of its own, and the end of a
-   * call takes the call's.
+   * Guards against a deadlock: the listener of an attempt takes locks of its own, and the end of a call takes the
+   * call's lock.
    */
   @Test
   void anAttemptThatIsHeldBackIsReportedWithoutTheCallsLock() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
         Ledger ledger = Ledger.open(dir.resolve("ledger"), false, 100);
-        Watchdog watchdog = new Watchdog("watchdog", STACK);
+        Watchdog watchdog = new Watchdog("watchdog", STACK_BYTES);
         Runners runners = runners(ledger, watchdog, server)) {
       CompletableFuture<Boolean> locked = new CompletableFuture<>();
       TakenCall call = call(ledger);
@@ -113,13 +116,13 @@
 
   private static Runners runners(Ledger ledger, Watchdog watchdog, ServerSocket server) {
     Runners runners = new Runners(
-        new RunnerSettings(0, SECOND, SECOND, SECOND, 0, 1 << 20, false),
+        new RunnerSettings(0, SECOND_MICROS, SECOND_MICROS, SECOND_MICROS, 0, 1 << 20, false),
         new UnfinishedAnswers(new ByteBudget(Long.MAX_VALUE), bytes -> false),
         ledger,
         new SendGate(RULES),
         worker -> (InetSocketAddress) server.getLocalSocketAddress(),
         watchdog,
-        new ThreadCache("attempt", 1, STACK),
+        new ThreadCache("attempt", 1, STACK_BYTES),
         new RuleLog());
     runners.setListener(new Runners.Listener() {
       @Override
@@ -139,7 +142,17 @@
     return new TakenCall(
         1,
         new TakenCall.Facts(
-            "endpoint message", SAFE, "", "f", new byte[2], 1, 1, 0, false, now, now + 5 * SECOND),
+            "endpoint message",
+            SAFE,
+            "",
+            "f",
+            new byte[2],
+            1,
+            1,
+            0,
+            false,
+            now,
+            now + 5 * SECOND_MICROS),
         ledger,
         entry,
         null,
