--- a/edge/src/main/java/gorseladder/edge/runners/Runners.java
+++ b/edge/src/main/java/gorseladder/edge/runners/Runners.java
@@ -551,11 +551,11 @@
    * Takes the newest idle connection that this call may use and that the runner has not closed; null if there is none.
    */
   private HttpConnection takeIdle(String worker, Effect effect) {
-    ArrayDeque<IdleConnection> kept = idleConnections.get(worker);
-    while (kept != null) {
+    ArrayDeque<IdleConnection> workerConnections = idleConnections.get(worker);
+    while (workerConnections != null) {
       IdleConnection newest;
-      synchronized (kept) {
-        newest = kept.pollLast();
+      synchronized (workerConnections) {
+        newest = workerConnections.pollLast();
       }
       if (newest == null) {
         return null;
@@ -570,7 +570,7 @@
       boolean onlyTooOldForThis = effect == Effect.UNSAFE
           && ConnectionChoice.mayReuse(Effect.SAFE, age, settings.connectionIdleLimit(), 0);
       if (onlyTooOldForThis) {
-        keep(kept, newest);
+        addIdle(workerConnections, newest);
         return null;
       }
       newest.connection().close();
@@ -578,21 +578,22 @@
     return null;
   }
 
-  private static void keep(ArrayDeque<IdleConnection> kept, IdleConnection connection) {
-    synchronized (kept) {
-      kept.addLast(connection);
+  private static void addIdle(
+      ArrayDeque<IdleConnection> workerConnections, IdleConnection connection) {
+    synchronized (workerConnections) {
+      workerConnections.addLast(connection);
     }
   }
 
   private void returnConnection(
       String worker, HttpConnection connection, Head head, Effect effect) {
-    ArrayDeque<IdleConnection> kept =
+    ArrayDeque<IdleConnection> workerConnections =
         idleConnections.computeIfAbsent(worker, w -> new ArrayDeque<>());
-    synchronized (kept) {
+    synchronized (workerConnections) {
       if (head.keepsConnection()
           && !connection.hasBufferedBytes()
-          && ConnectionChoice.mayKeep(effect, kept.size())) {
-        keep(kept, new IdleConnection(connection, Clock.micros()));
+          && ConnectionChoice.mayKeep(effect, workerConnections.size())) {
+        addIdle(workerConnections, new IdleConnection(connection, Clock.micros()));
         return;
       }
     }
@@ -605,12 +606,13 @@
    */
   public void cleanUp() {
     long now = Clock.micros();
-    idleConnections.forEach((worker, kept) -> {
-      synchronized (kept) {
-        while (!kept.isEmpty()
+    idleConnections.forEach((worker, workerConnections) -> {
+      synchronized (workerConnections) {
+        while (!workerConnections.isEmpty()
             && (addresses.apply(worker) == null
-                || now - kept.peekFirst().idleSince() >= settings.connectionIdleLimit())) {
-          kept.pollFirst().connection().close();
+                || now - workerConnections.peekFirst().idleSince()
+                    >= settings.connectionIdleLimit())) {
+          workerConnections.pollFirst().connection().close();
         }
       }
     });
@@ -628,10 +630,10 @@
   public void close() {
     threads.close();
     exchanges.values().forEach(all -> all.values().forEach(Exchange::cancel));
-    idleConnections.values().forEach(kept -> {
-      synchronized (kept) {
-        kept.forEach(k -> k.connection().close());
-        kept.clear();
+    idleConnections.values().forEach(workerConnections -> {
+      synchronized (workerConnections) {
+        workerConnections.forEach(k -> k.connection().close());
+        workerConnections.clear();
       }
     });
   }
