--- a/edge/src/main/java/gorseladder/edge/front/AnswerWriter.java
+++ b/edge/src/main/java/gorseladder/edge/front/AnswerWriter.java
@@ -14,27 +14,33 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes final answers to clients: the runner's result, or problem details (RFC 9457). A client that does not take its
- * answer in time loses its connection. Any thread; one at a time for a connection.
+ * Writes final answers to clients: the runner's result, or problem details (RFC 9457). A client that does not read its
+ * answer in time loses its connection.
+ *
+ * <p>Thread safe; one answer at a time for each connection.
  */
 final class AnswerWriter {
   private static final Logger LOG = LoggerFactory.getLogger(AnswerWriter.class);
-  private static final byte[] NOTHING = {};
+  private static final byte[] EMPTY = {};
 
   private final Watchdog watchdog;
-  private final long mostTime;
+  private final long writeTimeout;
 
-  /** Answers that their clients have to take within so many microseconds. */
-  AnswerWriter(Watchdog watchdog, long mostTime) {
+  /**
+   * Creates a writer.
+   *
+   * @param writeTimeout the time within which a client must read its answer, in microseconds
+   */
+  AnswerWriter(Watchdog watchdog, long writeTimeout) {
     this.watchdog = watchdog;
-    this.mostTime = mostTime;
+    this.writeTimeout = writeTimeout;
   }
 
   /**
    * Writes an answer.
    *
-   * @param detail says more than the reason's own text, in problem details; may be null
-   * @param keep the connection carries further requests
+   * @param detail the {@code detail} of the problem details, if it says more than the reason's text; may be null
+   * @param keep the connection stays open for further requests
    */
   void write(HttpConnection connection, FinalAnswer answer, String detail, boolean keep)
       throws IOException {
@@ -44,7 +50,7 @@
     if (!keep) {
       head.field("Connection", "close");
     }
-    // A long body follows its head in a write of its own, which needs no copy of it.
+    // A long body is written separately from its head, which avoids copying it.
     if (body.length <= HttpConnection.BUFFER_BYTES) {
       write(connection, head.with(body));
     } else {
@@ -53,7 +59,7 @@
   }
 
   private static byte[] result(FinalAnswer answer) {
-    return answer.body() == null ? NOTHING : answer.body();
+    return answer.body() == null ? EMPTY : answer.body();
   }
 
   private static HeadWriter servedHead(FinalAnswer answer) {
@@ -90,7 +96,7 @@
   }
 
   private void write(HttpConnection connection, byte[]... parts) throws IOException {
-    Watchdog.Timer guard = watchdog.after(mostTime, () -> {
+    Watchdog.Timer timer = watchdog.after(writeTimeout, () -> {
       LOG.info("{} did not take its answer in time", connection.peer());
       connection.abort();
     });
@@ -99,7 +105,7 @@
         connection.write(part);
       }
     } finally {
-      guard.cancel();
+      timer.cancel();
     }
   }
 }
--- a/edge/src/main/java/gorseladder/edge/history/CallHistory.java
+++ b/edge/src/main/java/gorseladder/edge/history/CallHistory.java
@@ -18,15 +18,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Counts what happened by function, class and tenant and writes a row of each to the history once a minute, from a
- * thread of its own: a slow disk delays the history, never a call. Past a bound on keys in a minute the rest is counted
- * under an empty function, so that sums stay exact. Any thread.
+ * Counts calls, attempts and loads by function, class and tenant, and writes a row of each to the history once a
+ * minute. It has its own thread, so that a slow disk delays the history but never a call. Beyond a maximum number of
+ * keys in a minute, further functions are counted under an empty function name, so that sums stay exact.
+ *
+ * <p>Thread safe.
  */
 public final class CallHistory implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(CallHistory.class);
-  private static final int MOST_KEYS = 20_000;
-  private static final long MINUTE = 60_000_000;
-  private static final long LOOK_MILLIS = 500;
+  private static final int MAX_KEYS = 20_000;
+  private static final long MINUTE_MICROS = 60_000_000;
+  private static final long POLL_MILLIS = 500;
 
   private record Key(String function, String requestClass, String tenant) {}
 
@@ -46,50 +48,50 @@
   private Map<Key, Counts> counts = new HashMap<>();
   private volatile boolean closed;
 
-  /** Writes to an open history, which it closes at its end. */
+  /** Creates the counters of an open history, which {@link #close} closes. */
   public CallHistory(History history, int stackBytes) {
     this.history = history;
     this.thread = Threads.start("history", stackBytes, this::run);
   }
 
-  /** The history itself, for whoever reads it while it is written. */
-  public History rows() {
+  /** Returns the history, which may be read while it is written. */
+  public History history() {
     return history;
   }
 
-  private Counts at(String function, String requestClass, String tenant) {
+  private Counts countsFor(String function, String requestClass, String tenant) {
     Key key = new Key(function, requestClass, tenant);
-    Counts known = counts.get(key);
-    if (known == null) {
-      known = counts.computeIfAbsent(
-          counts.size() < MOST_KEYS ? key : new Key("", requestClass, tenant), k -> new Counts());
+    Counts existing = counts.get(key);
+    if (existing == null) {
+      existing = counts.computeIfAbsent(
+          counts.size() < MAX_KEYS ? key : new Key("", requestClass, tenant), k -> new Counts());
     }
-    return known;
+    return existing;
   }
 
-  private Counts of(TakenCall call) {
-    return at(
+  private Counts countsFor(TakenCall call) {
+    return countsFor(
         call.facts().function(),
         call.facts().requestClass().name(),
         call.facts().tenant());
   }
 
-  /** A call got its final answer. */
-  public void ended(TakenCall call) {
-    // Takes the call's lock, which nobody may wait for with the history's.
+  /** Counts the final answer of a call. */
+  public void callEnded(TakenCall call) {
+    // This takes the call's lock, so it must come before the lock of this object is taken.
     Reason.Kind kind = call.answer().reason().kind;
     synchronized (this) {
-      Counts c = of(call);
+      Counts c = countsFor(call);
       c.calls++;
       c.refused += kind == Reason.Kind.REFUSED || kind == Reason.Kind.REJECTED ? 1 : 0;
       c.failed += kind == Reason.Kind.FAILED ? 1 : 0;
     }
   }
 
-  /** An attempt ended; a served one says what it met. */
-  public synchronized void attempt(AttemptEnd<TakenCall> end) {
+  /** Counts the copy status of an attempt that was served. */
+  public synchronized void attemptEnded(AttemptEnd<TakenCall> end) {
     if (end.outcome() == Outcome.OK) {
-      Counts c = of(end.call());
+      Counts c = countsFor(end.call());
       switch (end.copyStatus()) {
         case WARM -> c.found++;
         case BEGAN -> c.began++;
@@ -99,25 +101,25 @@
     }
   }
 
-  /** A load order ended; it belongs to no class or tenant. */
-  public synchronized void loaded(Loaded loaded) {
+  /** Counts a load order that ended; it belongs to no class or tenant. */
+  public synchronized void loadEnded(Loaded loaded) {
     if (loaded.outcome() == Outcome.OK) {
-      Counts c = at(loaded.function(), "", "");
+      Counts c = countsFor(loaded.function(), "", "");
       c.loads++;
       c.loadMicros += loaded.latency();
     }
   }
 
   private void run() {
-    long minute = Clock.wallMicros() / MINUTE;
+    long minute = Clock.wallMicros() / MINUTE_MICROS;
     while (!closed) {
       try {
-        Thread.sleep(LOOK_MILLIS);
+        Thread.sleep(POLL_MILLIS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         return;
       }
-      long now = Clock.wallMicros() / MINUTE;
+      long now = Clock.wallMicros() / MINUTE_MICROS;
       if (now != minute) {
         long ended = minute;
         Threads.guarded("history", () -> write(ended));
@@ -126,16 +128,16 @@
     }
   }
 
-  private synchronized Map<Key, Counts> take() {
+  private synchronized Map<Key, Counts> takeCounts() {
     Map<Key, Counts> taken = counts;
     counts = new HashMap<>();
     return taken;
   }
 
-  /** What cannot be written is lost to the history and said so; calls go on. */
+  /** Writes the rows of a minute. Rows that cannot be written are lost, with a log line; calls go on. */
   private void write(long minute) {
     List<HistoryRow> rows = new ArrayList<>();
-    take()
+    takeCounts()
         .forEach((k, c) -> rows.add(new HistoryRow(
             minute,
             1,
@@ -151,7 +153,7 @@
             c.loads,
             c.loadMicros)));
     if (rows.isEmpty()) {
-      // Says that this edge ran: a minute without any row is one of which nothing is known.
+      // The empty row shows that this edge ran: nothing is known of a minute without any row.
       rows.add(new HistoryRow(minute, 1, "", "", "", 0, 0, 0, 0, 0, 0, 0, 0));
     }
     try {
@@ -163,16 +165,16 @@
     }
   }
 
-  /** Writes what was counted and closes the history. */
+  /** Writes the current counts and closes the history. */
   @Override
   public void close() {
     closed = true;
     try {
-      thread.join(2 * LOOK_MILLIS);
-      write(Clock.wallMicros() / MINUTE);
+      thread.join(2 * POLL_MILLIS);
+      write(Clock.wallMicros() / MINUTE_MICROS);
       history.close();
     } catch (IOException e) {
-      LOG.error("the history did not close: {}", e.toString());
+      LOG.error("the history cannot be closed: {}", e.toString());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
