--- a/node/src/main/java/gorseladder/node/CallPath.java
+++ b/node/src/main/java/gorseladder/node/CallPath.java
@@ -16,56 +16,64 @@
 import java.util.function.Consumer;
 
 /**
- * What a call passes in a dispatcher, put together: front, core, runner links and the threads that write. It listens
- * nowhere and knows no runner until it is told. Any thread.
+ * The components that a call passes in a dispatcher: front, core, runner links and the threads that write. It accepts
+ * no connections until the front listens, and knows no runner until one is reported.
+ *
+ * <p>Thread safe.
  */
 final class CallPath implements AutoCloseable {
-  private static final int STACK = 128 << 10;
-  private static final int CORE_STACK = 512 << 10;
-  private static final int MOST_WRITERS = 64;
-  /** Descriptors for the program itself: its files, listener, change log, peers, and what the machine opens. */
-  private static final int OWN_DESCRIPTORS = 48;
+  private static final int STACK_BYTES = 128 << 10;
+  private static final int CORE_STACK_BYTES = 512 << 10;
+  private static final int MAX_WRITERS = 64;
+  /** Descriptors for files, the listener, the change log, peers and the Java runtime. */
+  private static final int RESERVED_DESCRIPTORS = 48;
 
-  private static final int MOST_ANSWER = 1 << 20;
-  /** Part of the memory told, and of the heap, that clients may have the front keep. */
-  private static final int MEMORY_PART = 8;
+  private static final int MAX_ANSWER_BYTES = 1 << 20;
+  /** Buffers for clients get 1/8 of the configured memory, but at most 1/4 of the heap. */
+  private static final int MEMORY_DIVISOR = 8;
 
-  private static final int HEAP_PART = 4;
+  private static final int HEAP_DIVISOR = 4;
 
-  private final Writers writers = new Writers(MOST_WRITERS, STACK);
-  private final Consumer<String> peers;
+  private final Writers writers = new Writers(MAX_WRITERS, STACK_BYTES);
+  private final Consumer<String> peerSender;
   private final RunnerLinks links;
   private final Core<NodeCall> core;
   private final FastCgiFront front;
 
   /**
-   * Starts the core's thread and the writers.
+   * Starts the thread of the core and the writers.
    *
-   * @param threads each connection has one
-   * @param peers is told what every other dispatcher is to hear, on the core's thread
+   * @param threads one for each connection
+   * @param peerSender receives the messages to all other dispatchers, on the thread of the core
    */
   CallPath(
       NodeConfig config,
       Watchdog watchdog,
-      StallDetector pauses,
+      StallDetector stallDetector,
       RuleLog rules,
       ThreadCache threads,
-      Consumer<String> peers) {
-    this.peers = peers;
-    int forClients = (config.sockets() - OWN_DESCRIPTORS) / 2;
+      Consumer<String> peerSender) {
+    this.peerSender = peerSender;
+    int clientDescriptors = (config.sockets() - RESERVED_DESCRIPTORS) / 2;
     links = new RunnerLinks(
         config.links(),
-        config.router().limits(),
-        new SendGate(config.router().rules()),
-        pauses,
+        config.routerSettings().limits(),
+        new SendGate(config.routerSettings().rules()),
+        stallDetector,
         rules,
         watchdog,
         writers,
-        config.sockets() - OWN_DESCRIPTORS - forClients,
-        MOST_ANSWER,
+        config.sockets() - RESERVED_DESCRIPTORS - clientDescriptors,
+        MAX_ANSWER_BYTES,
         threads);
     core = new Core<>(
-        config.router(), config.seed(), new Outbound(), config.mostHeld(), false, null, CORE_STACK);
+        config.routerSettings(),
+        config.seed(),
+        new Outbound(),
+        config.maxHeldCalls(),
+        false,
+        null,
+        CORE_STACK_BYTES);
     links.reportTo(new RunnerLinks.Hearer() {
       @Override
       public void attemptEnded(AttemptEnd<NodeCall> end) {
@@ -79,20 +87,21 @@
       }
     });
     front = new FastCgiFront(
-        new RequestReader(config.router())::read,
+        new RequestReader(config.routerSettings())::read,
         core,
         writers,
-        forClients,
-        config.mostHeld(),
-        Math.min(config.memoryBytes() / MEMORY_PART, Runtime.getRuntime().maxMemory() / HEAP_PART),
-        pauses,
+        clientDescriptors,
+        config.maxHeldCalls(),
+        Math.min(
+            config.memoryBytes() / MEMORY_DIVISOR, Runtime.getRuntime().maxMemory() / HEAP_DIVISOR),
+        stallDetector,
         rules,
         call -> links.taken(Clock.micros()));
-    front.roomAlsoBy(links::endLargestAnswer);
-    links.keepWithin(front.budget(), front::makeRoomForBytes);
+    front.setMemoryReclaimer(links::endLargestAnswer);
+    links.keepWithin(front.budget(), front::reclaimMemory);
   }
 
-  /** Carries out what the core's thread decides. */
+  /** Carries out the decisions of the core. */
   private final class Outbound implements Core.Outbound<NodeCall> {
     @Override
     public void send(NodeCall call, int attempt, String worker, long timeout) {
@@ -111,7 +120,7 @@
 
     @Override
     public void tellPeers(String text) {
-      peers.accept(text);
+      peerSender.accept(text);
     }
 
     @Override
@@ -126,7 +135,7 @@
 
     @Override
     public void subscribeWorkerList() {
-      // The change log is followed from the start on and never given up.
+      // The change log is followed from the start until the end.
     }
   }
 
@@ -146,7 +155,7 @@
     return front;
   }
 
-  /** Ends connections, then threads; what is still held gets no answer. */
+  /** Closes the connections, then stops the threads; calls that are still held get no answer. */
   @Override
   public void close() {
     front.close();
