--- a/node/src/main/java/gorseladder/node/CallPath.java
+++ b/node/src/main/java/gorseladder/node/CallPath.java
@@ -66,7 +66,7 @@
         threads);
     core = new Core<>(
         config.router(), config.seed(), new Outbound(), config.mostHeld(), false, null, CORE_STACK);
-    links.reportTo(new RunnerLinks.Hearer() {
+    links.setListener(new RunnerLinks.Listener() {
       @Override
       public void attemptEnded(AttemptEnd<NodeCall> end) {
         core.answerServed(end);
@@ -87,9 +87,9 @@
         Math.min(config.memoryBytes() / MEMORY_PART, Runtime.getRuntime().maxMemory() / HEAP_PART),
         pauses,
         rules,
-        call -> links.taken(Clock.micros()));
-    front.roomAlsoBy(links::endLargestAnswer);
-    links.keepWithin(front.budget(), front::makeRoomForBytes);
+        call -> links.callAccepted(Clock.micros()));
+    front.roomAlsoBy(links::closeLargestAnswer);
+    links.limitAnswerMemory(front.budget(), front::makeRoomForBytes);
   }
 
   /** Carries out what the core's thread decides. */
--- a/node/src/main/java/gorseladder/node/Node.java
+++ b/node/src/main/java/gorseladder/node/Node.java
@@ -8,7 +8,7 @@
 import gorseladder.core.ThreadReclaimer;
 import gorseladder.node.changelog.ChangeLogFollower;
 import gorseladder.node.front.FastCgiFront;
-import gorseladder.node.peers.TierLink;
+import gorseladder.node.peers.PeerLink;
 import gorseladder.node.runners.RunnerLinks;
 import gorseladder.rules.Rule;
 import gorseladder.runtime.Clock;
@@ -68,7 +68,7 @@
   private final Core<NodeCall> core;
   private final ChangeLogFollower changeLog;
   private final FastCgiFront front;
-  private final TierLink peers;
+  private final PeerLink peers;
   private long longestLag;
   private long summaryAt;
   private volatile boolean closed;
@@ -94,14 +94,14 @@
     core = path.core();
     front = path.front();
     changeLog =
-        new ChangeLogFollower(config.changeLog(), config.seed(), new ChangeLogFollower.Hearer() {
+        new ChangeLogFollower(config.changeLog(), config.seed(), new ChangeLogFollower.Listener() {
           @Override
-          public void runner(WorkerEntry entry, InetSocketAddress address, long at) {
-            links.told(entry, address, newsTold + 1, at);
+          public void runnerChanged(WorkerEntry entry, InetSocketAddress address, long at) {
+            links.runnerReported(entry, address, newsTold + 1, at);
           }
 
           @Override
-          public void list(WorkerListUpdate workers) {
+          public void listChanged(WorkerListUpdate workers) {
             newsTold++;
             startList = newsTold == 1 ? workers : startList;
             core.workerListChanged(workers);
@@ -113,7 +113,7 @@
     peers = mayTell
         ? Retry.whileTransient(
             LocalShortage::is,
-            () -> new TierLink(
+            () -> new PeerLink(
                 config.peerListen(),
                 config.peers(),
                 config.peersAll(),
@@ -124,8 +124,8 @@
     changeLog.start(config.knownSeq(), config.known(), STACK);
     int warmedUpBy =
         WarmUp.run(config, startList, watchdog, pauses, connectionThreads, WarmUp.MOST);
-    ThreadReclaimer sharer = new ThreadReclaimer(front::idle, links::idle);
-    links.shareThreadsBy(sharer);
+    ThreadReclaimer sharer = new ThreadReclaimer(front::idle, links::idleConnections);
+    links.setThreadReclaimer(sharer);
     Retry.whileTransient(LocalShortage::is, () -> {
       front.listen(config.listen(), STACK, connectionThreads, sharer);
       return front;
@@ -136,7 +136,7 @@
 
   private void tellPeers(String text) {
     if (peers != null) {
-      peers.tell(text);
+      peers.send(text);
     }
   }
 
@@ -156,9 +156,9 @@
         }
         logSummary();
         writers.growIfBlocked();
-        links.check();
+        links.cleanUp();
         front.check();
-        changeLog.noteSilence();
+        changeLog.warnIfSilent();
         checkLater();
       }
     });
@@ -195,7 +195,7 @@
 
   /** True while the change log tells something. */
   public boolean changeLogHeard() {
-    return changeLog.isHeard();
+    return changeLog.isReceiving();
   }
 
   /** Has something more told in the line of {@link #summary}. */
@@ -205,12 +205,12 @@
 
   /** True where no call is held and no attempt is out. */
   public boolean idle() {
-    return front.held() == 0 && links.callsOut() == 0;
+    return front.held() == 0 && links.callsInFlight() == 0;
   }
 
   /** Calls with an attempt out, also one that still waits for its connection. */
   public int callsOut() {
-    return links.callsOut();
+    return links.callsInFlight();
   }
 
   /** Runners that links are kept to. */
--- a/node/src/main/java/gorseladder/node/WarmUp.java
+++ b/node/src/main/java/gorseladder/node/WarmUp.java
@@ -63,7 +63,7 @@
     RuleLog silent = new RuleLog(NOPLogger.NOP_LOGGER);
     path = new CallPath(config, watchdog, pauses, silent, threads, text -> {});
     WarmUpRunner runner = new WarmUpRunner();
-    path.links().connectBy(() -> new InMemoryChannel(runner));
+    path.links().setChannelSource(() -> new InMemoryChannel(runner));
   }
 
   /**
@@ -160,14 +160,14 @@
   private void tell(ListKind kind, List<WorkerEntry> entries) {
     InetSocketAddress nowhere = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     for (WorkerEntry entry : entries) {
-      path.links().told(entry, nowhere, 1, Clock.micros());
+      path.links().runnerReported(entry, nowhere, 1, Clock.micros());
     }
     path.core().workerListChanged(new WorkerListUpdate(kind, entries));
   }
 
   /** The steps of an orderly stop, as far as they need no listener. */
   private void stop() {
-    path.links().check();
+    path.links().cleanUp();
     path.front().check();
     path.front().owes();
     path.core().refuseAll();
--- a/node/src/main/java/gorseladder/node/changelog/ChangeLogFollower.java
+++ b/node/src/main/java/gorseladder/node/changelog/ChangeLogFollower.java
@@ -49,12 +49,12 @@
   private static final int MOST_LINES = 16;
 
   /** Who hears the list. */
-  public interface Hearer {
-    /** One runner, told before {@link #list}; {@code at} is when the bytes that say so had arrived. */
-    void runner(WorkerEntry entry, InetSocketAddress address, long at);
+  public interface Listener {
+    /** One runner, told before {@link #listChanged}; {@code at} is when the bytes that say so had arrived. */
+    void runnerChanged(WorkerEntry entry, InetSocketAddress address, long at);
 
     /** News of the list. */
-    void list(WorkerListUpdate workers);
+    void listChanged(WorkerListUpdate workers);
   }
 
   /** One connection. Its fields are the follower's lock's, but for the socket, which its thread uses. */
@@ -83,7 +83,7 @@
     }
   }
 
-  private final Hearer hearer;
+  private final Listener listener;
   private final FeedAttempts attempts;
   private final ListedRunners listed = new ListedRunners();
   private final Map<Long, Connection> connections = new HashMap<>();
@@ -107,10 +107,10 @@
   private int stuckTimes;
 
   /** A follower that begins with {@link #start}. */
-  public ChangeLogFollower(InetSocketAddress address, long seed, Hearer hearer) {
+  public ChangeLogFollower(InetSocketAddress address, long seed, Listener listener) {
     this.address = address;
     this.attempts = new FeedAttempts(seed);
-    this.hearer = hearer;
+    this.listener = listener;
   }
 
   /** Tells the events known at the start, as one list, and begins to follow the log from there. */
@@ -144,7 +144,7 @@
   }
 
   /** True while the log tells something, if only that nothing happened. */
-  public synchronized boolean isHeard() {
+  public synchronized boolean isReceiving() {
     return Clock.micros() - heardAt < FollowPace.SILENCE_MICROS;
   }
 
@@ -362,8 +362,8 @@
   }
 
   private void tell(Change news, long at) {
-    news.told().forEach(one -> hearer.runner(one.entry(), one.address(), at));
-    hearer.list(news.workers());
+    news.told().forEach(one -> listener.runnerChanged(one.entry(), one.address(), at));
+    listener.listChanged(news.workers());
   }
 
   private void noteUnreadable(long seq, Change news) {
@@ -380,7 +380,7 @@
   // ---- for the log
 
   /** Says so where nothing was heard for long; called now and then. */
-  public synchronized void noteSilence() {
+  public synchronized void warnIfSilent() {
     long silence = Clock.micros() - heardAt;
     if (stopped || silence < SILENT || silent && silence < 2 * silenceTold) {
       return;
--- a/node/src/main/java/gorseladder/node/runners/Link.java
+++ b/node/src/main/java/gorseladder/node/runners/Link.java
@@ -152,7 +152,7 @@
   }
 
   /** Connections on which nothing is out; any of several to one runner is to spare. */
-  synchronized List<IdleConnection> idle(long now) {
+  synchronized List<IdleConnection> idleConnections(long now) {
     boolean spare = connections.size() > 1;
     List<IdleConnection> idle = new ArrayList<>();
     for (LinkConnection c : connections) {
--- a/node/src/main/java/gorseladder/node/runners/RunnerLinks.java
+++ b/node/src/main/java/gorseladder/node/runners/RunnerLinks.java
@@ -50,7 +50,7 @@
   private static final long STUCK = 1_000_000;
 
   /** Who hears the ends: exactly one for each attempt and each order. */
-  public interface Hearer {
+  public interface Listener {
     void attemptEnded(AttemptEnd<NodeCall> end);
 
     void loadEnded(Loaded loaded);
@@ -78,10 +78,10 @@
   private final AtomicLong tags = new AtomicLong();
   private final Counts closes = new Counts();
   private final AtomicLong waits = new AtomicLong();
-  private volatile Hearer hearer;
-  private volatile ThreadReclaimer sharer = new ThreadReclaimer();
+  private volatile Listener listener;
+  private volatile ThreadReclaimer threadReclaimer = new ThreadReclaimer();
   private volatile ByteBudget answerBudget = new ByteBudget(Long.MAX_VALUE);
-  private volatile BooleanSupplier makeRoom = this::endLargestAnswer;
+  private volatile BooleanSupplier makeRoom = this::closeLargestAnswer;
   private volatile ChannelSource channels = SocketChannel::open;
 
   /**
@@ -123,18 +123,18 @@
   }
 
   /** Names who hears the ends; once, before anything is sent. */
-  public void reportTo(Hearer hears) {
-    hearer = hears;
+  public void setListener(Listener to) {
+    listener = to;
   }
 
   /** Names what connections are opened on; before anything is sent. */
-  public void connectBy(ChannelSource source) {
+  public void setChannelSource(ChannelSource source) {
     channels = source;
   }
 
   /** Names who ends an idle connection, so that its thread is free for a new one to a runner. */
-  public void shareThreadsBy(ThreadReclaimer shares) {
-    sharer = shares;
+  public void setThreadReclaimer(ThreadReclaimer to) {
+    threadReclaimer = to;
   }
 
   /**
@@ -143,7 +143,7 @@
    * @param budget shared with whoever keeps bytes for clients
    * @param makesRoom asked past the bound; false where it could make no room
    */
-  public void keepWithin(ByteBudget budget, BooleanSupplier makesRoom) {
+  public void limitAnswerMemory(ByteBudget budget, BooleanSupplier makesRoom) {
     answerBudget = budget;
     makeRoom = makesRoom;
   }
@@ -153,7 +153,7 @@
    *
    * <p>It could harm an answer that is large and whole soon: what was out on its connection may have run.
    */
-  public boolean endLargestAnswer() {
+  public boolean closeLargestAnswer() {
     LinkConnection largest =
         LinkConnection.keepsMost(Stream.concat(links.values().stream(), leaving.stream())
             .map(Link::keepsMost)
@@ -207,7 +207,7 @@
    * @param news the number of the list's news that it comes with, from 1
    * @param at when its bytes reached this process
    */
-  public void told(WorkerEntry entry, InetSocketAddress address, long news, long at) {
+  public void runnerReported(WorkerEntry entry, InetSocketAddress address, long news, long at) {
     String uid = entry.worker();
     Phase phase = entry.phase();
     Link before;
@@ -238,7 +238,7 @@
   }
 
   /** A call was taken; it earns its share of the load ration. */
-  public void taken(long at) {
+  public void callAccepted(long at) {
     synchronized (gate) {
       gate.callAccepted(at);
     }
@@ -289,7 +289,7 @@
     waits.incrementAndGet();
     after(look, () -> {
       if (!request.over() && !carry(request)) {
-        sharer.reclaim(waited);
+        threadReclaimer.reclaim(waited);
         waitToBeCarried(request, whyNotCarried(request.worker()));
       }
     });
@@ -317,8 +317,10 @@
   }
 
   /** Connections on which nothing is out. */
-  public List<IdleConnection> idle(long now) {
-    return links.values().stream().flatMap(link -> link.idle(now).stream()).toList();
+  public List<IdleConnection> idleConnections(long now) {
+    return links.values().stream()
+        .flatMap(link -> link.idleConnections(now).stream())
+        .toList();
   }
 
   /** Stops an attempt; its end still comes. */
@@ -330,7 +332,7 @@
   }
 
   /**
-   * Orders copies held; the end comes by {@link Hearer#loadEnded}.
+   * Orders copies held; the end comes by {@link Listener#loadEnded}.
    *
    * @param news how many news of the list were known when it was decided
    */
@@ -345,11 +347,11 @@
       all.remove(attempt.number());
       return all.isEmpty() ? null : all;
     });
-    hearer.attemptEnded(end);
+    listener.attemptEnded(end);
   }
 
   void loaded(Loaded loaded) {
-    hearer.loadEnded(loaded);
+    listener.loadEnded(loaded);
   }
 
   private void closed(boolean everOpen, String why) {
@@ -357,7 +359,7 @@
   }
 
   /** Drops what belongs to runners that are gone and connections idle or stuck too long; called now and then. */
-  public void check() {
+  public void cleanUp() {
     long now = Clock.micros();
     links.values().forEach(link -> link.check(now, STUCK));
     leaving.forEach(link -> link.check(now, STUCK));
@@ -389,7 +391,7 @@
   }
 
   /** Calls with an attempt out. */
-  public int callsOut() {
+  public int callsInFlight() {
     return out.size();
   }
 
