--- a/node/src/main/java/gorseladder/node/peers/PeerLink.java
+++ b/node/src/main/java/gorseladder/node/peers/PeerLink.java
@@ -14,8 +14,8 @@
 
 /**
  * Datagrams between the dispatchers of a tier ("Between dispatchers" of the platform's protocol): the router's text
- * alone, {@value #MAX_MESSAGE_BYTES} bytes at the most; the sender is known by its address. They may be lost, late or doubled.
- * A datagram from an address that is no peer is dropped.
+ * alone, {@value #MAX_MESSAGE_BYTES} bytes at the most; the sender is known by its address. They may be lost, late or
+ * doubled. A datagram from an address that is no peer is dropped.
  */
 public final class PeerLink implements AutoCloseable {
   private static final int MAX_MESSAGE_BYTES = 256;
--- a/node/src/main/java/gorseladder/node/runners/AttemptRequest.java
+++ b/node/src/main/java/gorseladder/node/runners/AttemptRequest.java
@@ -14,18 +14,18 @@
 import gorseladder.wire.runner.Commands;
 import java.util.Map;
 
-/** One attempt on its way. Any thread. */
+/** Sends one attempt of a call and reports its end. Thread safe. */
 final class AttemptRequest extends RunnerRequest {
   private final NodeCall call;
   private final int number;
-  private final long until;
-  private volatile long timePassed;
+  private final long deadline;
+  private volatile long timeoutMillis;
 
-  AttemptRequest(RunnerLinks links, NodeCall call, int number, String worker, long until) {
+  AttemptRequest(RunnerLinks links, NodeCall call, int number, String worker, long deadline) {
     super(links, worker);
     this.call = call;
     this.number = number;
-    this.until = until;
+    this.deadline = deadline;
   }
 
   @Override
@@ -53,25 +53,25 @@
   }
 
   @Override
-  Verdict mayLeave(long now) {
+  Verdict maySend(long now) {
     SendGate gate = links.gate();
-    Call.SendConditions look = new Call.SendConditions(
-        until,
+    Call.SendConditions conditions = new Call.SendConditions(
+        deadline,
         !gate.maySendCall(worker()),
         gate.restartedSince(worker(), call.attempt(number).listUpdatesAtDecision()),
-        Math.max(call.seenFrom(), links.clientsSeenFrom(now)),
+        Math.max(call.seenFrom(), links.clientsKnownSince(now)),
         links.mayDuplicate());
-    return call.trySend(number, look, now);
+    return call.trySend(number, conditions, now);
   }
 
   @Override
-  byte[] bytes(long now) {
-    timePassed = Math.max(1, (until - now) / 1000);
+  byte[] encode(long now) {
+    timeoutMillis = Math.max(1, (deadline - now) / 1000);
     return Commands.go(
         id(),
         call.facts().requestClass().name(),
         call.facts().function(),
-        timePassed,
+        timeoutMillis,
         call.key(),
         call.facts().body());
   }
@@ -92,14 +92,14 @@
         .written(
             id(),
             new Written(
-                leftAt(),
+                sentAt(),
                 now,
                 drainToldAt,
                 gate.drainGrace(),
                 restartToldAt,
                 attempt.decidedAt(),
                 call.endedAt(),
-                timePassed * 1_000,
+                timeoutMillis * 1_000,
                 call.facts().deadlineAt(),
                 effect(),
                 call.facts().requestClass().repeatWindow(),
@@ -119,14 +119,16 @@
 
   @Override
   void report(Outcome outcome, Answer answer) {
-    boolean heard = answer != null;
-    CopyStatus note = heard && links.tellsNote()
+    boolean answered = answer != null;
+    CopyStatus copyStatus = answered && links.reportsCopyStatus()
         ? PlatformAnswers.note(answer.fields().get("remark"))
         : CopyStatus.NONE;
-    int crowd = heard
-        ? PlatformAnswers.crowd(outcome, links.tellsCrowd() ? answer.fields().get("depth") : null)
+    int concurrency = answered
+        ? PlatformAnswers.crowd(
+            outcome, links.reportsConcurrency() ? answer.fields().get("depth") : null)
         : -1;
-    byte[] body = heard && outcome == Outcome.OK ? answer.body() : null;
-    links.ended(this, new AttemptEnd<>(call, number, outcome, body, note, crowd, Map.of()));
+    byte[] body = answered && outcome == Outcome.OK ? answer.body() : null;
+    links.attemptEnded(
+        this, new AttemptEnd<>(call, number, outcome, body, copyStatus, concurrency, Map.of()));
   }
 }
--- a/node/src/main/java/gorseladder/node/runners/ChannelSource.java
+++ b/node/src/main/java/gorseladder/node/runners/ChannelSource.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 import java.nio.channels.SocketChannel;
 
-/** Makes the channels of connections to runners. Any thread. */
+/** Opens the channels of connections to runners. Thread safe. */
 public interface ChannelSource {
-  /** A blocking channel that is not connected yet; it is the caller's to close. */
+  /** Returns a blocking channel that is not connected yet; the caller closes it. */
   SocketChannel open() throws IOException;
 }
--- a/node/src/main/java/gorseladder/node/runners/Link.java
+++ b/node/src/main/java/gorseladder/node/runners/Link.java
@@ -12,13 +12,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The connections to one runner, by its id: a new runner at an old address is another link. Any thread. */
+/**
+ * The connections to one runner, identified by its id: a new runner at an old address has another link. Thread safe.
+ */
 final class Link {
   private final String uid;
   private final InetSocketAddress address;
   private final LinkSettings settings;
   private final List<LinkConnection> connections = new ArrayList<>();
-  private boolean gone;
+  private boolean retired;
 
   Link(String uid, InetSocketAddress address, LinkSettings settings) {
     this.uid = uid;
@@ -34,8 +36,8 @@
     return uid;
   }
 
-  /** Hands a request to a connection; false where none can be had, and then nothing of it leaves. */
-  boolean carry(RunnerRequest request) {
+  /** Hands a request to a connection; returns false if none is available, and then none of its bytes is sent. */
+  boolean submit(RunnerRequest request) {
     NodeCall call = request.call();
     for (int tries = 0; tries < 3; tries++) {
       LinkConnection connection = choose(request);
@@ -45,8 +47,8 @@
       if (call != null) {
         call.claim(connection);
       }
-      request.on(connection);
-      if (connection.carry(request)) {
+      request.assignTo(connection);
+      if (connection.submit(request)) {
         return true;
       }
     }
@@ -56,80 +58,86 @@
   private synchronized LinkConnection choose(RunnerRequest request) {
     NodeCall call = request.call();
     long now = Clock.micros();
-    List<LinkConnection> may = new ArrayList<>(connections.size());
+    List<LinkConnection> eligible = new ArrayList<>(connections.size());
     List<Candidate> candidates = new ArrayList<>(connections.size());
     for (LinkConnection c : connections) {
-      int carrying = c.carrying();
-      if (carrying < settings.multiplex()
-          && c.idle(now) < settings.idle()
-          && c.mayCarry(request.id())
+      int inFlight = c.requestsInFlight();
+      if (inFlight < settings.maxRequestsPerConnection()
+          && c.idle(now) < settings.idleLimit()
+          && c.mayAccept(request.id())
           && (call == null || !call.wasOn(c))) {
-        may.add(c);
-        candidates.add(new Candidate(carrying, c.idle(now)));
+        eligible.add(c);
+        candidates.add(new Candidate(inFlight, c.idle(now)));
       }
     }
     int picked = ConnectionChoice.pick(request.effect(), candidates, connections.size());
     if (picked >= 0) {
-      return may.get(picked);
+      return eligible.get(picked);
     }
-    return gone ? null : open(may.isEmpty() ? null : may.get(0));
+    return retired ? null : open(eligible.isEmpty() ? null : eligible.get(0));
   }
 
-  private LinkConnection open(LinkConnection otherwise) {
+  private LinkConnection open(LinkConnection fallback) {
     if (!settings.descriptors().tryAcquire()) {
-      return otherwise;
+      return fallback;
     }
     try {
-      LinkConnection opened = new LinkConnection(
+      LinkConnection connection = new LinkConnection(
           address,
-          settings.connect(),
-          settings.mostAnswer(),
+          settings.connectTimeout(),
+          settings.maxAnswerBytes(),
           settings.writers(),
-          settings.answerBytes().get(),
+          settings.answerMemory().get(),
           this::closed,
           settings.channels());
-      if (settings.threads().execute(opened::run)) {
-        connections.add(opened);
-        return opened;
+      if (settings.threads().execute(connection::run)) {
+        connections.add(connection);
+        return connection;
       }
-      opened.discard();
+      connection.discard();
     } catch (IOException | Error e) {
-      settings.log().accept("no connection to " + uid + ": " + e);
+      settings.warnings().accept("no connection to " + uid + ": " + e);
     }
     settings.descriptors().release();
-    return otherwise;
+    return fallback;
   }
 
   private boolean closed(LinkConnection connection, boolean everOpen, String why) {
     settings.descriptors().release();
-    settings.closes().count(everOpen, why);
+    settings.closeCounter().count(everOpen, why);
     synchronized (this) {
       connections.remove(connection);
       return connections.stream().anyMatch(LinkConnection::isOpen);
     }
   }
 
-  /** Closes what is idle too long or stuck; once the runner has gone, each connection as it falls free. */
-  void check(long now, long stuck) {
+  /**
+   * Closes connections that are idle or stuck for too long; if the link is retired, each one without requests in
+   * flight.
+   */
+  void closeIdleOrStuck(long now, long maxWriteMicros) {
     List<LinkConnection> due;
-    boolean leaving;
+    boolean retiring;
     synchronized (this) {
-      due = mayHaveToClose(now, stuck);
-      leaving = gone;
+      due = dueForClosing(now, maxWriteMicros);
+      retiring = retired;
     }
     for (LinkConnection c : due) {
-      c.closeIfStuck(now, stuck);
-      if (leaving || c.carrying() == 0 && c.idle(now) >= settings.idle()) {
+      c.closeIfStuck(now, maxWriteMicros);
+      if (retiring || c.requestsInFlight() == 0 && c.idle(now) >= settings.idleLimit()) {
         c.retire();
       }
     }
   }
 
-  /** Mostly none, which takes no lock of a connection and no copy: this is asked for each runner again and again. */
-  private List<LinkConnection> mayHaveToClose(long now, long stuck) {
+  /**
+   * Usually empty, and then takes no lock of a connection and makes no copy: this is called for each runner at each
+   * clean-up.
+   */
+  private List<LinkConnection> dueForClosing(long now, long maxWriteMicros) {
     List<LinkConnection> found = List.of();
     for (LinkConnection c : connections) {
-      if (gone || c.idle(now) >= settings.idle() || c.isStuck(now, stuck)) {
+      if (retired || c.idle(now) >= settings.idleLimit() || c.isStuck(now, maxWriteMicros)) {
         found = found.isEmpty() ? new ArrayList<>() : found;
         found.add(c);
       }
@@ -137,53 +145,53 @@
     return found;
   }
 
-  /** A connection on which nothing is out, the one used longest ago; null where there is none. */
-  synchronized LinkConnection idlest() {
+  /** The connection without requests in flight that has been idle for longest; null if there is none. */
+  synchronized LinkConnection longestIdle() {
     long now = Clock.micros();
     return connections.stream()
-        .filter(c -> c.carrying() == 0)
+        .filter(c -> c.requestsInFlight() == 0)
         .max((a, b) -> Long.compare(a.idle(now), b.idle(now)))
         .orElse(null);
   }
 
-  /** The connection that has most bytes of unfinished answers kept; null where there is none. */
-  synchronized LinkConnection keepsMost() {
-    return LinkConnection.keepsMost(connections.stream());
+  /** The connection that holds most memory for unfinished answers; null if there are no connections. */
+  synchronized LinkConnection withMostAnswerBytes() {
+    return LinkConnection.withMostAnswerBytes(connections.stream());
   }
 
-  /** Connections on which nothing is out; any of several to one runner is to spare. */
+  /** Open connections without requests in flight; if the runner has several connections, each counts as spare. */
   synchronized List<IdleConnection> idleConnections(long now) {
     boolean spare = connections.size() > 1;
     List<IdleConnection> idle = new ArrayList<>();
     for (LinkConnection c : connections) {
-      if (c.isOpen() && c.carrying() == 0) {
-        idle.add(new IdleConnection(new Holder(c.idle(now), spare), c::closeIfFree));
+      if (c.isOpen() && c.requestsInFlight() == 0) {
+        idle.add(new IdleConnection(new Holder(c.idle(now), spare), c::closeIfIdle));
       }
     }
     return idle;
   }
 
-  /** The runner has gone: nothing new is opened, and connections close after what is out on them. */
-  void goes() {
+  /** The runner is gone: opens nothing more, and closes each connection once none of its requests is in flight. */
+  void retire() {
     synchronized (this) {
-      gone = true;
+      retired = true;
     }
-    check(Clock.micros(), Long.MAX_VALUE);
+    closeIdleOrStuck(Clock.micros(), Long.MAX_VALUE);
   }
 
-  /** True where nothing is left of a runner that has gone. */
-  synchronized boolean finished() {
-    return gone && connections.isEmpty();
+  /** Whether the link is retired and its last connection closed. */
+  synchronized boolean isFinished() {
+    return retired && connections.isEmpty();
   }
 
-  synchronized int standing() {
+  synchronized int connectionCount() {
     return connections.size();
   }
 
   void close() {
     List<LinkConnection> all;
     synchronized (this) {
-      gone = true;
+      retired = true;
       all = new ArrayList<>(connections);
     }
     all.forEach(c -> c.close(Ending.BROKEN, "stopping"));
--- a/node/src/main/java/gorseladder/node/runners/LinkConnection.java
+++ b/node/src/main/java/gorseladder/node/runners/LinkConnection.java
@@ -26,17 +26,18 @@
 import java.util.stream.Stream;
 
 /**
- * One connection to a runner: a thread that opens it and then reads it, an outbox, and what is out on it. Every request
- * on it ends in exactly one of: its answer, {@link RunnerRequest#broken}, or being given up by its owner.
+ * One connection to a runner: a thread that opens and then reads it, an output queue, and the requests in flight. Every
+ * request on it ends in exactly one way: with its answer, by {@link RunnerRequest#connectionEnded}, or by being given
+ * up by its owner.
  */
 final class LinkConnection {
-  private static final int READ = 8_192;
-  private static final int MOST_WAITING_BYTES = 4 << 20;
-  private static final int MOST_ABANDONED = 64;
+  private static final int READ_BUFFER_BYTES = 8_192;
+  private static final int MAX_QUEUED_BYTES = 4 << 20;
+  private static final int MAX_ABANDONED = 64;
 
-  /** Hears of the connection's end. */
+  /** Is notified when the connection is closed. */
   interface Owner {
-    /** Returns true where other connections to the runner are open. */
+    /** Called once; returns whether other connections to the runner are open. */
     boolean closed(LinkConnection connection, boolean everOpen, String why);
   }
 
@@ -44,52 +45,56 @@
   private final InetSocketAddress address;
   private final int connectMillis;
   private final AnswerParser parser;
-  private final AnswerBytes answerBytes;
+  private final AnswerMemory answerMemory;
   private final Outbox outbox;
   private final Owner owner;
-  private final Map<String, RunnerRequest> out = new HashMap<>();
+  private final Map<String, RunnerRequest> inFlight = new HashMap<>();
   private final Set<String> abandoned = new HashSet<>();
-  /** Ends of requests given up, to be told once that has left, or the connection has ended. */
-  private final Set<GivenUp> givingUp = new HashSet<>();
+  /** Requests given up whose end is reported once their halt is written or the connection is closed. */
+  private final Set<PendingHalt> pendingHalts = new HashSet<>();
 
   private boolean open;
   private boolean closed;
   private boolean retired;
-  private volatile long usedAt = Clock.micros();
+  private volatile long lastUsedAt = Clock.micros();
   private volatile long heardAt;
 
   LinkConnection(
-      InetSocketAddress address, long connect, int mostAnswer, Executor writers, Owner owner)
+      InetSocketAddress address,
+      long connectTimeout,
+      int maxAnswerBytes,
+      Executor writers,
+      Owner owner)
       throws IOException {
     this(
         address,
-        connect,
-        mostAnswer,
+        connectTimeout,
+        maxAnswerBytes,
         writers,
-        new AnswerBytes(new ByteBudget(Long.MAX_VALUE), () -> false),
+        new AnswerMemory(new ByteBudget(Long.MAX_VALUE), () -> false),
         owner,
         SocketChannel::open);
   }
 
   LinkConnection(
       InetSocketAddress address,
-      long connect,
-      int mostAnswer,
+      long connectTimeout,
+      int maxAnswerBytes,
       Executor writers,
-      AnswerBytes answerBytes,
+      AnswerMemory answerMemory,
       Owner owner,
       ChannelSource channels)
       throws IOException {
-    this.answerBytes = answerBytes;
+    this.answerMemory = answerMemory;
     this.address = address;
-    this.connectMillis = (int) Math.max(1, connect / 1000);
-    this.parser = new AnswerParser(mostAnswer, answerBytes);
+    this.connectMillis = (int) Math.max(1, connectTimeout / 1000);
+    this.parser = new AnswerParser(maxAnswerBytes, answerMemory);
     this.owner = owner;
     this.channel = channels.open();
-    this.outbox = new Outbox(writers, MOST_WAITING_BYTES, e -> close(Ending.BROKEN, e.toString()));
+    this.outbox = new Outbox(writers, MAX_QUEUED_BYTES, e -> close(Ending.BROKEN, e.toString()));
   }
 
-  /** Opens the connection and reads it until its end; the whole life of its thread. */
+  /** Opens the connection and reads it until it ends; runs on the connection's own thread. */
   void run() {
     try {
       try {
@@ -101,7 +106,7 @@
       }
       synchronized (this) {
         open = true;
-        usedAt = Clock.micros();
+        lastUsedAt = Clock.micros();
       }
       outbox.open(channel);
       read();
@@ -110,12 +115,12 @@
     } catch (IOException | RuntimeException e) {
       close(Ending.BROKEN, e.toString());
     } catch (Error e) {
-      // Of this process: before the connection is open it says nothing of the runner.
+      // An error of this process; before the connection is open it says nothing about the runner.
       close(isOpen() ? Ending.BROKEN : Ending.NO_RESOURCE, e.toString());
     }
   }
 
-  /** Lets go of a connection that was never used: its thread could not be started. */
+  /** Closes the channel of a connection that was never used because its thread could not be started. */
   void discard() {
     try {
       channel.close();
@@ -125,7 +130,7 @@
   }
 
   private void read() throws IOException, BadAnswer {
-    ByteBuffer buffer = ByteBuffer.allocate(READ);
+    ByteBuffer buffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
     while (true) {
       buffer.clear();
       int count = channel.read(buffer);
@@ -133,50 +138,50 @@
         throw new EOFException("closed by the runner");
       }
       heardAt = Clock.micros();
-      parser.feed(buffer.array(), 0, count, this::answered);
+      parser.feed(buffer.array(), 0, count, this::answerReceived);
     }
   }
 
-  private void answered(Answer answer) {
+  private void answerReceived(Answer answer) {
     RunnerRequest request;
     synchronized (this) {
-      request = out.remove(answer.id());
-      usedAt = heardAt;
+      request = inFlight.remove(answer.id());
+      lastUsedAt = heardAt;
     }
     if (request != null) {
       outbox.readUpTo(request.writtenUpTo());
-      request.answered(answer);
+      request.answerReceived(answer);
     }
     closeIfDone();
   }
 
-  /** Takes a request; false where it cannot, and then this connection says nothing more of it. */
-  boolean carry(RunnerRequest request) {
+  /** Accepts a request; returns false if it cannot, and then reports nothing about the request. */
+  boolean submit(RunnerRequest request) {
     synchronized (this) {
-      if (closed || retired || out.putIfAbsent(request.id(), request) != null) {
+      if (closed || retired || inFlight.putIfAbsent(request.id(), request) != null) {
         return false;
       }
-      usedAt = Clock.micros();
+      lastUsedAt = Clock.micros();
     }
-    if (!outbox.put(leaving(request))) {
+    if (!outbox.put(outboxItem(request))) {
       synchronized (this) {
-        // Where it is out no more, the end of this connection has told it already, and it may
-        // be on its way elsewhere.
-        return !out.remove(request.id(), request);
+        // If it is no longer in flight here, the close of this connection has already notified it,
+        // and another connection may carry it.
+        return !inFlight.remove(request.id(), request);
       }
     }
-    if (request.over()) {
-      // It was given up while it was handed over, and found nothing to take back here.
+    if (request.isEnded()) {
+      // It was given up during the hand-over, before this connection could be told.
       drop(request);
     }
     return true;
   }
 
-  private Outbox.Item leaving(RunnerRequest request) {
+  private Outbox.Item outboxItem(RunnerRequest request) {
     return new Outbox.Item() {
       @Override
       public byte[] take() {
-        return request.take(LinkConnection.this);
+        return request.startSending(LinkConnection.this);
       }
 
       @Override
@@ -192,25 +197,25 @@
     };
   }
 
-  /** Forgets a request that ended before anything of it was written. */
+  /** Removes a request that ended before any of its bytes were written. */
   void drop(RunnerRequest request) {
     synchronized (this) {
-      out.remove(request.id(), request);
+      inFlight.remove(request.id(), request);
     }
     closeIfDone();
   }
 
   /**
-   * The end of a request that was given up after it left: told once, when its halt has left or the connection has
-   * ended.
+   * The halt of a request that was given up after it was sent. Reports the end of the request once, when the halt is
+   * written or the connection is closed.
    */
-  private final class GivenUp implements Outbox.Item {
+  private final class PendingHalt implements Outbox.Item {
     private final byte[] halt;
-    private final Runnable told;
+    private final Runnable whenDone;
 
-    private GivenUp(byte[] halt, Runnable told) {
+    private PendingHalt(byte[] halt, Runnable whenDone) {
       this.halt = halt;
-      this.told = told;
+      this.whenDone = whenDone;
     }
 
     @Override
@@ -225,92 +230,94 @@
 
     @Override
     public void written(long at, long upTo) {
-      tell();
+      complete();
     }
 
-    private void tell() {
+    private void complete() {
       boolean first;
       synchronized (LinkConnection.this) {
-        first = givingUp.remove(this);
+        first = pendingHalts.remove(this);
       }
       if (first) {
-        told.run();
+        whenDone.run();
       }
       closeIfDone();
     }
   }
 
   /**
-   * Gives a request up that was written; whatever still comes for it is dropped.
+   * Gives up a request that was sent; an answer to it is ignored.
    *
-   * @param givenUp run once this is on the wire, or the connection has ended
+   * @param halt the command that cancels the request; null for none
+   * @param remainsUsable whether the connection may carry new requests
+   * @param givenUp run once the halt is written or the connection is closed
    */
-  void abandon(RunnerRequest request, byte[] halt, boolean carriesOn, Runnable givenUp) {
-    GivenUp end = halt == null ? null : new GivenUp(halt, givenUp);
-    boolean over;
+  void abandon(RunnerRequest request, byte[] halt, boolean remainsUsable, Runnable givenUp) {
+    PendingHalt pending = halt == null ? null : new PendingHalt(halt, givenUp);
+    boolean ended;
     synchronized (this) {
-      over = !out.remove(request.id(), request) || closed;
-      if (!over) {
+      ended = !inFlight.remove(request.id(), request) || closed;
+      if (!ended) {
         abandoned.add(request.id());
-        retired |= !carriesOn || abandoned.size() > MOST_ABANDONED;
-        if (end != null) {
-          givingUp.add(end);
+        retired |= !remainsUsable || abandoned.size() > MAX_ABANDONED;
+        if (pending != null) {
+          pendingHalts.add(pending);
         }
       }
     }
-    if (over || end == null) {
+    if (ended || pending == null) {
       givenUp.run();
-    } else if (!outbox.put(end)) {
+    } else if (!outbox.put(pending)) {
       close(Ending.BROKEN, "the runner does not read");
     }
     closeIfDone();
   }
 
-  /** True where a call of that id may be carried: the id was not given up here before. */
-  synchronized boolean mayCarry(String id) {
-    return !closed && !retired && !abandoned.contains(id) && !out.containsKey(id);
+  /** Whether the connection accepts a request with this id; an id that was given up here is not used again. */
+  synchronized boolean mayAccept(String id) {
+    return !closed && !retired && !abandoned.contains(id) && !inFlight.containsKey(id);
   }
 
-  /** True once it came up. */
+  /** Whether it is connected. */
   synchronized boolean isOpen() {
     return open && !closed;
   }
 
-  /** Requests out. */
-  synchronized int carrying() {
-    return out.size();
+  /** Number of requests in flight. */
+  synchronized int requestsInFlight() {
+    return inFlight.size();
   }
 
-  /** True while something waits to be written or is being written. */
+  /** Whether anything is queued or being written. */
   boolean hasUnwritten() {
     return !outbox.idle();
   }
 
-  /** Microseconds for which it has carried nothing new. */
+  /** How long no request was added and no answer came, in microseconds. */
   long idle(long now) {
-    return now - usedAt;
+    return now - lastUsedAt;
   }
 
   long heardAt() {
     return heardAt;
   }
 
-  /** Bytes of unfinished answers that it has this process keep. */
+  /** Memory held for unfinished answers. */
   int answerBytes() {
-    return answerBytes.kept();
+    return answerMemory.heldBytes();
   }
 
-  /** The one of these that has most bytes of unfinished answers kept; null where there is none. */
-  static LinkConnection keepsMost(Stream<LinkConnection> connections) {
+  /** The connection that holds most memory for unfinished answers; null if there are no connections. */
+  static LinkConnection withMostAnswerBytes(Stream<LinkConnection> connections) {
     return connections
         .max((a, b) -> Integer.compare(a.answerBytes(), b.answerBytes()))
         .orElse(null);
   }
 
-  /** Closes it where nothing is out on it; false where something is. */
-  boolean closeIfFree() {
+  /** Closes the connection if no request is in flight; returns whether it did. */
+  boolean closeIfIdle() {
     synchronized (this) {
-      if (closed || !Permits.mayCloseLink(out.size()).allowed()) {
+      if (closed || !Permits.mayCloseLink(inFlight.size()).allowed()) {
         return false;
       }
       retired = true;
@@ -319,7 +326,7 @@
     return true;
   }
 
-  /** Takes nothing new; closes once nothing is out. */
+  /** Stops accepting requests and closes the connection once none is in flight. */
   void retire() {
     synchronized (this) {
       retired = true;
@@ -330,49 +337,52 @@
   private void closeIfDone() {
     boolean done;
     synchronized (this) {
-      done = retired && givingUp.isEmpty() && Permits.mayCloseLink(out.size()).allowed() && !closed;
+      done = retired
+          && pendingHalts.isEmpty()
+          && Permits.mayCloseLink(inFlight.size()).allowed()
+          && !closed;
     }
     if (done) {
       close(Ending.BROKEN, "retired");
     }
   }
 
-  /** True where a write has been under way for more microseconds than that. */
-  boolean isStuck(long now, long most) {
+  /** Whether a write has lasted longer than that. */
+  boolean isStuck(long now, long maxWriteMicros) {
     long since = outbox.writingSince();
-    return since > 0 && now - since > most;
+    return since > 0 && now - since > maxWriteMicros;
   }
 
-  /** Closes it where a write has been stuck for so long. */
-  void closeIfStuck(long now, long most) {
-    if (isStuck(now, most)) {
+  /** Closes the connection if a write has lasted longer than that. */
+  void closeIfStuck(long now, long maxWriteMicros) {
+    if (isStuck(now, maxWriteMicros)) {
       close(Ending.BROKEN, "the runner does not read");
     }
   }
 
   void close(Ending ending, String why) {
-    List<RunnerRequest> left;
-    List<GivenUp> ends;
-    boolean was;
+    List<RunnerRequest> requests;
+    List<PendingHalt> halts;
+    boolean wasOpen;
     synchronized (this) {
       if (closed) {
         return;
       }
       closed = true;
-      was = open;
-      left = new ArrayList<>(out.values());
-      out.clear();
-      ends = new ArrayList<>(givingUp);
+      wasOpen = open;
+      requests = new ArrayList<>(inFlight.values());
+      inFlight.clear();
+      halts = new ArrayList<>(pendingHalts);
     }
     outbox.close();
-    answerBytes.end();
+    answerMemory.end();
     try {
       channel.close();
     } catch (IOException e) {
       // Nothing is left to release.
     }
-    Ending told = AttemptOutcomes.endingOfConnection(ending, owner.closed(this, was, why));
-    ends.forEach(GivenUp::tell);
-    left.forEach(request -> request.broken(this, told));
+    Ending reported = AttemptOutcomes.endingOfConnection(ending, owner.closed(this, wasOpen, why));
+    halts.forEach(PendingHalt::complete);
+    requests.forEach(request -> request.connectionEnded(this, reported));
   }
 }
--- a/node/src/main/java/gorseladder/node/runners/LinkSettings.java
+++ b/node/src/main/java/gorseladder/node/runners/LinkSettings.java
@@ -7,30 +7,32 @@
 import java.util.function.Supplier;
 
 /**
- * What every link is told. Times are microseconds.
+ * Settings and resources that all links share. Times are microseconds.
  *
- * @param idle how long a connection may carry nothing, at most
- * @param multiplex calls on one connection at the most
- * @param mostAnswer bytes of an answer's body at the most
- * @param answerBytes counts what a new connection has this process keep
- * @param descriptors descriptors left for all links together
- * @param channels makes what a connection is opened on
+ * @param idleLimit idle time after which a connection is closed
+ * @param maxRequestsPerConnection maximum number of requests in flight on a connection
+ * @param maxAnswerBytes maximum size of the body of an answer
+ * @param descriptors free descriptors of all links together
+ * @param channels opens the channel of a connection
+ * @param threads each connection occupies one
+ * @param writers runs writes that may block
+ * @param answerMemory creates the memory account of a new connection
  */
 record LinkSettings(
-    long connect,
-    long idle,
-    int multiplex,
-    int mostAnswer,
+    long connectTimeout,
+    long idleLimit,
+    int maxRequestsPerConnection,
+    int maxAnswerBytes,
     Semaphore descriptors,
     ChannelSource channels,
     ThreadCache threads,
     Executor writers,
-    Closes closes,
-    Supplier<AnswerBytes> answerBytes,
-    Consumer<String> log) {
+    CloseCounter closeCounter,
+    Supplier<AnswerMemory> answerMemory,
+    Consumer<String> warnings) {
 
   /** Counts how connections ended. */
-  interface Closes {
+  interface CloseCounter {
     void count(boolean everOpen, String why);
   }
 }
--- a/node/src/main/java/gorseladder/node/runners/LoadOrder.java
+++ b/node/src/main/java/gorseladder/node/runners/LoadOrder.java
@@ -10,20 +10,25 @@
 import gorseladder.wire.runner.AnswerParser.Answer;
 import gorseladder.wire.runner.Commands;
 
-/** One order to hold copies. Any thread. */
+/** Sends one order to hold copies of a function and reports its end. Thread safe. */
 final class LoadOrder extends RunnerRequest {
   private final String tag;
   private final String function;
   private final int copies;
-  private final long decidedWith;
+  private final long listUpdatesAtDecision;
 
   LoadOrder(
-      RunnerLinks links, String tag, String worker, String function, int copies, long decidedWith) {
+      RunnerLinks links,
+      String tag,
+      String worker,
+      String function,
+      int copies,
+      long listUpdatesAtDecision) {
     super(links, worker);
     this.tag = tag;
     this.function = function;
     this.copies = copies;
-    this.decidedWith = decidedWith;
+    this.listUpdatesAtDecision = listUpdatesAtDecision;
   }
 
   @Override
@@ -47,16 +52,16 @@
   }
 
   @Override
-  Verdict mayLeave(long now) {
-    return links.gate().maySendLoadOrder(worker(), decidedWith, now);
+  Verdict maySend(long now) {
+    return links.gate().maySendLoadOrder(worker(), listUpdatesAtDecision, now);
   }
 
   @Override
-  byte[] bytes(long now) {
+  byte[] encode(long now) {
     return Commands.stage(tag, function, copies);
   }
 
-  /** An order stands once it has left. */
+  /** An order cannot be cancelled after it was sent. */
   @Override
   byte[] halt() {
     return null;
@@ -70,7 +75,8 @@
 
   @Override
   void report(Outcome outcome, Answer answer) {
-    int stand = answer == null ? 0 : PlatformAnswers.count(answer.fields().get("pods"));
-    links.loaded(new Loaded(worker(), function, stand, outcome, Clock.micros() - began()));
+    int heldCopies = answer == null ? 0 : PlatformAnswers.count(answer.fields().get("pods"));
+    links.loadEnded(
+        new Loaded(worker(), function, heldCopies, outcome, Clock.micros() - createdAt()));
   }
 }
--- a/node/src/main/java/gorseladder/node/runners/RunnerLinks.java
+++ b/node/src/main/java/gorseladder/node/runners/RunnerLinks.java
@@ -38,18 +38,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries attempts and load orders to the runners: one link a runner, several connections a link. What an end is worth
- * is judged by {@link gorseladder.attempts.AttemptOutcomes}, which connection may carry a call by
- * {@link gorseladder.attempts.ConnectionChoice}, and whether bytes may still leave by {@link SendGate}.
+ * Sends attempts and load orders to the runners: one link for each runner, with several connections. {@link
+ * gorseladder.attempts.AttemptOutcomes} decides the outcome of an ending, {@link gorseladder.attempts.ConnectionChoice}
+ * which connection carries a call, and {@link SendGate} whether bytes may still be sent.
  *
- * <p>Any thread; nothing here blocks.
+ * <p>Thread safe; no method blocks.
  */
 public final class RunnerLinks implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(RunnerLinks.class);
-  /** A write that stands still for so long ends its connection. */
-  private static final long STUCK = 1_000_000;
+  /** A connection is closed if one write takes longer; the runner does not read then. */
+  private static final long MAX_WRITE_MICROS = 1_000_000;
 
-  /** Who hears the ends: exactly one for each attempt and each order. */
+  /** Receives exactly one end for each attempt and each load order. */
   public interface Listener {
     void attemptEnded(AttemptEnd<NodeCall> end);
 
@@ -59,104 +59,104 @@
   private final SendGate gate;
   private final Watchdog watchdog;
   private final LinkSettings settings;
-  private final NodeConfig.Links told;
+  private final NodeConfig.Links config;
   private final Limits limits;
-  /**
-   * Links to runners that the list has. Changed with the gate's lock, so that a link and its gate are told together.
-   */
+  /** Links to the runners on the list. Changed under the gate's lock, so that a link and the gate change together. */
   private final Map<String, Link> links = new ConcurrentHashMap<>();
-  /** Links to runners that have gone, or have another address now, until nothing is out on them. */
-  private final Set<Link> leaving = ConcurrentHashMap.newKeySet();
+  /** Links to runners that are gone or have a new address, until their last connection is closed. */
+  private final Set<Link> retiredLinks = ConcurrentHashMap.newKeySet();
 
-  /** True where a runner was told of since the last look, or one is leaving; the gate's lock. */
-  private boolean mayForget;
+  /** Whether a runner was reported since the last clean-up, or a link is still retiring. Guarded by the gate's lock. */
+  private boolean cleanUpPending;
 
-  private final Map<NodeCall, Map<Integer, AttemptRequest>> out = new ConcurrentHashMap<>();
-  private final StallDetector pauses;
+  private final Map<NodeCall, Map<Integer, AttemptRequest>> inFlight = new ConcurrentHashMap<>();
+  private final StallDetector stallDetector;
   private final RuleLog rules;
-  private final Counts heldBack = new Counts();
-  private final AtomicLong tags = new AtomicLong();
-  private final Counts closes = new Counts();
-  private final AtomicLong waits = new AtomicLong();
+  private final Counts denied = new Counts();
+  private final AtomicLong lastOrderNumber = new AtomicLong();
+  private final Counts closeReasons = new Counts();
+  private final AtomicLong connectionRetries = new AtomicLong();
   private volatile Listener listener;
   private volatile ThreadReclaimer threadReclaimer = new ThreadReclaimer();
   private volatile ByteBudget answerBudget = new ByteBudget(Long.MAX_VALUE);
-  private volatile BooleanSupplier makeRoom = this::closeLargestAnswer;
+  private volatile BooleanSupplier freeAnswerMemory = this::closeLargestAnswer;
   private volatile ChannelSource channels = SocketChannel::open;
 
   /**
-   * Links by what the platform told.
+   * Creates links without runners.
    *
-   * @param descriptors descriptors that all links together may hold
-   * @param mostAnswer bytes of an answer's body at the most
-   * @param threads each connection has one
+   * @param config settings of the platform
+   * @param descriptors maximum number of descriptors for all links together
+   * @param maxAnswerBytes maximum size of the body of an answer
+   * @param threads each connection occupies one
    */
   public RunnerLinks(
-      NodeConfig.Links told,
+      NodeConfig.Links config,
       Limits limits,
       SendGate gate,
-      StallDetector pauses,
+      StallDetector stallDetector,
       RuleLog rules,
       Watchdog watchdog,
       Executor writers,
       int descriptors,
-      int mostAnswer,
+      int maxAnswerBytes,
       ThreadCache threads) {
-    this.told = told;
+    this.config = config;
     this.limits = limits;
     this.gate = gate;
-    this.pauses = pauses;
+    this.stallDetector = stallDetector;
     this.rules = rules;
     this.watchdog = watchdog;
     this.settings = new LinkSettings(
-        told.connect(),
-        ConnectionChoice.localIdleLimit(told.idle()),
-        told.multiplex(),
-        mostAnswer,
+        config.connect(),
+        ConnectionChoice.localIdleLimit(config.idle()),
+        config.multiplex(),
+        maxAnswerBytes,
         new Semaphore(descriptors),
         () -> channels.open(),
         threads,
         writers,
-        this::closed,
-        () -> new AnswerBytes(answerBudget, makeRoom),
+        this::countClose,
+        () -> new AnswerMemory(answerBudget, freeAnswerMemory),
         LOG::warn);
   }
 
-  /** Names who hears the ends; once, before anything is sent. */
-  public void setListener(Listener to) {
-    listener = to;
+  /** Sets the receiver of ends; once, before anything is sent. */
+  public void setListener(Listener listener) {
+    this.listener = listener;
   }
 
-  /** Names what connections are opened on; before anything is sent. */
+  /** Sets what opens the channels of connections; before anything is sent. */
   public void setChannelSource(ChannelSource source) {
     channels = source;
   }
 
-  /** Names who ends an idle connection, so that its thread is free for a new one to a runner. */
-  public void setThreadReclaimer(ThreadReclaimer to) {
-    threadReclaimer = to;
+  /** Sets what closes an idle connection, so that its thread is free for a new one to a runner. */
+  public void setThreadReclaimer(ThreadReclaimer threadReclaimer) {
+    this.threadReclaimer = threadReclaimer;
   }
 
   /**
-   * Bounds the bytes of unfinished answers that runners have this process keep.
+   * Limits the memory for unfinished answers of runners.
    *
-   * @param budget shared with whoever keeps bytes for clients
-   * @param makesRoom asked past the bound; false where it could make no room
+   * @param budget shared with the bytes kept for clients
+   * @param freeMemory called when the budget is exhausted; returns false if nothing could be freed
    */
-  public void limitAnswerMemory(ByteBudget budget, BooleanSupplier makesRoom) {
+  public void limitAnswerMemory(ByteBudget budget, BooleanSupplier freeMemory) {
     answerBudget = budget;
-    makeRoom = makesRoom;
+    freeAnswerMemory = freeMemory;
   }
 
   /**
-   * Ends the connection that has most bytes of unfinished answers kept; false where none has any.
+   * Closes the connection whose unfinished answers take most memory; returns false if there are none.
    *
-   * <p>It could harm an answer that is large and whole soon: what was out on its connection may have run.
+   * <p>The drawback: it may hit a large answer that is nearly complete, and the requests on its connection may have
+   * run.
    */
   public boolean closeLargestAnswer() {
-    LinkConnection largest =
-        LinkConnection.keepsMost(Stream.concat(links.values().stream(), leaving.stream())
-            .map(Link::keepsMost)
+    LinkConnection largest = LinkConnection.withMostAnswerBytes(
+        Stream.concat(links.values().stream(), retiredLinks.stream())
+            .map(Link::withMostAnswerBytes)
             .filter(Objects::nonNull));
     if (largest == null || largest.answerBytes() == 0) {
       return false;
@@ -173,59 +173,60 @@
     return rules;
   }
 
-  /** True where two attempts of a call may be out at a time. */
+  /** Whether two attempts of a call may be sent at the same time. */
   boolean mayDuplicate() {
     return limits.duplicates();
   }
 
-  /** From when on it is known what clients did before the last pause of this process. */
-  long clientsSeenFrom(long now) {
-    return pauses.clientsKnownSince(now);
+  /** The time from which on it is known what clients did; before it this process was stalled. */
+  long clientsKnownSince(long now) {
+    return stallDetector.clientsKnownSince(now);
   }
 
-  /** Counts what was held back at the last look. */
-  void heldBack(Verdict verdict) {
-    heldBack.count(verdict.word());
+  /** Counts a request that the check just before sending denied. */
+  void countDenied(Verdict verdict) {
+    denied.count(verdict.word());
   }
 
-  /** Runs a short task after so many microseconds. */
+  /** Runs a short task after a delay in microseconds. */
   void after(long micros, Runnable task) {
     watchdog.after(micros, task);
   }
 
-  boolean tellsNote() {
-    return told.tellsNote();
+  boolean reportsCopyStatus() {
+    return config.tellsNote();
   }
 
-  boolean tellsCrowd() {
-    return told.tellsCrowd();
+  boolean reportsConcurrency() {
+    return config.tellsCrowd();
   }
 
   /**
-   * News of a runner.
+   * Applies what the list says of a runner.
    *
-   * @param news the number of the list's news that it comes with, from 1
-   * @param at when its bytes reached this process
+   * @param listUpdate number of the list update that contains it, from 1
+   * @param at when the bytes of the update arrived in this process
    */
-  public void runnerReported(WorkerEntry entry, InetSocketAddress address, long news, long at) {
+  public void runnerReported(
+      WorkerEntry entry, InetSocketAddress address, long listUpdate, long at) {
     String uid = entry.worker();
     Phase phase = entry.phase();
     Link before;
     synchronized (gate) {
       gate.phaseReported(uid, phase, at);
-      mayForget = true;
+      cleanUpPending = true;
       if (phase != Phase.GONE) {
-        gate.startReported(uid, entry.startedAt(), news, at);
+        gate.startReported(uid, entry.startedAt(), listUpdate, at);
       }
       before = links.get(uid);
       if (phase != Phase.GONE && before != null && before.address().equals(address)) {
         return;
       }
       if (before != null) {
-        leaving.add(before);
+        retiredLinks.add(before);
       }
-      // A runner that comes back, here or at another address, gets a link of its own: what has
-      // gone takes nothing new.
+      // A runner that comes back, at any address, gets a new link: a retired one accepts no
+      // requests.
       if (phase == Phase.GONE) {
         links.remove(uid);
       } else {
@@ -233,171 +234,174 @@
       }
     }
     if (before != null) {
-      before.goes();
+      before.retire();
     }
   }
 
-  /** A call was taken; it earns its share of the load ration. */
+  /** Records an accepted call, which adds its share to the load ration. */
   public void callAccepted(long at) {
     synchronized (gate) {
       gate.callAccepted(at);
     }
   }
 
-  /** Starts an attempt; a timeout of 0 lasts until the client gives up. */
+  /** Starts an attempt; with a timeout of 0 it lasts until the deadline of the call. */
   public void send(NodeCall call, int number, String worker, long timeout) {
     long deadline = call.facts().deadlineAt();
     long now = Clock.micros();
-    long until = timeout > 0 ? Math.min(deadline, now + timeout) : deadline;
-    AttemptRequest attempt = new AttemptRequest(this, call, number, worker, until);
-    out.computeIfAbsent(call, c -> new ConcurrentHashMap<>()).put(number, attempt);
-    start(attempt, until - now);
+    long expiresAt = timeout > 0 ? Math.min(deadline, now + timeout) : deadline;
+    AttemptRequest attempt = new AttemptRequest(this, call, number, worker, expiresAt);
+    inFlight.computeIfAbsent(call, c -> new ConcurrentHashMap<>()).put(number, attempt);
+    start(attempt, expiresAt - now);
   }
 
-  private void start(RunnerRequest request, long time) {
-    request.guard(
-        watchdog.after(Math.max(0, time), () -> request.giveUp(Ending.TIMED_OUT)),
-        Clock.micros() + time);
-    carryOrWait(request);
+  private void start(RunnerRequest request, long timeout) {
+    request.setDeadline(
+        watchdog.after(Math.max(0, timeout), () -> request.giveUp(Ending.TIMED_OUT)),
+        Clock.micros() + timeout);
+    submitOrRetry(request);
   }
 
-  /** Hands a request to a connection of its runner; where this machine lacks something for one the request waits. */
-  void carryOrWait(RunnerRequest request) {
-    if (!request.over() && !carry(request)) {
-      waitToBeCarried(request, whyNotCarried(request.worker()));
+  /** Hands a request to a connection of its runner; if this machine lacks a resource for one, the request waits. */
+  void submitOrRetry(RunnerRequest request) {
+    if (!request.isEnded() && !submit(request)) {
+      retryLater(request, noConnectionEnding(request.worker()));
     }
   }
 
-  /** Where the list has the runner it is this machine that lacks something for a connection. */
-  private Ending whyNotCarried(String worker) {
+  /** The ending of a request without a connection: if the list has its runner, a local resource is missing. */
+  private Ending noConnectionEnding(String worker) {
     return links.containsKey(worker) ? Ending.NO_RESOURCE : Ending.CONNECT_FAILED;
   }
 
   /**
-   * Looks again a moment later, for as long as {@link ConnectionWait} says, and then gives the request up. At each
-   * later look in vain an idle connection is ended for the thread that it holds.
+   * Tries again after the delay that {@link ConnectionWait} allows; otherwise gives the request up. Each further try
+   * without success closes an idle connection for the thread that it occupies.
    */
-  void waitToBeCarried(RunnerRequest request, Ending why) {
+  void retryLater(RunnerRequest request, Ending ending) {
     long now = Clock.micros();
-    long waited = now - request.began();
-    long look =
-        why == Ending.NO_RESOURCE ? ConnectionWait.retryDelay(waited, request.left(now)) : -1;
-    if (look < 0) {
-      request.giveUp(why);
+    long waited = now - request.createdAt();
+    long delay = ending == Ending.NO_RESOURCE
+        ? ConnectionWait.retryDelay(waited, request.remaining(now))
+        : -1;
+    if (delay < 0) {
+      request.giveUp(ending);
       return;
     }
-    waits.incrementAndGet();
-    after(look, () -> {
-      if (!request.over() && !carry(request)) {
+    connectionRetries.incrementAndGet();
+    after(delay, () -> {
+      if (!request.isEnded() && !submit(request)) {
         threadReclaimer.reclaim(waited);
-        waitToBeCarried(request, whyNotCarried(request.worker()));
+        retryLater(request, noConnectionEnding(request.worker()));
       }
     });
   }
 
-  /** Hands a request to a connection of its runner; false where none can be had. */
-  boolean carry(RunnerRequest request) {
+  /** Hands a request to a connection of its runner; returns false if none is available. */
+  boolean submit(RunnerRequest request) {
     Link link = links.get(request.worker());
-    return link != null && (link.carry(request) || makeRoom() && link.carry(request));
+    return link != null && (link.submit(request) || freeDescriptor() && link.submit(request));
   }
 
   /**
-   * Where no descriptor is left, closes the connection that was idle longest: one that carries nothing is worth least.
-   * False where there is no need or nothing to close.
+   * If no descriptor is left, closes the connection that has been idle for longest, which is worth least. Returns false
+   * if descriptors are left or no connection is idle.
    */
-  private boolean makeRoom() {
+  private boolean freeDescriptor() {
     long now = Clock.micros();
     return settings.descriptors().availablePermits() == 0
         && links.values().stream()
-            .map(Link::idlest)
+            .map(Link::longestIdle)
             .filter(Objects::nonNull)
             .max((a, b) -> Long.compare(a.idle(now), b.idle(now)))
-            .map(LinkConnection::closeIfFree)
+            .map(LinkConnection::closeIfIdle)
             .orElse(false);
   }
 
-  /** Connections on which nothing is out. */
+  /** Open connections without requests in flight. */
   public List<IdleConnection> idleConnections(long now) {
     return links.values().stream()
         .flatMap(link -> link.idleConnections(now).stream())
         .toList();
   }
 
-  /** Stops an attempt; its end still comes. */
+  /** Cancels an attempt; its end is still reported. */
   public void cancel(NodeCall call, int number) {
-    AttemptRequest attempt = out.getOrDefault(call, Map.of()).get(number);
+    AttemptRequest attempt = inFlight.getOrDefault(call, Map.of()).get(number);
     if (attempt != null) {
       attempt.giveUp(Ending.CANCELLED);
     }
   }
 
   /**
-   * Orders copies held; the end comes by {@link Listener#loadEnded}.
+   * Orders a runner to hold copies of a function; the end is reported by {@link Listener#loadEnded}.
    *
-   * @param news how many news of the list were known when it was decided
+   * @param listUpdates number of list updates known when the order was decided
    */
-  public void load(String worker, String function, int copies, long news) {
+  public void load(String worker, String function, int copies, long listUpdates) {
     start(
-        new LoadOrder(this, "l" + tags.incrementAndGet(), worker, function, copies, news),
+        new LoadOrder(
+            this, "l" + lastOrderNumber.incrementAndGet(), worker, function, copies, listUpdates),
         limits.orderTimeout());
   }
 
-  void ended(AttemptRequest attempt, AttemptEnd<NodeCall> end) {
-    out.computeIfPresent(attempt.call(), (c, all) -> {
-      all.remove(attempt.number());
-      return all.isEmpty() ? null : all;
+  void attemptEnded(AttemptRequest attempt, AttemptEnd<NodeCall> end) {
+    inFlight.computeIfPresent(attempt.call(), (c, attempts) -> {
+      attempts.remove(attempt.number());
+      return attempts.isEmpty() ? null : attempts;
     });
     listener.attemptEnded(end);
   }
 
-  void loaded(Loaded loaded) {
+  void loadEnded(Loaded loaded) {
     listener.loadEnded(loaded);
   }
 
-  private void closed(boolean everOpen, String why) {
-    closes.count(everOpen ? why : "never came up");
+  private void countClose(boolean everOpen, String why) {
+    closeReasons.count(everOpen ? why : "never came up");
   }
 
-  /** Drops what belongs to runners that are gone and connections idle or stuck too long; called now and then. */
+  /** Closes connections that are idle or stuck for too long, and forgets runners that are gone; called periodically. */
   public void cleanUp() {
     long now = Clock.micros();
-    links.values().forEach(link -> link.check(now, STUCK));
-    leaving.forEach(link -> link.check(now, STUCK));
+    links.values().forEach(link -> link.closeIdleOrStuck(now, MAX_WRITE_MICROS));
+    retiredLinks.forEach(link -> link.closeIdleOrStuck(now, MAX_WRITE_MICROS));
     synchronized (gate) {
-      if (!mayForget) {
+      if (!cleanUpPending) {
         return;
       }
-      leaving.removeIf(Link::finished);
-      mayForget = !leaving.isEmpty();
-      Set<String> last = leaving.stream().map(Link::uid).collect(Collectors.toSet());
-      gate.retainWorkers(uid -> links.containsKey(uid) || last.contains(uid));
+      retiredLinks.removeIf(Link::isFinished);
+      cleanUpPending = !retiredLinks.isEmpty();
+      Set<String> retiring = retiredLinks.stream().map(Link::uid).collect(Collectors.toSet());
+      gate.retainWorkers(uid -> links.containsKey(uid) || retiring.contains(uid));
     }
   }
 
-  /** Connections, attempts out, and how connections ended, for the log. */
+  /** Runners, connections, calls in flight, and why connections were closed, for the log. */
   public String summary() {
-    int standing = links.values().stream().mapToInt(Link::standing).sum();
+    int connections = links.values().stream().mapToInt(Link::connectionCount).sum();
     synchronized (gate) {
-      return links.size() + " runners, " + standing + " connections, " + out.size()
-          + " calls out, ended " + closes + ", stopped at the last look " + gate.refusedCalls()
-          + " calls " + gate.refusedOrders() + " orders, held back " + heldBack
-          + ", looked again for a connection " + waits;
+      return links.size() + " runners, " + connections + " connections, " + inFlight.size()
+          + " calls out, ended " + closeReasons + ", stopped at the last look "
+          + gate.refusedCalls()
+          + " calls " + gate.refusedOrders() + " orders, held back " + denied
+          + ", looked again for a connection " + connectionRetries;
     }
   }
 
-  /** Runners that the list has, for tests. */
+  /** Ids of the runners on the list, for tests. */
   public Set<String> runners() {
     return Set.copyOf(links.keySet());
   }
 
-  /** Calls with an attempt out. */
+  /** Number of calls with an attempt in flight. */
   public int callsInFlight() {
-    return out.size();
+    return inFlight.size();
   }
 
   @Override
   public void close() {
     links.values().forEach(Link::close);
-    leaving.forEach(Link::close);
+    retiredLinks.forEach(Link::close);
   }
 }
--- a/node/src/main/java/gorseladder/node/runners/RunnerRequest.java
+++ b/node/src/main/java/gorseladder/node/runners/RunnerRequest.java
@@ -16,35 +16,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Something sent to a runner under an id that an answer may come for: an attempt or a load order. Its whole life stands
- * here, each step under its own lock: it is carried by one connection at a time, leaves at most once, and ends in
- * exactly one report. So an end and the leaving of its bytes cannot cross: whichever comes first, the other one sees
- * it.
+ * A request to a runner, answered under an id: an attempt or a load order. All its steps are made under its own lock:
+ * it is assigned to one connection at a time, sent at most once, and ends in exactly one report. So its end and the
+ * sending of its bytes cannot interleave: whichever comes first is visible to the other.
  *
- * <p>One that is given up after it left is reported once that is on the wire: until then it is out, and another attempt
- * of the same call would be a second one at a time.
+ * <p>The end of a request that is given up after it was sent is reported only once its halt is written. Until then it
+ * is in flight, and another attempt of the same call would run at the same time.
  *
- * <p>Lock order: the gate, then the request, then its call. Any thread.
+ * <p>Lock order: the gate, the request, its call. Thread safe.
  */
 abstract class RunnerRequest {
   private static final Logger LOG = LoggerFactory.getLogger(RunnerRequest.class);
-  /** Moves to another connection at the most: a peer that ends every connection must not be met again and again. */
-  private static final int MOST_MOVES = 3;
+  /** Limits how often a request moves to another connection, for a runner that closes every connection. */
+  private static final int MAX_MOVES = 3;
 
   final RunnerLinks links;
   private final String worker;
-  private final long began = Clock.micros();
+  private final long createdAt = Clock.micros();
   private Watchdog.Timer timer;
-  /** When its time is over. */
-  private long until = Long.MAX_VALUE / 2;
+  /** When the request times out. */
+  private long deadline = Long.MAX_VALUE / 2;
 
   private LinkConnection connection;
   private Progress progress = Progress.CONNECTING;
-  private long leftAt;
-  /** How many bytes its connection had written when the last of its own were; 0 before. */
+  private long sentAt;
+  /** Total bytes written on its connection up to the end of this request; 0 before it is written. */
   private volatile long writtenUpTo;
 
-  private int moves;
+  private int moveCount;
   private boolean ended;
 
   RunnerRequest(RunnerLinks links, String worker) {
@@ -56,138 +55,137 @@
     return worker;
   }
 
-  /** When it was given to the links. */
-  final long began() {
-    return began;
+  final long createdAt() {
+    return createdAt;
   }
 
-  /** When it left; 0 before. */
-  final synchronized long leftAt() {
-    return leftAt;
+  /** When sending began; 0 before. */
+  final synchronized long sentAt() {
+    return sentAt;
   }
 
-  /** Notes how many bytes its connection had written in all when the last of its own were. */
+  /** Records the total bytes written on its connection up to the end of this request. */
   final void writtenUpTo(long count) {
     writtenUpTo = count;
   }
 
-  /** That count; 0 before it was written. */
+  /** Total bytes written on its connection up to the end of this request; 0 before it is written. */
   final long writtenUpTo() {
     return writtenUpTo;
   }
 
-  /** How much time it has left. */
-  final synchronized long left(long now) {
-    return until - now;
+  /** The time until its deadline. */
+  final synchronized long remaining(long now) {
+    return deadline - now;
   }
 
-  /** The id that its answer comes under. */
+  /** The id that an answer refers to. */
   abstract String id();
 
-  /** About how many bytes it is. */
+  /** Approximate number of its bytes. */
   abstract int size();
 
-  /** The call it belongs to, or null. */
+  /** The call it belongs to; null for a load order. */
   abstract NodeCall call();
 
-  /** What a repeat of it does. */
+  /** What a repeat of the request does. */
   abstract Effect effect();
 
-  /** Asked last, with the gate's lock and its own held: whether it may leave. */
-  abstract Verdict mayLeave(long now);
+  /** The check just before sending; called with the gate's lock and its own held. */
+  abstract Verdict maySend(long now);
 
-  /** The bytes to write. */
-  abstract byte[] bytes(long now);
+  /** Returns the bytes to write. */
+  abstract byte[] encode(long now);
 
-  /** Its bytes were written; any thread. */
+  /** Called when its bytes were written; on any thread. */
   void written(long now) {
-    LOG.debug("request={} worker={} left {} us ago", id(), worker, now - leftAt());
+    LOG.debug("request={} worker={} left {} us ago", id(), worker, now - sentAt());
   }
 
-  /** What gives it up once it was written; null where nothing does. */
+  /** The command that cancels it after it was sent; null if it cannot be cancelled. */
   abstract byte[] halt();
 
-  /** An answer came for it; the outcome, or null where it cannot be read. */
+  /** The outcome that an answer means; null if the answer cannot be read. */
   abstract Outcome outcome(Answer answer);
 
-  /** Hears its end, once. {@code answer} is null where there was none. */
+  /** Reports its end, once. {@code answer} is null if there was none. */
   abstract void report(Outcome outcome, Answer answer);
 
-  /** Has it ended by its time at the latest. */
-  final synchronized void guard(Watchdog.Timer by, long at) {
-    timer = by;
-    until = at;
+  /** Sets the deadline and the timer that ends the request then. */
+  final synchronized void setDeadline(Watchdog.Timer timer, long deadline) {
+    this.timer = timer;
+    this.deadline = deadline;
     if (ended) {
-      by.cancel();
+      timer.cancel();
     }
   }
 
-  /** Names the connection that is to carry it, before it does; only that one may let it leave. */
-  final synchronized void on(LinkConnection carrier) {
+  /** Sets the connection that is to carry it, before the hand-over; only that one may send it. */
+  final synchronized void assignTo(LinkConnection carrier) {
     connection = carrier;
   }
 
-  final synchronized boolean over() {
+  final synchronized boolean isEnded() {
     return ended;
   }
 
   /**
-   * The last look of the connection that is about to write it: the bytes, or null. Nothing but the write comes after
-   * it.
+   * Makes the check just before sending, for the connection that is about to write the request. Returns the bytes, or
+   * null if it must not be sent; nothing but the write may follow the check.
    */
-  final byte[] take(LinkConnection by) {
+  final byte[] startSending(LinkConnection carrier) {
     Verdict verdict;
     long now;
     synchronized (links.gate()) {
       synchronized (this) {
-        if (ended || by != connection || progress != Progress.CONNECTING) {
+        if (ended || carrier != connection || progress != Progress.CONNECTING) {
           return null;
         }
         now = Clock.micros();
-        verdict = mayLeave(now);
+        verdict = maySend(now);
         if (verdict.allowed()) {
           progress = Progress.SENDING;
-          leftAt = now;
+          sentAt = now;
         }
       }
     }
     if (verdict.allowed()) {
-      return bytes(now);
+      return encode(now);
     }
     LOG.debug("request={} worker={} held back: {}", id(), worker, verdict.word());
-    links.heldBack(verdict);
+    links.countDenied(verdict);
     if (verdict == Verdict.CLIENT_UNSEEN) {
-      postpone(by);
+      postpone(carrier);
     } else {
       giveUp(AttemptOutcomes.endingOfDenied(verdict));
     }
     return null;
   }
 
-  /** Lets it leave a moment later, on whatever connection may carry it then. */
-  private void postpone(LinkConnection by) {
+  /** Tries to send it again later, on any connection. */
+  private void postpone(LinkConnection carrier) {
     synchronized (this) {
-      if (ended || by != connection) {
+      if (ended || carrier != connection) {
         return;
       }
       connection = null;
     }
-    by.drop(this);
+    carrier.drop(this);
     if (call() != null) {
-      call().release(by);
+      call().release(carrier);
     }
-    links.after(StallWatch.SETTLE_MICROS, () -> links.carryOrWait(this));
+    links.after(StallWatch.SETTLE_MICROS, () -> links.submitOrRetry(this));
   }
 
-  /** The answer; on the connection's thread. */
-  final void answered(Answer answer) {
+  /** Ends the request with its answer; called on the connection's thread. */
+  final void answerReceived(Answer answer) {
     Outcome outcome = outcome(answer);
     if (outcome == null) {
       giveUp(Ending.MALFORMED);
       return;
     }
     synchronized (this) {
-      if (!end()) {
+      if (!markEnded()) {
         return;
       }
     }
@@ -195,48 +193,51 @@
     report(outcome, answer);
   }
 
-  /** A connection that carried it ended. What was not written moves to another one: only the connection failed. */
-  final void broken(LinkConnection by, Ending ending) {
+  /**
+   * Called when a connection that carried it ends. What was not sent moves to another connection: only the connection
+   * failed.
+   */
+  final void connectionEnded(LinkConnection carrier, Ending ending) {
     boolean moves;
     synchronized (this) {
-      if (ended || by != connection) {
+      if (ended || carrier != connection) {
         return;
       }
       moves = progress == Progress.CONNECTING
           && ending != Ending.CONNECT_FAILED
-          && this.moves++ < MOST_MOVES;
+          && moveCount++ < MAX_MOVES;
       if (moves) {
         connection = null;
       }
     }
     if (moves && ending == Ending.NO_RESOURCE) {
-      links.waitToBeCarried(this, ending);
-    } else if (!moves || !links.carry(this)) {
+      links.retryLater(this, ending);
+    } else if (!moves || !links.submit(this)) {
       giveUp(ending);
     }
   }
 
-  /** Ends it without an answer: cancelled, out of time, or its connection broke. */
+  /** Ends it without an answer: cancelled, timed out, or its connection broke. */
   final void giveUp(Ending ending) {
     Outcome outcome;
     LinkConnection carrier;
-    boolean left;
+    boolean sent;
     synchronized (this) {
-      // How far it got and that it is over are one step: bytes that leave between the two would
-      // count as never sent.
-      if (!end()) {
+      // Progress is read in the same step that ends the request: bytes sent in between would count
+      // as never sent.
+      if (!markEnded()) {
         return;
       }
-      left = progress == Progress.SENDING;
+      sent = progress == Progress.SENDING;
       outcome = AttemptOutcomes.ofUnanswered(progress, ending);
       carrier = connection;
     }
     LOG.debug("request={} worker={} given up: {}, {}", id(), worker, ending, outcome);
-    if (carrier != null && left) {
+    if (carrier != null && sent) {
       carrier.abandon(
           this,
           halt(),
-          ConnectionChoice.remainsUsable(leftAt, carrier.heardAt(), Clock.micros()),
+          ConnectionChoice.remainsUsable(sentAt, carrier.heardAt(), Clock.micros()),
           () -> report(outcome, null));
       return;
     }
@@ -246,8 +247,8 @@
     report(outcome, null);
   }
 
-  /** The lock is held. */
-  private boolean end() {
+  /** Marks the request as ended; false if it already was. The caller holds the lock. */
+  private boolean markEnded() {
     if (ended) {
       return false;
     }
--- a/node/src/test/java/gorseladder/node/runners/RunnerRequestTest.java
+++ b/node/src/test/java/gorseladder/node/runners/RunnerRequestTest.java
@@ -46,7 +46,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The moments at which a request, its connection and its end can cross; a seam of the request holds each. */
+/** Races between a request, its connection and its end; hooks of the request fix the order of the steps. */
 class RunnerRequestTest {
   private static final long SECOND = 1_000_000;
 
@@ -54,11 +54,11 @@
   private Watchdog watchdog;
   private RunnerLinks links;
 
-  /** An request that does at each step what the test says. */
+  /** A request that runs a hook of the test at each step. */
   private class Probe extends RunnerRequest {
     final List<Outcome> ends = new ArrayList<>();
-    Runnable atSize = () -> {};
-    Runnable atLastLook = () -> {};
+    Runnable onSize = () -> {};
+    Runnable beforeSend = () -> {};
     int size = 10;
     byte[] halt;
 
@@ -73,7 +73,7 @@
 
     @Override
     int size() {
-      atSize.run();
+      onSize.run();
       return size;
     }
 
@@ -88,13 +88,13 @@
     }
 
     @Override
-    Verdict mayLeave(long now) {
-      atLastLook.run();
+    Verdict maySend(long now) {
+      beforeSend.run();
       return Verdict.ALLOWED;
     }
 
     @Override
-    byte[] bytes(long now) {
+    byte[] encode(long now) {
       return new byte[size];
     }
 
@@ -143,7 +143,7 @@
     return (InetSocketAddress) server.getLocalSocketAddress();
   }
 
-  /** A connection that nobody opens: what is put on it waits. */
+  /** A connection that is never opened: its queue is not written. */
   private LinkConnection connection() throws IOException {
     return new LinkConnection(address(), 250_000, 1 << 20, Runnable::run, (c, open, why) -> false);
   }
@@ -152,9 +152,9 @@
   void whatIsGivenUpAtTheLastLookCountsAsMayHaveRun() throws Exception {
     Probe request = new Probe();
     LinkConnection carrier = connection();
-    request.on(carrier);
+    request.assignTo(carrier);
     CountDownLatch looking = new CountDownLatch(1);
-    Thread gives = new Thread(() -> {
+    Thread canceller = new Thread(() -> {
       try {
         looking.await();
         request.giveUp(Ending.CANCELLED);
@@ -162,16 +162,16 @@
         Thread.currentThread().interrupt();
       }
     });
-    gives.start();
-    request.atLastLook = () -> {
+    canceller.start();
+    request.beforeSend = () -> {
       looking.countDown();
-      // Held here until the other thread stands at the lock, or has gone past it.
-      while (gives.getState() != Thread.State.BLOCKED && gives.isAlive()) {
+      // Waits until the other thread is blocked on the lock, or has passed it.
+      while (canceller.getState() != Thread.State.BLOCKED && canceller.isAlive()) {
         Thread.onSpinWait();
       }
     };
-    assertNotNull(request.take(carrier), "it leaves");
-    gives.join();
+    assertNotNull(request.startSending(carrier), "it was not sent");
+    canceller.join();
     assertEquals(List.of(Outcome.CANCELLED), request.ends);
     assertFalse(request.ends.get(0).neverRan);
   }
@@ -181,33 +181,33 @@
     Probe request = new Probe();
     LinkConnection first = connection();
     LinkConnection second = connection();
-    request.on(first);
-    request.on(second);
-    assertNull(request.take(first));
-    assertNotNull(request.take(second));
-    assertNull(request.take(second));
-    Probe given = new Probe();
-    given.on(first);
-    given.giveUp(Ending.CANCELLED);
-    assertNull(given.take(first));
-    assertEquals(List.of(Outcome.MOOT), given.ends);
+    request.assignTo(first);
+    request.assignTo(second);
+    assertNull(request.startSending(first));
+    assertNotNull(request.startSending(second));
+    assertNull(request.startSending(second));
+    Probe cancelled = new Probe();
+    cancelled.assignTo(first);
+    cancelled.giveUp(Ending.CANCELLED);
+    assertNull(cancelled.startSending(first));
+    assertEquals(List.of(Outcome.MOOT), cancelled.ends);
   }
 
-  /** The connection ends, and tells so, while the request is being put on it: it moves once, not twice. */
+  /** The connection is closed, and notifies the request, during the hand-over: the request moves once, not twice. */
   @Test
   void aConnectionThatEndsInTheHandOverSaysItOnce() throws Exception {
-    Probe blocks = new Probe();
-    blocks.size = 5 << 20;
+    Probe blocking = new Probe();
+    blocking.size = 5 << 20;
     Probe request = new Probe();
     LinkConnection carrier = connection();
-    blocks.on(carrier);
-    assertTrue(carrier.carry(blocks));
-    request.on(carrier);
+    blocking.assignTo(carrier);
+    assertTrue(carrier.submit(blocking));
+    request.assignTo(carrier);
     request.size = 5 << 20;
-    request.atSize = () -> carrier.close(Ending.BROKEN, "test");
+    request.onSize = () -> carrier.close(Ending.BROKEN, "test");
     assertTrue(
-        carrier.carry(request),
-        "its end has told of it; carrying it elsewhere too would send it twice");
+        carrier.submit(request),
+        "its close has notified the request; carrying it elsewhere too would send it twice");
     assertEquals(1, request.ends.size());
     assertTrue(request.ends.get(0).neverRan);
   }
@@ -216,57 +216,57 @@
   void whatIsGivenUpInTheHandOverStaysNowhere() throws Exception {
     Probe request = new Probe();
     LinkConnection carrier = connection();
-    request.on(carrier);
-    request.atSize = () -> request.giveUp(Ending.CANCELLED);
-    assertTrue(carrier.carry(request));
-    assertEquals(0, carrier.carrying());
-    Probe before = new Probe();
-    before.on(carrier);
-    before.giveUp(Ending.TIMED_OUT);
-    assertTrue(carrier.carry(before));
-    assertEquals(0, carrier.carrying());
+    request.assignTo(carrier);
+    request.onSize = () -> request.giveUp(Ending.CANCELLED);
+    assertTrue(carrier.submit(request));
+    assertEquals(0, carrier.requestsInFlight());
+    Probe endedBefore = new Probe();
+    endedBefore.assignTo(carrier);
+    endedBefore.giveUp(Ending.TIMED_OUT);
+    assertTrue(carrier.submit(endedBefore));
+    assertEquals(0, carrier.requestsInFlight());
   }
 
   /**
-   * Until its halt is on the wire, or the connection has ended, what was given up is out: a second attempt would be one
-   * too many.
+   * A request that was given up is in flight until its halt is written or the connection is closed: before that, a
+   * second attempt would run at the same time.
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void theEndOfWhatLeftIsToldOnceItIsOnTheWire(boolean written) throws Exception {
-    ConcurrentLinkedQueue<Runnable> held = new ConcurrentLinkedQueue<>();
-    AtomicBoolean holds = new AtomicBoolean();
+    ConcurrentLinkedQueue<Runnable> heldTasks = new ConcurrentLinkedQueue<>();
+    AtomicBoolean hold = new AtomicBoolean();
     Executor writers = task -> {
-      if (holds.get()) {
-        held.add(task);
+      if (hold.get()) {
+        heldTasks.add(task);
       } else {
         task.run();
       }
     };
     LinkConnection carrier =
         new LinkConnection(address(), 250_000, 1 << 20, writers, (c, open, why) -> false);
-    Thread runs = new Thread(carrier::run);
-    runs.setDaemon(true);
-    runs.start();
+    Thread reader = new Thread(carrier::run);
+    reader.setDaemon(true);
+    reader.start();
     Probe request = new Probe();
     request.halt = new byte[] {'h'};
-    // So much that its halt is not written at once by the thread that gives it up.
+    // Large enough that the thread that gives it up does not write the halt itself.
     request.size = 9_000;
-    request.on(carrier);
-    assertTrue(carrier.carry(request));
+    request.assignTo(carrier);
+    assertTrue(carrier.submit(request));
     try (Socket runner = server.accept()) {
       assertEquals(request.size, runner.getInputStream().readNBytes(request.size).length);
-      // The connection's own thread may still be in the write that this came from, and would take
-      // the halt along.
+      // The connection's thread may still be in the write of the request, and would write the halt
+      // too.
       while (carrier.hasUnwritten()) {
         Thread.onSpinWait();
       }
-      holds.set(true);
+      hold.set(true);
       request.giveUp(Ending.CANCELLED);
       assertEquals(List.of(), request.ends, "its halt waits to be written");
-      holds.set(false);
+      hold.set(false);
       if (written) {
-        held.forEach(Runnable::run);
+        heldTasks.forEach(Runnable::run);
         assertEquals('h', runner.getInputStream().read());
       } else {
         carrier.close(Ending.BROKEN, "test");
@@ -276,27 +276,28 @@
   }
 
   /**
-   * Guards against requests that wait for the turn of another thread: with little processor that takes hundreds of
-   * milliseconds. No writer runs here; what was answered has been read, so that more may follow.
+   * Guards against requests that wait for a turn of another thread, which takes hundreds of milliseconds on a busy
+   * processor. No writer thread runs here; an answer shows that the runner has read the request, so that the adding
+   * thread may write the next one.
    */
   @Test
   void aRequestLeavesThoughNoWriterRuns() throws Exception {
     LinkConnection carrier =
         new LinkConnection(address(), 250_000, 1 << 20, task -> {}, (c, open, why) -> false);
-    Thread runs = new Thread(carrier::run);
-    runs.setDaemon(true);
-    runs.start();
+    Thread reader = new Thread(carrier::run);
+    reader.setDaemon(true);
+    reader.start();
     try (Socket runner = server.accept()) {
       runner.setSoTimeout(2_000);
       for (int i = 0; i < 10; i++) {
         Probe request = new Probe();
         request.size = 4_000;
-        request.on(carrier);
-        assertTrue(carrier.carry(request));
+        request.assignTo(carrier);
+        assertTrue(carrier.submit(request));
         assertEquals(request.size, runner.getInputStream().readNBytes(request.size).length);
         runner.getOutputStream().write((request.id() + " ok - 0\r\n\r\n").getBytes(US_ASCII));
         assertTimeoutPreemptively(Duration.ofSeconds(2), () -> {
-          while (carrier.carrying() > 0) {
+          while (carrier.requestsInFlight() > 0) {
             Thread.onSpinWait();
           }
         });
@@ -306,21 +307,21 @@
     }
   }
 
-  /** A runner that does not read holds up no thread that hands a request over. */
+  /** A runner that does not read blocks no thread that adds a request. */
   @Test
   void whatARunnerLeavesUnreadHoldsUpNobody() throws Exception {
     LinkConnection carrier =
         new LinkConnection(address(), 250_000, 1 << 20, task -> {}, (c, open, why) -> false);
-    Thread runs = new Thread(carrier::run);
-    runs.setDaemon(true);
-    runs.start();
+    Thread reader = new Thread(carrier::run);
+    reader.setDaemon(true);
+    reader.start();
     try (Socket runner = server.accept()) {
       assertTimeoutPreemptively(Duration.ofSeconds(5), () -> {
         for (int i = 0; i < 2_000; i++) {
           Probe request = new Probe();
           request.size = 2_000;
-          request.on(carrier);
-          assertTrue(carrier.carry(request));
+          request.assignTo(carrier);
+          assertTrue(carrier.submit(request));
         }
       });
     } finally {
@@ -328,7 +329,7 @@
     }
   }
 
-  /** Guards against answers without an end whose sum over all connections has no bound. */
+  /** Guards against unfinished answers whose total over all connections has no limit. */
   @Test
   void unfinishedAnswersOfAllConnectionsShareOneBound() throws Exception {
     server.setSoTimeout(5_000);
@@ -342,7 +343,7 @@
           250_000,
           1 << 20,
           Runnable::run,
-          new AnswerBytes(budget, () -> endsLargest(connections)),
+          new AnswerMemory(budget, () -> closesLargest(connections)),
           (c, open, why) -> false,
           SocketChannel::open);
       connections.add(connection);
@@ -354,27 +355,27 @@
     }
     int ended = 0;
     for (Socket runner : runners) {
-      ended += endsWithin(runner, 500) ? 1 : 0;
+      ended += isClosedWithin(runner, 500) ? 1 : 0;
       assertTrue(budget.used() <= budget.limit(), budget.used() + " bytes");
     }
-    assertTrue(ended >= 1, "all of them are kept");
-    assertTrue(budget.used() > 0, "the others are kept");
+    assertTrue(ended >= 1, "no connection was closed");
+    assertTrue(budget.used() > 0, "no unfinished answer is left");
     for (Socket runner : runners) {
       runner.close();
     }
   }
 
-  private static boolean endsLargest(List<LinkConnection> connections) {
-    LinkConnection largest = LinkConnection.keepsMost(connections.stream());
+  private static boolean closesLargest(List<LinkConnection> connections) {
+    LinkConnection largest = LinkConnection.withMostAnswerBytes(connections.stream());
     largest.close(Ending.BROKEN, "no room");
     return largest.answerBytes() == 0;
   }
 
-  private static boolean endsWithin(Socket runner, int millis) throws IOException {
+  private static boolean isClosedWithin(Socket runner, int millis) throws IOException {
     runner.setSoTimeout(millis);
     try {
       while (runner.getInputStream().read() >= 0) {
-        // What was asked on it.
+        // Discards the requests.
       }
       return true;
     } catch (SocketTimeoutException e) {
--- a/node/src/test/java/gorseladder/node/runners/ThreadShortageTest.java
+++ b/node/src/test/java/gorseladder/node/runners/ThreadShortageTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The system has no thread left for a moment (pthread_create ends with EAGAIN): Java tells it as an OutOfMemoryError.
+ * The system has no thread left for a while (pthread_create fails with EAGAIN); Java reports it as an OutOfMemoryError.
  */
 class ThreadShortageTest {
   private static final long SECOND = 1_000_000;
@@ -42,8 +42,7 @@
   }
 
   /**
-   * A connection whose thread could not be started is no connection: nothing is sent there, and its descriptor is given
-   * back.
+   * A connection whose thread could not be started is discarded: nothing is sent on it, and its descriptor is released.
    */
   @Test
   void aConnectionWithoutAThreadIsNotKept() throws Exception {
@@ -68,19 +67,19 @@
           }),
           Runnable::run,
           (everOpen, why) -> {},
-          () -> new AnswerBytes(new ByteBudget(1 << 20), () -> false),
+          () -> new AnswerMemory(new ByteBudget(1 << 20), () -> false),
           line -> {});
       Link link = new Link("r", (InetSocketAddress) server.getLocalSocketAddress(), settings);
       LoadOrder order = new LoadOrder(null, "l1", "r", "f", 1, 0);
-      assertEquals(false, link.carry(order), "there was no connection to carry it");
-      assertEquals(0, link.standing());
+      assertEquals(false, link.submit(order), "there was no connection to carry it");
+      assertEquals(0, link.connectionCount());
       assertEquals(DESCRIPTORS, descriptors.availablePermits());
       link.close();
       assertEquals(DESCRIPTORS, descriptors.availablePermits());
     }
   }
 
-  /** The core's thread goes on where what it carries out fails for want of a thread. */
+  /** The core's thread continues if a command that it executes fails for lack of a thread. */
   @Test
   void theCoreOutlivesAShortageWhileItCarriesOut() throws Exception {
     RequestClass safe =
--- a/soak/src/main/java/gorseladder/soak/PlantedFault.java
+++ b/soak/src/main/java/gorseladder/soak/PlantedFault.java
@@ -55,8 +55,8 @@
   TOO_MUCH_TIME_PASSED(
       SoakRule.DEADLINE,
       "node/src/main/java/gorseladder/node/runners/AttemptRequest.java",
-      "timePassed = Math.max(1, (until - now) / 1000);",
-      "timePassed = Math.max(1, (until - now) / 1000) + 400;",
+      "timeoutMillis = Math.max(1, (deadline - now) / 1000);",
+      "timeoutMillis = Math.max(1, (deadline - now) / 1000) + 400;",
       Trouble.PIECES),
   NEVER_READY(
       SoakRule.READY,
@@ -110,8 +110,8 @@
   SEEN_BY_ITSELF(
       SoakRule.LOG,
       "node/src/main/java/gorseladder/node/runners/AttemptRequest.java",
-      "timePassed = Math.max(1, (until - now) / 1000);",
-      "timePassed = Math.max(1, (until - now) / 1000) + 400;",
+      "timeoutMillis = Math.max(1, (deadline - now) / 1000);",
+      "timeoutMillis = Math.max(1, (deadline - now) / 1000) + 400;",
       Trouble.PIECES);
 
   private static final long SECONDS = 9;
