--- a/node/src/main/java/gorseladder/node/changelog/ChangeLogFollower.java
+++ b/node/src/main/java/gorseladder/node/changelog/ChangeLogFollower.java
@@ -6,7 +6,7 @@
 import gorseladder.follow.FeedAttempts;
 import gorseladder.follow.FollowPace;
 import gorseladder.node.changelog.ListedRunners.Change;
-import gorseladder.node.changelog.ListedRunners.Listed;
+import gorseladder.node.changelog.ListedRunners.ListedRunner;
 import gorseladder.runtime.Clock;
 import gorseladder.runtime.Counts;
 import gorseladder.runtime.Threads;
@@ -24,57 +24,64 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the change log: asks for every event after the last one it has, again where the connection breaks, falls
- * silent, or leaves a number out; {@link FeedAttempts} says when, on how many connections, and which of them are let
- * go. Half events are dropped and doubled ones skipped. What cannot be read again and again is passed over, so that
- * what comes after it is heard. While the log is away the list that is known stays in force.
+ * Follows the change log: requests every event after the last one received, and requests it again if the connection
+ * breaks, becomes silent or omits a number. {@link FeedAttempts} decides when to connect, on how many connections, and
+ * which of them are closed. Incomplete events are dropped and repeated ones skipped. Content that is unusable again and
+ * again is skipped, so that the events after it are received. While the log is unavailable, the known list remains in
+ * force.
  *
- * <p>A few threads of its own, all started with it: a connection each, and one that waits for the next turn. Lines are
- * applied under this object's lock, in the order of their numbers. {@link #moveTo} and what is asked for logs may be
- * called by any thread.
+ * <p>All threads are started with the follower: one for each connection, and one that waits for the next attempt. Lines
+ * are applied under the lock of this object, in the order of their numbers. {@link #moveTo} and the methods for the log
+ * may be called by any thread.
  */
 public final class ChangeLogFollower implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(ChangeLogFollower.class);
-  private static final int MOST_LINE = 4 << 20;
-  private static final int READ = 8_192;
-  /** A connection that is not let go before gets so long to come up. */
+  private static final int MAX_LINE_BYTES = 4 << 20;
+  private static final int READ_BUFFER_BYTES = 8_192;
+  /** Limits the time to connect, unless the connection is closed earlier. */
   private static final int CONNECT_MILLIS = 30_000;
-  /** What cannot be read is asked for so often, and for so long, before it is passed over. */
-  private static final int PASS_OVER_AFTER = 3;
+  /**
+   * Unusable content is requested again this many times, and for {@link #MIN_SKIP_DELAY_MICROS}, before it is skipped.
+   */
+  private static final int RETRIES_BEFORE_SKIP = 3;
 
-  private static final long PASS_OVER_FOR = 1_000_000;
-  /** Without a word for so long, a line says so; and each time the silence has doubled since. */
-  private static final long SILENT = 4_000_000;
-  /** Lines of one event that name a runner. */
-  private static final int MOST_LINES = 16;
+  private static final long MIN_SKIP_DELAY_MICROS = 1_000_000;
+  /** A warning is logged after this time without any line, and each time the silence has doubled since. */
+  private static final long SILENCE_WARNING_MICROS = 4_000_000;
+  /** Maximum number of log lines about the runners of one event. */
+  private static final int MAX_RUNNER_LINES = 16;
 
-  /** Who hears the list. */
+  /** Receives the list of runners. */
   public interface Listener {
-    /** One runner, told before {@link #listChanged}; {@code at} is when the bytes that say so had arrived. */
+    /**
+     * Reports one runner, before {@link #listChanged}.
+     *
+     * @param at when the bytes of the event arrived
+     */
     void runnerChanged(WorkerEntry entry, InetSocketAddress address, long at);
 
-    /** News of the list. */
-    void listChanged(WorkerListUpdate workers);
+    /** Reports an update of the list. */
+    void listChanged(WorkerListUpdate update);
   }
 
-  /** One connection. Its fields are the follower's lock's, but for the socket, which its thread uses. */
+  /** One connection. Its fields are guarded by the follower's lock, except the socket, which its thread uses. */
   private static final class Connection {
     private final long number;
     private final InetSocketAddress address;
     private final Socket socket = new Socket();
-    private final long begunAt;
-    private boolean news;
-    private boolean tells;
-    private boolean passesOver;
+    private final long startedAt;
+    private boolean receivedEvent;
+    private boolean receivedLine;
+    private boolean skipsUnusable;
 
-    private Connection(long number, InetSocketAddress address, long begunAt) {
+    private Connection(long number, InetSocketAddress address, long startedAt) {
       this.number = number;
       this.address = address;
-      this.begunAt = begunAt;
+      this.startedAt = startedAt;
     }
   }
 
-  /** A line that ends its connection. */
+  /** Thrown for a line that ends its connection. */
   private static final class UnusableLine extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
@@ -90,143 +97,148 @@
   private final Counts ends = new Counts();
   private InetSocketAddress address;
   private boolean stopped;
-  private long last;
-  /** When the log last told that nothing beyond what is known had happened. */
-  private long currentAt;
+  private long lastSeq;
+  /** When the log last confirmed that there are no events beyond the known ones. */
+  private long upToDateAt;
 
   private long heardAt;
-  private boolean silent;
-  private long silenceTold;
+  private boolean silenceReported;
+  private long reportedSilence;
   private long endsSinceHeard;
   private long unreadable;
-  private long passedOver;
-  /** After which event something could not be used, since when, and how often. */
-  private long stuckAfter = -1;
+  private long skipped;
+  /** The event after which content was unusable, since when, and how often. */
+  private long unusableAfter = -1;
 
-  private long stuckSince;
-  private int stuckTimes;
+  private long unusableSince;
+  private int unusableCount;
 
-  /** A follower that begins with {@link #start}. */
+  /** Creates a follower; it connects after {@link #start}. */
   public ChangeLogFollower(InetSocketAddress address, long seed, Listener listener) {
     this.address = address;
     this.attempts = new FeedAttempts(seed);
     this.listener = listener;
   }
 
-  /** Tells the events known at the start, as one list, and begins to follow the log from there. */
+  /**
+   * Reports the events known at the start as one list, and begins to follow the log after them.
+   *
+   * @param knownSeq number of the last known event
+   * @param known the known events
+   */
   public synchronized void start(long knownSeq, List<ChangeLine> known, int stackBytes) {
-    currentAt = Clock.micros();
-    heardAt = currentAt;
+    upToDateAt = Clock.micros();
+    heardAt = upToDateAt;
     for (ChangeLine line : known) {
       if (line.fleet() != null) {
-        noteUnreadable(line.seq(), listed.apply(line.fleet(), StartTimes.ALWAYS_LISTED));
+        recordUnreadable(line.seq(), listed.apply(line.fleet(), StartTimes.ALWAYS_LISTED));
       }
-      last = Math.max(last, line.seq());
+      lastSeq = Math.max(lastSeq, line.seq());
     }
-    last = Math.max(last, knownSeq);
-    tell(listed.asSaved(), currentAt);
+    lastSeq = Math.max(lastSeq, knownSeq);
+    publish(listed.savedList(), upToDateAt);
     for (int i = 0; i <= FeedAttempts.MAX_CONNECTIONS; i++) {
-      Threads.start("changelog", stackBytes, this::follow);
+      Threads.start("changelog", stackBytes, this::openConnections);
     }
   }
 
-  /** Follows the log at another address from now on, from the last number on. */
+  /** Follows the log at another address from now on, after the last event received. */
   public synchronized void moveTo(InetSocketAddress next) {
-    LOG.info("change log: moves from {} to {} after event {}", address, next, last);
+    LOG.info("change log: moves from {} to {} after event {}", address, next, lastSeq);
     address = next;
     attempts.addressChanged();
     notifyAll();
   }
 
-  /** The address that is followed. */
+  /** The address of the log. */
   public synchronized InetSocketAddress address() {
     return address;
   }
 
-  /** True while the log tells something, if only that nothing happened. */
+  /** Whether the log has sent anything lately, if only that nothing happened. */
   public synchronized boolean isReceiving() {
     return Clock.micros() - heardAt < FollowPace.SILENCE_MICROS;
   }
 
-  // ---- connections, each on a thread of its own
+  // ---- connections, each on its own thread
 
-  private void follow() {
+  private void openConnections() {
     try {
-      for (Connection c = next(); c != null; c = next()) {
+      for (Connection c = awaitNext(); c != null; c = awaitNext()) {
         Connection connection = c;
-        Threads.guarded("changelog", () -> use(connection));
+        Threads.guarded("changelog", () -> runConnection(connection));
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Waits for the time of the next connection; null once closed. */
-  private synchronized Connection next() throws InterruptedException {
+  /** Waits until the next connection is due; returns null once closed. */
+  private synchronized Connection awaitNext() throws InterruptedException {
     while (!stopped) {
       long now = Clock.micros();
       long wait = attempts.nextAt(now) - now;
       if (wait <= 0) {
-        return begin(now);
+        return startConnection(now);
       }
       wait(1 + wait / 1_000);
     }
     return null;
   }
 
-  private Connection begin(long now) {
+  private Connection startConnection(long now) {
     FeedAttempts.Started started = attempts.begin(now);
     if (started.evicted() != 0) {
-      letGo(started.evicted(), "silent");
+      closeConnection(started.evicted(), "silent");
     }
     Connection connection = new Connection(started.number(), address, now);
     connections.put(connection.number, connection);
     return connection;
   }
 
-  private void use(Connection c) {
+  private void runConnection(Connection c) {
     String why = "closed by the log";
     try (Socket socket = c.socket) {
       socket.connect(c.address, CONNECT_MILLIS);
       socket.setTcpNoDelay(true);
-      socket.getOutputStream().write(ChangeLine.since(last()));
+      socket.getOutputStream().write(ChangeLine.since(lastSeq()));
       read(c);
     } catch (IOException | RuntimeException | Error e) {
       why = e instanceof UnusableLine ? e.getMessage() : e.toString();
     } finally {
-      ended(c, why);
+      connectionEnded(c, why);
     }
   }
 
-  private synchronized long last() {
-    return last;
+  private synchronized long lastSeq() {
+    return lastSeq;
   }
 
   private void read(Connection c) throws IOException {
     InputStream in = c.socket.getInputStream();
-    LineParser lines = new LineParser(MOST_LINE);
-    byte[] buffer = new byte[READ];
+    LineParser lines = new LineParser(MAX_LINE_BYTES);
+    byte[] buffer = new byte[READ_BUFFER_BYTES];
     for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
       long at = Clock.micros();
-      lines.feed(buffer, 0, count, line -> line(c, line, at));
+      lines.feed(buffer, 0, count, line -> lineReceived(c, line, at));
     }
   }
 
-  private synchronized void ended(Connection c, String why) {
-    boolean stood = connections.remove(c.number) != null;
-    attempts.ended(c.number, c.news, Clock.micros());
-    if (stood && !stopped) {
-      noteEnd(c, why);
+  private synchronized void connectionEnded(Connection c, String why) {
+    boolean wasOpen = connections.remove(c.number) != null;
+    attempts.ended(c.number, c.receivedEvent, Clock.micros());
+    if (wasOpen && !stopped) {
+      recordEnd(c, why);
     }
     notifyAll();
   }
 
-  private void letGo(long number, String why) {
+  private void closeConnection(long number, String why) {
     Connection c = connections.remove(number);
     if (c == null) {
       return;
     }
-    noteEnd(c, why);
+    recordEnd(c, why);
     try {
       c.socket.close();
     } catch (IOException e) {
@@ -234,16 +246,16 @@
     }
   }
 
-  /** A line for the first end since the log was heard, and then for each power of two. */
-  private void noteEnd(Connection c, String why) {
-    ends.count(c.tells ? "after it told" : "before it told");
+  /** Counts a closed connection; logs the first since the last line from the log, and then each power of two. */
+  private void recordEnd(Connection c, String why) {
+    ends.count(c.receivedLine ? "after it told" : "before it told");
     endsSinceHeard++;
     if (Long.bitCount(endsSinceHeard) == 1) {
       LOG.info(
           "change log: connection {} to {} ended after {} ms ({} since the log was last heard): {}",
           c.number,
           c.address,
-          (Clock.micros() - c.begunAt) / 1_000,
+          (Clock.micros() - c.startedAt) / 1_000,
           endsSinceHeard,
           why);
     }
@@ -251,7 +263,7 @@
 
   // ---- lines, under the lock
 
-  private synchronized void line(Connection c, byte[] text, long at) {
+  private synchronized void lineReceived(Connection c, byte[] text, long at) {
     if (stopped || !connections.containsKey(c.number)) {
       return;
     }
@@ -259,23 +271,24 @@
     try {
       change = ChangeLine.read(text);
     } catch (RuntimeException e) {
-      cannotUse(c, at, "a line that cannot be read: " + e.getMessage());
+      handleUnusable(c, at, "a line that cannot be read: " + e.getMessage());
       unreadable++;
       return;
     }
     listed.observeClocks();
-    // A beat past the last event, or an event past the next one, says that one was missed.
-    if (change.seq() > (change.isEvent() ? last + 1 : last)) {
-      cannotUse(c, at, "number " + change.seq() + " after " + last);
-      passedOver += change.seq() - last - (change.isEvent() ? 1 : 0);
-      last = change.isEvent() ? change.seq() - 1 : change.seq();
+    // A heartbeat beyond the last event, or an event beyond the next one, shows that one was
+    // missed.
+    if (change.seq() > (change.isEvent() ? lastSeq + 1 : lastSeq)) {
+      handleUnusable(c, at, "number " + change.seq() + " after " + lastSeq);
+      skipped += change.seq() - lastSeq - (change.isEvent() ? 1 : 0);
+      lastSeq = change.isEvent() ? change.seq() - 1 : change.seq();
     }
-    heard(c, change.seq(), at);
-    long absentAt = currentAt;
-    currentAt = at;
-    if (change.isEvent() && change.seq() > last) {
-      last = change.seq();
-      c.news = true;
+    recordLine(c, change.seq(), at);
+    long absentAt = upToDateAt;
+    upToDateAt = at;
+    if (change.isEvent() && change.seq() > lastSeq) {
+      lastSeq = change.seq();
+      c.receivedEvent = true;
       if (change.fleet() != null) {
         apply(change, c, absentAt, at);
       }
@@ -283,76 +296,77 @@
   }
 
   /**
-   * Something on a connection cannot be used. At first it is asked for again, since it may have been spoilt on its way;
-   * where it stays so, it is passed over.
+   * Handles unusable content. At first it is requested again, since it may have been corrupted in transit; if it
+   * remains unusable, it is skipped.
    *
-   * @throws UnusableLine where the connection has to end
+   * @throws UnusableLine if the connection has to end
    */
-  private void cannotUse(Connection c, long at, String what) {
-    if (c.passesOver) {
+  private void handleUnusable(Connection c, long at, String what) {
+    if (c.skipsUnusable) {
       return;
     }
-    if (stuckAfter != last) {
-      stuckAfter = last;
-      stuckSince = at;
-      stuckTimes = 0;
+    if (unusableAfter != lastSeq) {
+      unusableAfter = lastSeq;
+      unusableSince = at;
+      unusableCount = 0;
     }
-    stuckTimes++;
-    if (stuckTimes <= PASS_OVER_AFTER || at - stuckSince < PASS_OVER_FOR) {
+    unusableCount++;
+    if (unusableCount <= RETRIES_BEFORE_SKIP || at - unusableSince < MIN_SKIP_DELAY_MICROS) {
       throw new UnusableLine(what);
     }
-    c.passesOver = true;
-    LOG.warn("change log: passed over after event {}, told {} times: {}", last, stuckTimes, what);
+    c.skipsUnusable = true;
+    LOG.warn(
+        "change log: passed over after event {}, told {} times: {}", lastSeq, unusableCount, what);
   }
 
-  private void heard(Connection c, long seq, long at) {
+  private void recordLine(Connection c, long seq, long at) {
     attempts
-        .lineReceived(c.number, seq, last, at)
-        .forEach(other -> letGo(other, "another one tells"));
-    if (seq < last) {
+        .lineReceived(c.number, seq, lastSeq, at)
+        .forEach(other -> closeConnection(other, "another one tells"));
+    if (seq < lastSeq) {
       return;
     }
-    if (!c.tells || silent) {
+    if (!c.receivedLine || silenceReported) {
       LOG.info(
           "change log: {} tells on connection {}, {} ms after it began; event {}, {} ms after it was last heard",
           c.address,
           c.number,
-          (at - c.begunAt) / 1_000,
+          (at - c.startedAt) / 1_000,
           seq,
           (at - heardAt) / 1_000);
     }
-    c.tells = true;
+    c.receivedLine = true;
     heardAt = at;
     endsSinceHeard = 0;
-    silent = false;
+    silenceReported = false;
   }
 
-  private void apply(ChangeLine change, Connection from, long absentAt, long at) {
+  private void apply(ChangeLine event, Connection from, long absentAt, long at) {
     Map<String, Phase> before = new HashMap<>();
-    for (Map<String, Object> target : change.fleet().targets()) {
+    for (Map<String, Object> target : event.fleet().targets()) {
       String uid = String.valueOf(target.get("uid"));
       before.put(uid, listed.phase(uid));
     }
-    Change news = listed.apply(change.fleet(), absentAt);
-    noteUnreadable(change.seq(), news);
-    tell(news, at);
+    Change change = listed.apply(event.fleet(), absentAt);
+    recordUnreadable(event.seq(), change);
+    publish(change, at);
     int lines = 0;
-    for (Listed one : news.told()) {
+    for (ListedRunner one : change.runners()) {
       Phase phase = one.entry().phase();
       String uid = one.entry().worker();
       if (phase == Phase.RUNNING && before.get(uid) == null && one.entry().startedAt() > 0) {
-        noteStart(one, change.seq(), absentAt, at);
+        logStart(one, event.seq(), absentAt, at);
       }
-      if (phase != Phase.RUNNING && phase != before.get(uid) && lines++ < MOST_LINES) {
-        LOG.info("runner {} is {}, told by event {} of {}", uid, phase, change.seq(), from.address);
+      if (phase != Phase.RUNNING && phase != before.get(uid) && lines++ < MAX_RUNNER_LINES) {
+        LOG.info("runner {} is {}, told by event {} of {}", uid, phase, event.seq(), from.address);
       }
     }
-    if (lines > MOST_LINES) {
-      LOG.info("and {} runners more, told by event {}", lines - MOST_LINES, change.seq());
+    if (lines > MAX_RUNNER_LINES) {
+      LOG.info("and {} runners more, told by event {}", lines - MAX_RUNNER_LINES, event.seq());
     }
   }
 
-  private static void noteStart(Listed runner, long seq, long absentAt, long at) {
+  private static void logStart(ListedRunner runner, long seq, long absentAt, long at) {
     LOG.info(
         "runner {} counts as started {} ms ago, told by event {}; the list was without it {} ms ago",
         runner.entry().worker(),
@@ -361,45 +375,47 @@
         (at - absentAt) / 1_000);
   }
 
-  private void tell(Change news, long at) {
-    news.told().forEach(one -> listener.runnerChanged(one.entry(), one.address(), at));
-    listener.listChanged(news.workers());
+  private void publish(Change change, long at) {
+    change.runners().forEach(one -> listener.runnerChanged(one.entry(), one.address(), at));
+    listener.listChanged(change.listUpdate());
   }
 
-  private void noteUnreadable(long seq, Change news) {
-    if (!news.unreadable().isEmpty()) {
-      unreadable += news.unreadable().size();
+  private void recordUnreadable(long seq, Change change) {
+    if (!change.unreadable().isEmpty()) {
+      unreadable += change.unreadable().size();
       LOG.warn(
           "change log: event {} has {} entries that cannot be read, the first one {}",
           seq,
-          news.unreadable().size(),
-          news.unreadable().get(0));
+          change.unreadable().size(),
+          change.unreadable().get(0));
     }
   }
 
   // ---- for the log
 
-  /** Says so where nothing was heard for long; called now and then. */
+  /** Logs a warning if the log has been silent for long; called periodically. */
   public synchronized void warnIfSilent() {
     long silence = Clock.micros() - heardAt;
-    if (stopped || silence < SILENT || silent && silence < 2 * silenceTold) {
+    if (stopped
+        || silence < SILENCE_WARNING_MICROS
+        || silenceReported && silence < 2 * reportedSilence) {
       return;
     }
-    silent = true;
-    silenceTold = silence;
+    silenceReported = true;
+    reportedSilence = silence;
     LOG.warn("change log: {}", describe());
   }
 
-  /** What is believed of the list, since when, by whom it was told and when that was last heard. */
+  /** The last known event, when the log was last heard, and counts of connections and of unusable content. */
   public synchronized String summary() {
     return describe();
   }
 
   private String describe() {
-    return address + " is followed, last event " + last + ", last heard "
+    return address + " is followed, last event " + lastSeq + ", last heard "
         + (Clock.micros() - heardAt) / 1_000 + " ms ago, " + connections.size()
         + " connections, ended " + ends + ", unreadable " + unreadable + ", passed over "
-        + passedOver;
+        + skipped;
   }
 
   @Override
--- a/node/src/main/java/gorseladder/node/changelog/ListedRunners.java
+++ b/node/src/main/java/gorseladder/node/changelog/ListedRunners.java
@@ -21,31 +21,31 @@
 import java.util.Set;
 
 /**
- * The runners that the change log told of, and what an event makes of them. An entry that cannot be read changes
- * nothing but what can be read of it: that its runner drains or is gone holds, whatever else is wrong with it.
+ * The runners that the change log has listed. If an entry of an event is malformed, only its readable part is applied:
+ * a reported drain or end of its runner takes effect whatever else is wrong with the entry.
  *
- * <p>Guards against one entry that hides all others of its event. It could harm where an unreadable entry means a new
- * runner: that one is not used until it is told again.
+ * <p>Without this, one malformed entry would hide all others of its event. The drawback: if the malformed entry means a
+ * new runner, that runner is not used until it is listed again.
  *
  * <p>Not thread safe.
  */
 final class ListedRunners {
-  /** What is known of a runner; the address is null where none was told. */
-  record Listed(WorkerEntry entry, InetSocketAddress address) {}
+  /** A listed runner; the address is null if none was given. */
+  record ListedRunner(WorkerEntry entry, InetSocketAddress address) {}
 
   /**
-   * What an event says.
+   * The effect of an event.
    *
-   * @param told each runner that it names or, by a whole list, leaves out
-   * @param workers the same as news of the list
-   * @param unreadable why entries were passed over, or read in part
+   * @param runners each runner that the event names or, as a full list, omits
+   * @param listUpdate the same as an update of the list
+   * @param unreadable why entries were skipped, or read only in part
    */
-  record Change(List<Listed> told, WorkerListUpdate workers, List<String> unreadable) {}
+  record Change(List<ListedRunner> runners, WorkerListUpdate listUpdate, List<String> unreadable) {}
 
   private final StartTimes starts = new StartTimes();
-  private final Map<String, Listed> known = new HashMap<>();
+  private final Map<String, ListedRunner> known = new HashMap<>();
 
-  /** Notes how the clocks stand to each other; now and then. */
+  /** Observes how the clocks differ; called periodically. */
   void observeClocks() {
     starts.observe(clocks());
   }
@@ -54,32 +54,32 @@
     return new ClockReading(Clock.micros(), Clock.wallMicros());
   }
 
-  /** The phase of a runner; null where nothing is known of it. */
+  /** The phase of a runner; null if the runner is unknown. */
   Phase phase(String uid) {
-    Listed listed = known.get(uid);
+    ListedRunner listed = known.get(uid);
     return listed == null ? null : listed.entry().phase();
   }
 
-  /** All that is known, as the list at the start. */
-  Change asSaved() {
-    List<Listed> all = List.copyOf(known.values());
-    return new Change(all, workers(ListKind.SAVED, all), List.of());
+  /** All known runners, as the list at the start. */
+  Change savedList() {
+    List<ListedRunner> all = List.copyOf(known.values());
+    return new Change(all, listUpdate(ListKind.SAVED, all), List.of());
   }
 
-  private static WorkerListUpdate workers(ListKind kind, List<Listed> listed) {
+  private static WorkerListUpdate listUpdate(ListKind kind, List<ListedRunner> listed) {
     return new WorkerListUpdate(
-        kind, new ArrayList<>(listed.stream().map(Listed::entry).toList()));
+        kind, new ArrayList<>(listed.stream().map(ListedRunner::entry).toList()));
   }
 
   /**
    * Applies an event.
    *
-   * @param absentAt the last time at which the list is known to have been without what this event adds, or
-   *     {@link StartTimes#ALWAYS_LISTED}
+   * @param absentAt the last time at which the list is known to have been without what this event adds, or {@link
+   *     StartTimes#ALWAYS_LISTED}
    */
   Change apply(ChangeLine.Fleet fleet, long absentAt) {
     ClockReading now = clocks();
-    List<Listed> told = new ArrayList<>();
+    List<ListedRunner> runners = new ArrayList<>();
     List<String> unreadable = new ArrayList<>();
     Set<String> named = new HashSet<>();
     for (Map<String, Object> target : fleet.targets()) {
@@ -87,70 +87,68 @@
         named.add(uid);
       }
       try {
-        told.add(read(target, now, absentAt));
+        runners.add(read(target, now, absentAt));
       } catch (RuntimeException e) {
         unreadable.add(target.get("uid") + ": " + e.getMessage());
-        Listed rest = readable(target);
-        if (rest != null) {
-          told.add(rest);
+        ListedRunner part = readablePart(target);
+        if (part != null) {
+          runners.add(part);
         }
       }
     }
-    List<Listed> inForce = new ArrayList<>(told);
+    List<ListedRunner> inForce = new ArrayList<>(runners);
     if (fleet.all()) {
-      addWhatIsNotNamed(named, told, inForce);
+      addOmitted(named, runners, inForce);
     }
-    told.forEach(listed -> known.put(listed.entry().worker(), listed));
-    told.stream()
+    runners.forEach(listed -> known.put(listed.entry().worker(), listed));
+    runners.stream()
         .filter(listed -> listed.entry().phase() == Phase.GONE)
         .forEach(listed -> forget(listed.entry().worker()));
     return new Change(
-        told, workers(fleet.all() ? ListKind.FULL : ListKind.DELTA, inForce), unreadable);
+        runners, listUpdate(fleet.all() ? ListKind.FULL : ListKind.DELTA, inForce), unreadable);
   }
 
-  /** A runner that a whole list does not name is gone; one whose entry there cannot be read stays as it was. */
-  private void addWhatIsNotNamed(Set<String> named, List<Listed> told, List<Listed> inForce) {
+  /** A runner that a full list omits is gone; one whose entry there is malformed stays as it was. */
+  private void addOmitted(
+      Set<String> named, List<ListedRunner> runners, List<ListedRunner> inForce) {
     Set<String> read = new HashSet<>();
-    told.forEach(listed -> read.add(listed.entry().worker()));
-    for (Map.Entry<String, Listed> one : known.entrySet()) {
-      if (!named.contains(one.getKey())) {
-        told.add(0, in(Phase.GONE, one.getKey(), one.getValue()));
-      } else if (!read.contains(one.getKey())) {
-        inForce.add(one.getValue());
+    runners.forEach(listed -> read.add(listed.entry().worker()));
+    for (Map.Entry<String, ListedRunner> runner : known.entrySet()) {
+      if (!named.contains(runner.getKey())) {
+        runners.add(0, withPhase(Phase.GONE, runner.getKey(), runner.getValue()));
+      } else if (!read.contains(runner.getKey())) {
+        inForce.add(runner.getValue());
       }
     }
   }
 
-  private Listed read(Map<String, Object> target, ClockReading now, long absentAt) {
+  private ListedRunner read(Map<String, Object> target, ClockReading now, long absentAt) {
     WorkerEntry entry = PlatformList.ofChangeLog(
         target, (uid, stamp) -> starts.startedAt(uid, stamp, now, absentAt));
-    return new Listed(entry, NodeConfig.address(Fields.text(target, "endpoint"), "endpoint"));
+    return new ListedRunner(entry, NodeConfig.address(Fields.text(target, "endpoint"), "endpoint"));
   }
 
-  /**
-   * What can be read of an entry that as a whole cannot: that its runner is to be left alone; null where it does not
-   * say so.
-   */
-  private Listed readable(Map<String, Object> target) {
+  /** What a malformed entry still says about its runner: that it drains or is gone; null if the entry says neither. */
+  private ListedRunner readablePart(Map<String, Object> target) {
     if (!(target.get("uid") instanceof String uid)) {
       return null;
     }
-    Listed before = known.get(uid);
+    ListedRunner before = known.get(uid);
     try {
       Phase phase = PlatformList.phaseOfChangeLog(target);
-      boolean holds = phase == Phase.GONE || phase == Phase.DRAINING && before != null;
-      return holds ? in(phase, uid, before) : null;
+      boolean usable = phase == Phase.GONE || phase == Phase.DRAINING && before != null;
+      return usable ? withPhase(phase, uid, before) : null;
     } catch (BadInput e) {
       return null;
     }
   }
 
-  private static Listed in(Phase phase, String uid, Listed before) {
+  private static ListedRunner withPhase(Phase phase, String uid, ListedRunner before) {
     if (before == null) {
-      return new Listed(new WorkerEntry(uid, "", 0, phase, 1, 0), null);
+      return new ListedRunner(new WorkerEntry(uid, "", 0, phase, 1, 0), null);
     }
     WorkerEntry e = before.entry();
-    return new Listed(
+    return new ListedRunner(
         new WorkerEntry(uid, e.zone(), e.cell(), phase, e.weight(), e.startedAt()),
         before.address());
   }
--- a/node/src/main/java/gorseladder/node/peers/PeerLink.java
+++ b/node/src/main/java/gorseladder/node/peers/PeerLink.java
@@ -13,15 +13,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Datagrams between the dispatchers of a tier ("Between dispatchers" of the platform's protocol): the router's text
- * alone, {@value #MAX_MESSAGE_BYTES} bytes at the most; the sender is known by its address. They may be lost, late or
- * doubled. A datagram from an address that is no peer is dropped.
+ * Exchanges datagrams between the dispatchers of a tier (section "Between dispatchers" of the platform's protocol). A
+ * datagram holds only the router's text of at most {@value #MAX_MESSAGE_BYTES} bytes; the sender is identified by its
+ * address. Datagrams may be lost, late or repeated. One from an address that is not a peer is dropped.
  */
 public final class PeerLink implements AutoCloseable {
   private static final int MAX_MESSAGE_BYTES = 256;
   private static final Logger LOG = LoggerFactory.getLogger(PeerLink.class);
 
-  /** Hears what other dispatchers say; on the link's own thread. */
+  /** Receives messages of other dispatchers, on the thread of the link. */
   public interface Listener {
     void messageReceived(int sender, String text);
   }
@@ -32,7 +32,13 @@
   private final int ordinal;
   private final Listener listener;
 
-  /** Opens the socket and begins to hear; {@code peers} stand in the order of their numbers, this one included. */
+  /**
+   * Opens the socket and starts receiving.
+   *
+   * @param peers addresses in the order of the dispatchers' numbers, including this one
+   * @param all the address that reaches all dispatchers
+   * @param ordinal number of this dispatcher
+   */
   public PeerLink(
       InetSocketAddress at,
       List<InetSocketAddress> peers,
@@ -51,7 +57,7 @@
     Threads.start("peers", stackBytes, this::receive);
   }
 
-  /** Sends to every other dispatcher; a text that is too long never leaves. */
+  /** Sends to all other dispatchers; a text that is too long is not sent. */
   public void send(String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     if (bytes.length > MAX_MESSAGE_BYTES) {
