--- a/app/src/main/java/gorseladder/app/RunnerCommand.java
+++ b/app/src/main/java/gorseladder/app/RunnerCommand.java
@@ -37,7 +37,7 @@
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    StandInRunner.Nature nature = new StandInRunner.Nature(
+    StandInRunner.Settings settings = new StandInRunner.Settings(
         "",
         0,
         4,
@@ -52,9 +52,9 @@
         8_000_000,
         new Rules(500_000, 0.2, 6_000_000, 2.5, 1_500_000, 0, 0, 0));
     StandInRunner runner = new StandInRunner(
-        nature,
+        settings,
         new Archive(4, 64),
-        new StandInRunner.KeyMemory(),
+        new StandInRunner.IdempotencyKeys(),
         new Tap(),
         1,
         line -> System.out.println(Json.write(line)));
--- a/app/src/main/java/gorseladder/app/Up.java
+++ b/app/src/main/java/gorseladder/app/Up.java
@@ -56,10 +56,10 @@
         + (System.nanoTime() & 0xffff) + ";");
     try (Writer log = Files.newBufferedWriter(runnerLog);
         TestFleet fleet = new TestFleet(script, directory, true, line -> write(log, line))) {
-      System.out.println(fleet.ready(runnerLog.toFile()));
+      System.out.println(fleet.readyLine(runnerLog.toFile()));
       System.out.flush();
       while (!stop.await(200, TimeUnit.MILLISECONDS)) {
-        fleet.revive();
+        fleet.restartEnded();
       }
     }
     return Main.GOOD;
--- a/app/src/main/java/gorseladder/app/archive/ArchiveMaker.java
+++ b/app/src/main/java/gorseladder/app/archive/ArchiveMaker.java
@@ -73,7 +73,7 @@
         ChildProcess dispatcher =
             new ChildProcess(command, root, day.environment(), log.toFile())) {
       day.play(dispatcher, scene -> {});
-      return day.troubles();
+      return day.problems();
     }
   }
 
--- a/app/src/main/java/gorseladder/app/bench/EdgeCalls.java
+++ b/app/src/main/java/gorseladder/app/bench/EdgeCalls.java
@@ -48,7 +48,9 @@
         return exchange(runner.id(), Address.parse(runner.id()), request);
       }
       WebhookClients.Kind k = WebhookClients.kinds(
-              TestFleet.AIM, TestFleet.DEADLINE, TestFleet.REPEAT_WINDOW)
+              TestFleet.LATENCY_TARGET_MICROS,
+              TestFleet.DEADLINE_MICROS,
+              TestFleet.REPEAT_WINDOW_MICROS)
           .get(kind);
       byte[] body = ("{\"type\":\"" + k.type() + "\",\"data\":{\"lanes\":16,\"function\":\""
               + function + "\"}}")
@@ -60,7 +62,7 @@
           .field("webhook-timestamp", stamp)
           .field("webhook-signature", Secret.parse(fleet.secret()).sign(id, stamp, body))
           .with(body);
-      return exchange("edge", fleet.edge(0), request);
+      return exchange("edge", fleet.edgeAddress(0), request);
     } catch (IOException | BadMessage e) {
       return 0;
     }
--- a/app/src/main/java/gorseladder/app/bench/IdleBench.java
+++ b/app/src/main/java/gorseladder/app/bench/IdleBench.java
@@ -27,12 +27,12 @@
         Files.createTempDirectory("gorseladder-bench-"),
         true,
         line -> {})) {
-      long pid = fleet.process(0).pid();
+      long pid = fleet.edgeProcess(0).pid();
       Thread.sleep(1_500);
       long[] before = status(pid);
       for (int count : new int[] {600, 1_200, MOST}) {
         while (open.size() < count) {
-          open.add(new Socket("127.0.0.1", fleet.edge(0).getPort()));
+          open.add(new Socket("127.0.0.1", fleet.edgeAddress(0).getPort()));
         }
         Thread.sleep(1_500);
         long[] after = status(pid);
--- a/app/src/main/java/gorseladder/app/bench/OverloadBench.java
+++ b/app/src/main/java/gorseladder/app/bench/OverloadBench.java
@@ -202,7 +202,7 @@
   private static void one(EdgeCalls calls, Run run, long meantFor, int second, long seed) {
     int status = calls.status(0, new Random(seed));
     long took = Clock.micros() - meantFor;
-    if (status == 200 && took <= TestFleet.AIM) {
+    if (status == 200 && took <= TestFleet.LATENCY_TARGET_MICROS) {
       run.goodBySecond.incrementAndGet(second);
     } else if (status == 503 || status == 429) {
       run.refused.incrementAndGet();
--- a/app/src/test/java/gorseladder/app/archive/ClassArchiveIT.java
+++ b/app/src/test/java/gorseladder/app/archive/ClassArchiveIT.java
@@ -47,7 +47,7 @@
       try (ChildProcess dispatcher = new ChildProcess(command, ROOT, environment, log.toFile())) {
         day.play(dispatcher, this::note);
       }
-      assertEquals(List.of(), day.troubles(), () -> read(log));
+      assertEquals(List.of(), day.problems(), () -> read(log));
     }
     assertEquals(List.of(), outside);
   }
--- a/soak/src/main/java/gorseladder/soak/EdgeSoak.java
+++ b/soak/src/main/java/gorseladder/soak/EdgeSoak.java
@@ -111,7 +111,8 @@
       boolean ended = senders.awaitTermination(30, TimeUnit.SECONDS);
       deliverAgain(clients);
       List<String> breaks = new ArrayList<>(
-          RuleChecker.check(fleet.tap(), fleet.rules(), TestFleet.REPEAT_WINDOW, SLACK).stream()
+          RuleChecker.check(fleet.tap(), fleet.rules(), TestFleet.REPEAT_WINDOW_MICROS, SLACK)
+              .stream()
               .map(Object::toString)
               .toList());
       if (!ended) {
@@ -142,7 +143,8 @@
   }
 
   private static List<Kind> kinds() {
-    return WebhookClients.kinds(TestFleet.AIM, TestFleet.DEADLINE, TestFleet.REPEAT_WINDOW);
+    return WebhookClients.kinds(
+        TestFleet.LATENCY_TARGET_MICROS, TestFleet.DEADLINE_MICROS, TestFleet.REPEAT_WINDOW_MICROS);
   }
 
   /** Delivers a message until it is served, and perhaps again after that. */
@@ -242,7 +244,7 @@
   }
 
   private void kill(TestFleet fleet, int mends) throws IOException, InterruptedException {
-    fleet.process(0).destroyForcibly().waitFor();
+    fleet.edgeProcess(0).destroyForcibly().waitFor();
     if (mends > 0) {
       failing(0, 0, 0);
     }
--- a/testbed/src/main/java/gorseladder/testbed/LagMeter.java
+++ b/testbed/src/main/java/gorseladder/testbed/LagMeter.java
@@ -42,7 +42,7 @@
   }
 
   /** What the machine may have added to a call around that moment ({@link Clock#micros()}), in microseconds. */
-  public long ofACallAt(long at) {
+  public long callLagAt(long at) {
     long most = USUAL;
     // A long stall is found by its end.
     for (Map.Entry<Long, Long> e = lags.floorEntry(at + AROUND);
--- a/testbed/src/main/java/gorseladder/testbed/ListStandIn.java
+++ b/testbed/src/main/java/gorseladder/testbed/ListStandIn.java
@@ -80,7 +80,7 @@
   }
 
   /** Shows nothing new until it is told otherwise; then everything at once. */
-  public void behind(boolean stuck) {
+  public void setBehind(boolean stuck) {
     synchronized (this) {
       behind = stuck;
     }
@@ -103,7 +103,7 @@
 
   private static Map<String, Object> print(Entry e) {
     String id = e.runner().id();
-    StandInRunner.Nature n = e.runner().nature();
+    StandInRunner.Settings n = e.runner().settings();
     Map<String, Object> meta = new LinkedHashMap<>();
     meta.put("zone", n.zone());
     meta.put("cell", Integer.toString(n.cell()));
@@ -171,10 +171,10 @@
     Map<String, Phase> before = lastTold.getOrDefault(edge, Map.of());
     before.keySet().stream()
         .filter(r -> !phases.containsKey(r))
-        .forEach(r -> tap.told(new Tap.Told(edge, r, Phase.GONE, now)));
+        .forEach(r -> tap.phaseReported(new Tap.PhaseReport(edge, r, Phase.GONE, now)));
     phases.forEach((runner, phase) -> {
       if (phase != before.get(runner)) {
-        tap.told(new Tap.Told(edge, runner, phase, now));
+        tap.phaseReported(new Tap.PhaseReport(edge, runner, phase, now));
       }
     });
     lastTold.put(edge, phases);
--- a/testbed/src/main/java/gorseladder/testbed/Play.java
+++ b/testbed/src/main/java/gorseladder/testbed/Play.java
@@ -3,8 +3,8 @@
 import gorseladder.RouterApi.Phase;
 import gorseladder.runtime.Clock;
 import gorseladder.runtime.Threads;
-import gorseladder.testbed.RuleChecker.Break;
-import gorseladder.testbed.RuleChecker.Pressure;
+import gorseladder.testbed.RuleChecker.RuleStats;
+import gorseladder.testbed.RuleChecker.Violation;
 import gorseladder.testbed.script.DayScript;
 import gorseladder.testbed.script.DayScript.Kind;
 import gorseladder.testbed.script.DayScript.Trouble;
@@ -26,7 +26,7 @@
    * What may pass between a socket and the tap on an idle machine; {@link LagMeter} adds for one that was busy at the
    * moment.
    */
-  public static final long SLACK = 40_000;
+  public static final long BASE_SLACK_MICROS = 40_000;
 
   private static final long ENDS_WITHIN = 30_000;
 
@@ -36,8 +36,8 @@
   private final Random random;
   private final List<Thread> running = new ArrayList<>();
   private final List<Trouble> unplayed = java.util.Collections.synchronizedList(new ArrayList<>());
-  private final List<WebhookClients.Kind> kinds =
-      WebhookClients.kinds(TestFleet.AIM, TestFleet.DEADLINE, TestFleet.REPEAT_WINDOW);
+  private final List<WebhookClients.Kind> kinds = WebhookClients.kinds(
+      TestFleet.LATENCY_TARGET_MICROS, TestFleet.DEADLINE_MICROS, TestFleet.REPEAT_WINDOW_MICROS);
   private volatile double burst = 1;
   private volatile double hot;
   private volatile double scan;
@@ -55,20 +55,20 @@
       WebhookClients.Totals totals,
       int attempts,
       int loads,
-      List<Break> breaks,
-      int fallen,
+      List<Violation> violations,
+      int overloadedRunners,
       List<Trouble> unplayed,
-      List<Pressure> pressures) {
+      List<RuleStats> ruleStats) {
     /** True where no rule was broken and every trouble was played. */
     public boolean good() {
-      return breaks.isEmpty() && fallen == 0 && unplayed.isEmpty();
+      return violations.isEmpty() && overloadedRunners == 0 && unplayed.isEmpty();
     }
 
     /** Rules of which the day showed nothing. */
     public List<Integer> untested() {
-      return pressures.stream()
+      return ruleStats.stream()
           .filter(p -> p.occasions() == 0)
-          .map(Pressure::rule)
+          .map(RuleStats::rule)
           .toList();
     }
 
@@ -89,14 +89,14 @@
           totals.millis(50),
           totals.millis(99));
       out.printf(Locale.ROOT, "%-34s %s%n", "reasons", WebhookClients.print(totals.reasons));
-      pressures.forEach(out::println);
-      out.printf(Locale.ROOT, "%-34s %8d%n", "rules broken", breaks.size());
-      breaks.stream().limit(10).forEach(b -> out.println("  " + b));
+      ruleStats.forEach(out::println);
+      out.printf(Locale.ROOT, "%-34s %8d%n", "rules broken", violations.size());
+      violations.stream().limit(10).forEach(b -> out.println("  " + b));
       out.println(
           good()
               ? "GOOD: every call got exactly one final answer and no rule was broken"
-              : "BAD: " + breaks.size() + " breaks of rules, " + fallen + " runners pushed over, "
-                  + unplayed.size() + " troubles not played");
+              : "BAD: " + violations.size() + " breaks of rules, " + overloadedRunners
+                  + " runners pushed over, " + unplayed.size() + " troubles not played");
     }
   }
 
@@ -116,21 +116,25 @@
     lag.close();
     Tap tap = fleet.tap();
     RuleChecker.Report report = RuleChecker.report(
-        tap, fleet.rules(), TestFleet.REPEAT_WINDOW, at -> SLACK + lag.ofACallAt(at));
-    List<Break> breaks = new ArrayList<>(report.breaks());
+        tap,
+        fleet.rules(),
+        TestFleet.REPEAT_WINDOW_MICROS,
+        at -> BASE_SLACK_MICROS + lag.callLagAt(at));
+    List<Violation> violations = new ArrayList<>(report.violations());
     if (!ended) {
-      breaks.add(new Break(1, "calls were still open long after the day"));
+      violations.add(new Violation(1, "calls were still open long after the day"));
     }
-    int fallen = (int) fleet.runners().stream().filter(StandInRunner::fallen).count();
+    int overloadedRunners =
+        (int) fleet.runners().stream().filter(StandInRunner::isOverloaded).count();
     synchronized (tap) {
       return new Verdict(
           clients.totals(),
           tap.arrivals.size(),
           fleet.archive().fetched(),
-          breaks,
-          fallen,
+          violations,
+          overloadedRunners,
           List.copyOf(unplayed),
-          report.pressures());
+          report.ruleStats());
     }
   }
 
@@ -177,7 +181,7 @@
     }
     clients.call(
         "msg_" + script.count("seed") + "_" + number,
-        random.nextInt(fleet.edges()),
+        random.nextInt(fleet.edgeCount()),
         kinds.get(kind),
         function,
         Map.of(
@@ -239,9 +243,9 @@
         scan = 0;
       }
       case LIST_BEHIND -> {
-        fleet.list().behind(true);
+        fleet.list().setBehind(true);
         sleepUntil(until);
-        fleet.list().behind(false);
+        fleet.list().setBehind(false);
       }
       case ARCHIVE_SLOW -> {
         fleet.archive().slower(t.factor());
@@ -249,7 +253,7 @@
         fleet.archive().slower(1);
       }
       case RESTART_EDGES -> {
-        for (int i = 0; i < t.of(fleet.edges()); i++) {
+        for (int i = 0; i < t.of(fleet.edgeCount()); i++) {
           fleet.restartEdge(i, 200);
         }
       }
@@ -296,7 +300,7 @@
       case REPORT_LATE -> f.reportsLate = true;
       case SLOW_HANDSHAKE -> f.handshake = (long) (t.factor() * 100_000);
       case RESET -> f.reset = true;
-      case STALE -> f.stale = true;
+      case STALE -> f.closeReused = true;
       case DRAIN -> {
         f.draining = true;
         fleet.list().set(r, Phase.DRAINING, false, true);
@@ -333,6 +337,6 @@
     f.reportsLate = false;
     f.handshake = 0;
     f.reset = false;
-    f.stale = false;
+    f.closeReused = false;
   }
 }
--- a/testbed/src/main/java/gorseladder/testbed/RuleChecker.java
+++ b/testbed/src/main/java/gorseladder/testbed/RuleChecker.java
@@ -5,8 +5,8 @@
 import gorseladder.RouterApi.Rules;
 import gorseladder.testbed.Tap.Arrival;
 import gorseladder.testbed.Tap.Order;
+import gorseladder.testbed.Tap.PhaseReport;
 import gorseladder.testbed.Tap.Start;
-import gorseladder.testbed.Tap.Told;
 import gorseladder.testbed.Tap.Try;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -26,7 +26,7 @@
  */
 public final class RuleChecker {
   /** One break of a rule. */
-  public record Break(int rule, String text) {
+  public record Violation(int rule, String text) {
     @Override
     public String toString() {
       return "rule " + rule + ": " + text;
@@ -43,7 +43,7 @@
    * @param closest how near the nearest came to breaking, in {@code unit}; below 0 it was past the bound; NaN or the
    *     largest value where nothing came near a bound
    */
-  public record Pressure(
+  public record RuleStats(
       int rule,
       String what,
       long occasions,
@@ -72,7 +72,7 @@
   }
 
   /** What a day showed: every break, and the pressure on each rule in its order. */
-  public record Report(List<Break> breaks, List<Pressure> pressures) {}
+  public record Report(List<Violation> violations, List<RuleStats> ruleStats) {}
 
   /** An edge that sent to a runner within this time before has it in use. */
   private static final long IN_USE = 1_000_000;
@@ -83,7 +83,7 @@
   private final LongUnaryOperator slackAt;
   private final List<List<Long>> slacks = new ArrayList<>();
   private final long[] notJudged = new long[6];
-  private final List<Break> breaks = new ArrayList<>();
+  private final List<Violation> violations = new ArrayList<>();
   private final long[] occasions = new long[6];
   private final double[] closest = {
     0, Double.MAX_VALUE, Double.NaN, Double.MAX_VALUE, Double.MAX_VALUE, Double.MAX_VALUE
@@ -100,8 +100,8 @@
   }
 
   /** Every break found. */
-  public static List<Break> check(Tap tap, Rules rules, long repeatWindow, long slack) {
-    return report(tap, rules, repeatWindow, at -> slack).breaks();
+  public static List<Violation> check(Tap tap, Rules rules, long repeatWindow, long slack) {
+    return report(tap, rules, repeatWindow, at -> slack).violations();
   }
 
   /**
@@ -118,10 +118,10 @@
       checker.coldRunners();
       checker.orders();
     }
-    return new Report(checker.breaks, checker.pressures());
+    return new Report(checker.violations, checker.ruleStats());
   }
 
-  private List<Pressure> pressures() {
+  private List<RuleStats> ruleStats() {
     return List.of(
         pressure(1, "tries answered", "ms before the client gave up"),
         pressure(2, "repeats or refusals of what had been sent", ""),
@@ -133,10 +133,10 @@
         pressure(5, "load orders under a ration", "orders left"));
   }
 
-  private Pressure pressure(int rule, String what, String unit) {
+  private RuleStats pressure(int rule, String what, String unit) {
     List<Long> all = slacks.get(rule);
     Collections.sort(all);
-    return new Pressure(
+    return new RuleStats(
         rule,
         what,
         occasions[rule],
@@ -160,19 +160,19 @@
   }
 
   private void broke(int rule, String text) {
-    breaks.add(new Break(rule, text));
+    violations.add(new Violation(rule, text));
   }
 
   private boolean edgeWasDown(Try t) {
-    return tap.downs.stream()
+    return tap.outages.stream()
         .anyMatch(d -> d.edge() == t.edge
-            && d.from() <= t.sentAt + t.patience + slackAt.applyAsLong(d.from())
+            && d.from() <= t.sentAt + t.clientTimeout + slackAt.applyAsLong(d.from())
             && d.to() >= t.sentAt);
   }
 
   /** What a late try waited for, as far as its client saw it. */
   private String steps(Try t) {
-    return t.reason + ", patience " + t.patience / 1000 + " ms, connected after "
+    return t.reason + ", patience " + t.clientTimeout / 1000 + " ms, connected after "
         + (t.connectedAt - t.sentAt) / 1000 + " ms, written after "
         + (t.writtenAt - t.sentAt) / 1000 + " ms, machine's slack then "
         + slackAt.applyAsLong(t.answeredAt) / 1000 + " ms";
@@ -196,7 +196,7 @@
           1,
           t.statuses.isEmpty()
               ? Double.MAX_VALUE
-              : (t.countsFrom() + t.patience - t.answeredAt) / 1000.0);
+              : (t.countsFrom() + t.clientTimeout - t.answeredAt) / 1000.0);
       if (t.statuses.isEmpty()) {
         broke(
             1,
@@ -204,10 +204,10 @@
                 + (t.broken ? ", the connection broke" : ""));
       } else if (t.statuses.size() > 1) {
         broke(1, t.message + " got " + t.statuses.size() + " answers " + t.statuses);
-      } else if (past(1, t.answeredAt, t.countsFrom() + t.patience)) {
+      } else if (past(1, t.answeredAt, t.countsFrom() + t.clientTimeout)) {
         broke(
             1,
-            t.message + " was answered " + (t.answeredAt - t.countsFrom() - t.patience) / 1000
+            t.message + " was answered " + (t.answeredAt - t.countsFrom() - t.clientTimeout) / 1000
                 + " ms too late: " + steps(t));
       }
     }
@@ -289,9 +289,10 @@
 
   /** Rule 3: after the grace of a drain nothing new, call or order. */
   private void drains() {
-    Map<String, List<Told>> words = group(tap.told, t -> t.edge() + " " + t.runner());
-    words.values().forEach(list -> list.sort(Comparator.comparingLong(Told::at)));
-    for (Told word : tap.told) {
+    Map<String, List<PhaseReport>> words =
+        group(tap.phaseReports, t -> t.edge() + " " + t.runner());
+    words.values().forEach(list -> list.sort(Comparator.comparingLong(PhaseReport::at)));
+    for (PhaseReport word : tap.phaseReports) {
       // An edge that had just sent there would have sent on: that is what the word had to stop.
       if (word.phase() != Phase.RUNNING
           && tap.arrivals.stream()
@@ -320,9 +321,9 @@
     }
   }
 
-  private void drain(List<Told> words, long at, String what, String runner) {
+  private void drain(List<PhaseReport> words, long at, String what, String runner) {
     long closedSince = -1;
-    for (Told word : words) {
+    for (PhaseReport word : words) {
       if (word.at() > at) {
         break;
       }
--- a/testbed/src/main/java/gorseladder/testbed/ScarceThreads.java
+++ b/testbed/src/main/java/gorseladder/testbed/ScarceThreads.java
@@ -8,11 +8,11 @@
   private static final int STACK = 128 << 10;
 
   private final AtomicInteger next = new AtomicInteger();
-  private volatile boolean none;
+  private volatile boolean exhausted;
 
   /** From now on none can be started, or they can again. */
-  public void none(boolean scarce) {
-    none = scarce;
+  public void setExhausted(boolean noThreads) {
+    exhausted = noThreads;
   }
 
   @Override
@@ -20,7 +20,7 @@
     Thread thread = new Thread(null, task, "scarce-" + next.getAndIncrement(), STACK) {
       @Override
       public synchronized void start() {
-        if (none) {
+        if (exhausted) {
           throw new OutOfMemoryError("no thread is to be had");
         }
         super.start();
--- a/testbed/src/main/java/gorseladder/testbed/StandInPlanner.java
+++ b/testbed/src/main/java/gorseladder/testbed/StandInPlanner.java
@@ -52,7 +52,7 @@
   }
 
   /** Plans given out. */
-  public synchronized long plans() {
+  public synchronized long planCount() {
     return plans;
   }
 
--- a/testbed/src/main/java/gorseladder/testbed/StandInRunner.java
+++ b/testbed/src/main/java/gorseladder/testbed/StandInRunner.java
@@ -33,7 +33,7 @@
   private static final long SLICE_MILLIS = 5;
 
   /** What a runner is like; times in microseconds. */
-  public record Nature(
+  public record Settings(
       String zone,
       int cell,
       int cores,
@@ -54,15 +54,15 @@
     volatile boolean errors;
     volatile boolean throttle;
     volatile boolean reset;
-    volatile boolean stale;
+    volatile boolean closeReused;
     volatile boolean draining;
     volatile boolean reportsLate;
     volatile double slower = 1;
     volatile long handshake;
     /** The function whose answers announce so many bytes, and never send the last one. */
-    volatile String endless;
+    volatile String endlessFunction;
 
-    volatile int endlessBytes;
+    volatile int endlessAnswerBytes;
   }
 
   private static final class Copy {
@@ -76,7 +76,7 @@
   }
 
   /** Shared by the runners of a group: what each key answered, and until when it is remembered. */
-  public static final class KeyMemory {
+  public static final class IdempotencyKeys {
     private record Kept(long until, byte[] result) {}
 
     private final Map<String, Kept> kept = new ConcurrentHashMap<>();
@@ -91,9 +91,9 @@
     }
   }
 
-  private final Nature nature;
+  private final Settings settings;
   private final Archive archive;
-  private final KeyMemory keys;
+  private final IdempotencyKeys keys;
   private final Tap tap;
   private final Consumer<Map<String, Object>> log;
   private final Random random;
@@ -104,7 +104,7 @@
   private int life;
   private long startedAt;
   private boolean warmFromStart;
-  private boolean fallen;
+  private boolean overloaded;
   private int running;
   private int held;
   private double windowWork;
@@ -113,14 +113,14 @@
 
   /** Starts a runner on a free loopback port, warm; {@code log} hears a line for each infer request that began. */
   public StandInRunner(
-      Nature nature,
+      Settings settings,
       Archive archive,
-      KeyMemory keys,
+      IdempotencyKeys keys,
       Tap tap,
       long seed,
       Consumer<Map<String, Object>> log)
       throws IOException {
-    this.nature = nature;
+    this.settings = settings;
     this.archive = archive;
     this.keys = keys;
     this.tap = tap;
@@ -137,8 +137,8 @@
     return "127.0.0.1:" + address.getPort();
   }
 
-  public Nature nature() {
-    return nature;
+  public Settings settings() {
+    return settings;
   }
 
   public Faults faults() {
@@ -146,8 +146,8 @@
   }
 
   /** True once more was sent to it while cold than it bears. */
-  public synchronized boolean fallen() {
-    return fallen;
+  public synchronized boolean isOverloaded() {
+    return overloaded;
   }
 
   /** Dies at once: connections are reset and everything loaded is lost. */
@@ -179,7 +179,7 @@
       faults.hang = false;
       faults.draining = false;
     }
-    tap.started(new Tap.Start(id(), startedAt, nature.cores() * nature.speed()));
+    tap.started(new Tap.Start(id(), startedAt, settings.cores() * settings.speed()));
   }
 
   private synchronized boolean alive(int since) {
@@ -265,10 +265,10 @@
       return true;
     }
     Tap.Arrival arrival = tap.arrived(
-        content.id(), id(), header(head, Oip.EDGE_ORDINAL, -1), model, at, nature.work());
+        content.id(), id(), header(head, Oip.EDGE_ORDINAL, -1), model, at, settings.work());
     try {
       pushed(arrival);
-      if (faults.stale && !first) {
+      if (faults.closeReused && !first) {
         return false;
       }
       while (faults.hang && alive(born)) {
@@ -280,7 +280,7 @@
       if (faults.errors) {
         return respond(c, arrival, 500, null, -1, new byte[0]);
       }
-      if (faults.throttle && random.nextInt(10) > 0 || faults.draining || fallen()) {
+      if (faults.throttle && random.nextInt(10) > 0 || faults.draining || isOverloaded()) {
         return respond(c, arrival, 429, null, -1, new byte[0]);
       }
       return run(c, head, content, model, born, arrival);
@@ -293,7 +293,7 @@
 
   /** A cold runner that is sent too much in a window falls over and stays down. */
   private synchronized void pushed(Tap.Arrival arrival) {
-    Rules rules = nature.rules();
+    Rules rules = settings.rules();
     long age = arrival.at - startedAt;
     if (warmFromStart || age >= rules.rampDuration()) {
       return;
@@ -303,17 +303,17 @@
       windowWork = 0;
     }
     windowWork += arrival.work;
-    fallen |= windowWork
+    overloaded |= windowWork
         > rules.overloadMultiple()
-                * nature.cores()
-                * nature.speed()
+                * settings.cores()
+                * settings.speed()
                 * warmth(age)
                 * rules.overloadWindow()
             + 2 * arrival.work;
   }
 
   private double warmth(long age) {
-    Rules rules = nature.rules();
+    Rules rules = settings.rules();
     return warmFromStart || age >= rules.rampDuration()
         ? 1
         : rules.initialCapacity() + (1 - rules.initialCapacity()) * age / rules.rampDuration();
@@ -330,11 +330,11 @@
       copy.lanes = Math.max(1, header(head, Oip.LANES, 1));
       expire(model, copy);
       crowd = copy.held;
-      if (held >= nature.mostHeld()) {
+      if (held >= settings.mostHeld()) {
         return respond(c, arrival, 429, null, crowd, new byte[0]);
       }
       boolean lacks = copy.standing + copy.loading == 0;
-      if (lacks && !nature.loadsOnMiss()) {
+      if (lacks && !settings.loadsOnMiss()) {
         return respond(c, arrival, 404, null, crowd, new byte[0]);
       }
       if (lacks && !makeRoom(model, copy.memoryMb)) {
@@ -380,7 +380,7 @@
       int crowd)
       throws IOException, InterruptedException {
     String key = head.get("idempotency-key");
-    boolean fresh = key == null || keys.begin(key, Clock.micros(), nature.repeatWindow());
+    boolean fresh = key == null || keys.begin(key, Clock.micros(), settings.repeatWindow());
     if (fresh) {
       arrival.ran = true;
       Map<String, Object> line = new java.util.LinkedHashMap<>();
@@ -397,7 +397,7 @@
     byte[] result = ("{\"id\":\"" + content.id().replace("\"", "") + "\",\"result\":\"done\"}")
         .getBytes(StandardCharsets.UTF_8);
     byte[] message = Oip.response(content.id(), model, result);
-    if (model.equals(faults.endless)) {
+    if (model.equals(faults.endlessFunction)) {
       answerWithoutEnd(c, born);
       return false;
     }
@@ -413,8 +413,8 @@
   /** Sends all but the last byte of a long answer, and waits until the other side has had enough. */
   private void answerWithoutEnd(HttpConnection c, int born)
       throws IOException, InterruptedException {
-    c.write(HeadWriter.response(200).headFor(new byte[faults.endlessBytes]));
-    c.write(new byte[faults.endlessBytes - 1]);
+    c.write(HeadWriter.response(200).headFor(new byte[faults.endlessAnswerBytes]));
+    c.write(new byte[faults.endlessAnswerBytes - 1]);
     while (alive(born) && !c.peerGone()) {
       Thread.sleep(SLICE_MILLIS);
     }
@@ -425,12 +425,12 @@
     double left;
     synchronized (this) {
       running++;
-      double share = Math.max(1, (double) running / nature.cores());
-      left = nature.work()
+      double share = Math.max(1, (double) running / settings.cores());
+      left = settings.work()
           / 1000.0
           * (0.6 + 0.8 * random.nextDouble())
           * share
-          / nature.speed()
+          / settings.speed()
           / warmth(Clock.micros() - startedAt);
     }
     try {
@@ -438,7 +438,7 @@
         long slice = (long) Math.max(1, Math.min(SLICE_MILLIS, left));
         Thread.sleep(slice);
         left -= slice / faults.slower;
-        if (!alive(born) || nature.cancelling() && c.peerGone()) {
+        if (!alive(born) || settings.cancelling() && c.peerGone()) {
           return false;
         }
       }
@@ -475,14 +475,14 @@
   private synchronized String report() {
     if (!faults.reportsLate || lastReport == null) {
       lastReport = LoadReport.format(
-          Math.min(1, (double) running / nature.cores()), Map.of("inFlight", (double) held));
+          Math.min(1, (double) running / settings.cores()), Map.of("inFlight", (double) held));
     }
     return lastReport;
   }
 
   private void expire(String model, Copy copy) {
     long now = Clock.micros();
-    if (copy.busy == 0 && copy.held == 0 && now - copy.lastUsed > nature.keepAlive()) {
+    if (copy.busy == 0 && copy.held == 0 && now - copy.lastUsed > settings.keepAlive()) {
       copy.standing = 0;
     }
     copy.lastUsed = now;
@@ -493,7 +493,7 @@
     double used = copies.values().stream()
         .mapToDouble(k -> (k.standing + k.loading) * k.memoryMb)
         .sum();
-    while (used + memoryMb > nature.memoryMb()) {
+    while (used + memoryMb > settings.memoryMb()) {
       var victim = copies.entrySet().stream()
           .filter(
               e -> !e.getKey().equals(model) && e.getValue().standing > 0 && e.getValue().held == 0)
@@ -510,8 +510,8 @@
 
   /** Loads a copy whose place was taken by {@code loading}. */
   private boolean load(String model, int born) throws InterruptedException {
-    boolean fetched = archive.fetch(nature.load() * 2 / 3);
-    Thread.sleep(nature.load() / 3000);
+    boolean fetched = archive.fetch(settings.load() * 2 / 3);
+    Thread.sleep(settings.load() / 3000);
     synchronized (this) {
       if (life != born) {
         return false;
@@ -534,7 +534,7 @@
           copy.busy++;
           return true;
         }
-        if (copy.standing + copy.loading == 0 || nature.cancelling() && c.peerGone()) {
+        if (copy.standing + copy.loading == 0 || settings.cancelling() && c.peerGone()) {
           return false;
         }
         wait(20);
@@ -562,7 +562,7 @@
       copy.lanes = Math.max(copy.lanes, 1);
       expire(model, copy);
       boolean lacks = copy.standing + copy.loading < wanted;
-      if (faults.draining || fallen || lacks && !makeRoom(model, copy.memoryMb)) {
+      if (faults.draining || overloaded || lacks && !makeRoom(model, copy.memoryMb)) {
         c.write(HeadWriter.response(503).field(Oip.EXECUTED, "no").with(new byte[0]));
         return true;
       }
--- a/testbed/src/main/java/gorseladder/testbed/Tap.java
+++ b/testbed/src/main/java/gorseladder/testbed/Tap.java
@@ -13,13 +13,13 @@
   /** One try of a client: a request on a socket and what came back. */
   public static final class Try {
     /** The system repeats the first packet of a connection after so long, where a listener's queue was full. */
-    private static final long FIRST_REPEAT = 1_000_000;
+    private static final long SYN_RETRY_MICROS = 1_000_000;
 
     public final String message;
     public final int edge;
     public final Effect effect;
     public final long sentAt;
-    public final long patience;
+    public final long clientTimeout;
     /** Answers that came; 0 status where the connection broke or could not be opened. */
     public final List<Integer> statuses = new ArrayList<>();
 
@@ -33,12 +33,12 @@
     public boolean broken;
     public String reason = "";
 
-    Try(String message, int edge, Effect effect, long sentAt, long patience) {
+    Try(String message, int edge, Effect effect, long sentAt, long clientTimeout) {
       this.message = message;
       this.edge = edge;
       this.effect = effect;
       this.sentAt = sentAt;
-      this.patience = patience;
+      this.clientTimeout = clientTimeout;
     }
 
     /**
@@ -47,7 +47,7 @@
      * of the edge; then its time counts from the beginning.
      */
     long countsFrom() {
-      boolean ownTime = connectedAt > 0 && connectedAt - sentAt < FIRST_REPEAT;
+      boolean ownTime = connectedAt > 0 && connectedAt - sentAt < SYN_RETRY_MICROS;
       return ownTime ? connectedAt : sentAt;
     }
   }
@@ -78,23 +78,23 @@
   public record Order(String runner, int edge, String function, int copies, long at) {}
 
   /** The list's word to one edge. */
-  public record Told(int edge, String runner, Phase phase, long at) {}
+  public record PhaseReport(int edge, String runner, Phase phase, long at) {}
 
   /** A start of a runner, from cold. */
   public record Start(String runner, long at, double capacity) {}
 
   /** A time in which an edge was down or being killed. */
-  public record Down(int edge, long from, long to) {}
+  public record Outage(int edge, long from, long to) {}
 
   final List<Try> tries = new ArrayList<>();
   final List<Arrival> arrivals = new ArrayList<>();
   final List<Order> orders = new ArrayList<>();
-  final List<Told> told = new ArrayList<>();
+  final List<PhaseReport> phaseReports = new ArrayList<>();
   final List<Start> starts = new ArrayList<>();
-  final List<Down> downs = new ArrayList<>();
+  final List<Outage> outages = new ArrayList<>();
 
-  synchronized Try sent(String message, int edge, Effect effect, long at, long patience) {
-    Try t = new Try(message, edge, effect, at, patience);
+  synchronized Try sent(String message, int edge, Effect effect, long at, long clientTimeout) {
+    Try t = new Try(message, edge, effect, at, clientTimeout);
     tries.add(t);
     return t;
   }
@@ -110,15 +110,15 @@
     orders.add(order);
   }
 
-  synchronized void told(Told word) {
-    told.add(word);
+  synchronized void phaseReported(PhaseReport report) {
+    phaseReports.add(report);
   }
 
   synchronized void started(Start start) {
     starts.add(start);
   }
 
-  synchronized void down(Down down) {
-    downs.add(down);
+  synchronized void edgeWasDown(Outage outage) {
+    outages.add(outage);
   }
 }
--- a/testbed/src/main/java/gorseladder/testbed/TestFleet.java
+++ b/testbed/src/main/java/gorseladder/testbed/TestFleet.java
@@ -35,11 +35,11 @@
   /** The path of every fleet's endpoint. */
   public static final String PATH = "/hooks/portal";
 
-  public static final long AIM = 1_000_000;
-  public static final long DEADLINE = 3_000_000;
-  public static final long REPEAT_WINDOW = 8_000_000;
+  public static final long LATENCY_TARGET_MICROS = 1_000_000;
+  public static final long DEADLINE_MICROS = 3_000_000;
+  public static final long REPEAT_WINDOW_MICROS = 8_000_000;
   /** Microseconds that an idle copy stays, as the edges are told. */
-  public static final long KEEP_ALIVE = 8_000_000;
+  public static final long KEEP_ALIVE_MICROS = 8_000_000;
 
   /** Names a property with the class path of edge processes, where it is not this process's own. */
   public static final String CLASS_PATH = "gorseladder.fleet.classpath";
@@ -214,9 +214,9 @@
     int count = script.count("runners");
     archive = new Archive(Math.max(4, count), Math.max(20, 4 * count));
     list = new ListStandIn(tap, (long) script.number("list_late"));
-    StandInRunner.KeyMemory keys = new StandInRunner.KeyMemory();
+    StandInRunner.IdempotencyKeys keys = new StandInRunner.IdempotencyKeys();
     for (int i = 0; i < count; i++) {
-      StandInRunner.Nature nature = new StandInRunner.Nature(
+      StandInRunner.Settings settings = new StandInRunner.Settings(
           "hus-" + "abc".charAt(i % 3),
           i / 4,
           script.count("cores"),
@@ -225,13 +225,13 @@
           64,
           (long) script.number("work"),
           (long) script.number("load"),
-          KEEP_ALIVE,
+          KEEP_ALIVE_MICROS,
           loadsOnMiss,
           script.number("cancelling") > 0,
-          REPEAT_WINDOW,
+          REPEAT_WINDOW_MICROS,
           rules);
       runners.add(new StandInRunner(
-          nature, archive, keys, tap, script.count("seed") * 1000L + i, runnerLog));
+          settings, archive, keys, tap, script.count("seed") * 1000L + i, runnerLog));
       list.set(runners.get(i), Phase.RUNNING, false, true);
     }
     for (int i = 0; i < script.count("edges"); i++) {
@@ -239,7 +239,7 @@
     }
     for (EdgeSlot slot : edges) {
       slot.settings = directory.resolve("edge-" + slot.number + ".txtpb");
-      Files.writeString(slot.settings, settings(slot));
+      Files.writeString(slot.settings, settingsText(slot));
       slot.start();
     }
     for (EdgeSlot slot : edges) {
@@ -247,7 +247,7 @@
     }
   }
 
-  private String settings(EdgeSlot slot) {
+  private String settingsText(EdgeSlot slot) {
     StringBuilder peers = new StringBuilder();
     edges.stream()
         .filter(e -> e != slot)
@@ -293,22 +293,22 @@
             slot.number,
             edges.size(),
             directory.resolve("data-" + slot.number),
-            AIM / 1000,
-            DEADLINE / 1000,
+            LATENCY_TARGET_MICROS / 1000,
+            DEADLINE_MICROS / 1000,
             script.count("lanes"),
-            AIM / 1000,
-            DEADLINE / 1000,
+            LATENCY_TARGET_MICROS / 1000,
+            DEADLINE_MICROS / 1000,
             script.count("lanes"),
-            REPEAT_WINDOW / 1000,
-            AIM / 1000,
-            DEADLINE / 1000,
+            REPEAT_WINDOW_MICROS / 1000,
+            LATENCY_TARGET_MICROS / 1000,
+            DEADLINE_MICROS / 1000,
             script.count("lanes"),
             PATH,
             secret,
             script.number("on_miss") > 0,
             script.number("duplicates") > 0,
             script.number("cancelling") > 0,
-            KEEP_ALIVE / 1000,
+            KEEP_ALIVE_MICROS / 1000,
             rules.drainGrace() / 1000,
             rules.initialCapacity(),
             rules.rampDuration() / 1000,
@@ -373,28 +373,28 @@
   }
 
   /** How many edges there are, running or not. */
-  public int edges() {
+  public int edgeCount() {
     return edges.size();
   }
 
   /** Where an edge takes webhooks. */
-  public InetSocketAddress edge(int number) {
+  public InetSocketAddress edgeAddress(int number) {
     return edges.get(number).address;
   }
 
   /** An edge in this process, for tests that look inside. */
-  public Edge inside(int number) {
+  public Edge edgeInProcess(int number) {
     return edges.get(number).edge;
   }
 
   /** The settings file of an edge. */
-  public Path settings(int number) {
+  public Path settingsFile(int number) {
     return edges.get(number).settings;
   }
 
   /** Clients for this fleet. */
   public WebhookClients clients() {
-    return new WebhookClients(PATH, Secret.parse(secret), this::edge, tap);
+    return new WebhookClients(PATH, Secret.parse(secret), this::edgeAddress, tap);
   }
 
   /**
@@ -409,12 +409,12 @@
       Thread.sleep(downMillis);
       slot.start();
       slot.awaitReady();
-      tap.down(new Tap.Down(number, from, Clock.micros()));
+      tap.edgeWasDown(new Tap.Outage(number, from, Clock.micros()));
     }
   }
 
   /** Starts again every edge whose process was ended from outside. */
-  public void revive() throws IOException {
+  public void restartEnded() throws IOException {
     for (EdgeSlot slot : edges) {
       if (slot.process != null && !slot.process.isAlive()) {
         slot.start();
@@ -424,7 +424,7 @@
   }
 
   /** The process of an edge, for tests that kill it at a moment of their own. */
-  public Process process(int number) {
+  public Process edgeProcess(int number) {
     return edges.get(number).process;
   }
 
@@ -434,7 +434,7 @@
   }
 
   /** The ready line of {@code up}. */
-  public String ready(File runnerLog) {
+  public String readyLine(File runnerLog) {
     Map<String, Object> types = new java.util.LinkedHashMap<>();
     types.put("safe", "hours.read");
     types.put("keyed", "assessment.saved");
--- a/testbed/src/main/java/gorseladder/testbed/WebhookClients.java
+++ b/testbed/src/main/java/gorseladder/testbed/WebhookClients.java
@@ -136,10 +136,11 @@
     try {
       for (int i = 0; i < tries; i++) {
         stamp = Math.max(stamp + 1, System.currentTimeMillis() / 1000);
-        long patience = kind.deadline() / 2_000_000 * 1_000_000 < 1_000_000 || random.nextBoolean()
-            ? kind.deadline()
-            : (kind.deadline() / 1_000_000 - 1) * 1_000_000;
-        last = attempt(message, edge, kind, body, stamp, patience);
+        long clientTimeout =
+            kind.deadline() / 2_000_000 * 1_000_000 < 1_000_000 || random.nextBoolean()
+                ? kind.deadline()
+                : (kind.deadline() / 1_000_000 - 1) * 1_000_000;
+        last = attempt(message, edge, kind, body, stamp, clientTimeout);
         if (served(last) || !mayRetry(last, kind, firstAt)) {
           break;
         }
@@ -188,7 +189,7 @@
 
   /** One try; also what tests use to send exactly one request. */
   public Tap.Try attempt(
-      String message, int edge, Kind kind, byte[] body, long stamp, long patience) {
+      String message, int edge, Kind kind, byte[] body, long stamp, long clientTimeout) {
     InetSocketAddress to = edges.apply(edge);
     // Signed before its time begins to count: what this process takes for that is none of the
     // edge's.
@@ -197,11 +198,11 @@
         .field(Delivery.ID, message)
         .field(Delivery.TIMESTAMP, stamp)
         .field(Delivery.SIGNATURE, secret.sign(message, stamp, body));
-    if (patience < kind.deadline()) {
-      w.field("Prefer", "wait=" + patience / 1_000_000);
+    if (clientTimeout < kind.deadline()) {
+      w.field("Prefer", "wait=" + clientTimeout / 1_000_000);
     }
     byte[] request = w.with(body);
-    Tap.Try t = tap.sent(path + " " + message, edge, kind.effect(), Clock.micros(), patience);
+    Tap.Try t = tap.sent(path + " " + message, edge, kind.effect(), Clock.micros(), clientTimeout);
     HttpConnection c = null;
     try {
       c = borrow(to);
@@ -223,7 +224,7 @@
 
   private void answer(HttpConnection c, Tap.Try t, InetSocketAddress to)
       throws IOException, BadMessage {
-    long until = t.sentAt + t.patience + NO_ANSWER_AFTER;
+    long until = t.sentAt + t.clientTimeout + NO_ANSWER_AFTER;
     Head head = c.readResponse(until);
     c.readBody(BodyParser.forResponse(head, HttpLimits.INTERNAL), until);
     t.answeredAt = Clock.micros();
--- a/testbed/src/main/java/gorseladder/testbed/platform/FastCgiClient.java
+++ b/testbed/src/main/java/gorseladder/testbed/platform/FastCgiClient.java
@@ -20,7 +20,7 @@
 public final class FastCgiClient implements Closeable {
   private static final int STDOUT = 6;
   private static final int END_REQUEST = 3;
-  private static final String LIVE = "/status/live";
+  private static final String LIVENESS_PATH = "/status/live";
 
   /**
    * A whole answer; {@code status} is 0 where it had no response, {@code protocol} the protocol status.
@@ -37,7 +37,7 @@
   private final Socket socket;
   private final Map<Integer, ByteArrayOutputStream> streams = new HashMap<>();
   private final Map<Integer, Answer> answers = new HashMap<>();
-  private int second;
+  private int duplicateAnswers;
   private boolean ended;
 
   /** Connects. */
@@ -53,7 +53,8 @@
   public static boolean isLive(InetSocketAddress dispatcher, long millis)
       throws InterruptedException {
     try (FastCgiClient client = new FastCgiClient(dispatcher)) {
-      client.write(RecordWriter.request(1, true, Map.of("SCRIPT_NAME", LIVE), new byte[0]));
+      client.write(
+          RecordWriter.request(1, true, Map.of("SCRIPT_NAME", LIVENESS_PATH), new byte[0]));
       Answer answer = client.await(1, millis);
       return answer != null && answer.status() == 200;
     } catch (IOException e) {
@@ -93,7 +94,7 @@
         int id = (header[2] & 0xff) << 8 | header[3] & 0xff;
         byte[] content = in.readNBytes((header[4] & 0xff) << 8 | header[5] & 0xff);
         in.readNBytes(header[6] & 0xff);
-        heard(header[1], id, content);
+        recordReceived(header[1], id, content);
       }
     } catch (IOException e) {
       synchronized (this) {
@@ -103,12 +104,12 @@
     }
   }
 
-  private synchronized void heard(int type, int id, byte[] content) {
+  private synchronized void recordReceived(int type, int id, byte[] content) {
     if (type == STDOUT) {
       streams.computeIfAbsent(id, i -> new ByteArrayOutputStream()).writeBytes(content);
     } else if (type == END_REQUEST) {
       ByteArrayOutputStream stream = streams.remove(id);
-      second +=
+      duplicateAnswers +=
           answers.put(id, answer(stream == null ? new byte[0] : stream.toByteArray(), content[4]))
                   == null
               ? 0
@@ -162,8 +163,8 @@
   }
 
   /** Second answers to one request. */
-  public synchronized int second() {
-    return second;
+  public synchronized int duplicateAnswers() {
+    return duplicateAnswers;
   }
 
   @Override
--- a/testbed/src/main/java/gorseladder/testbed/platform/PlatformChangeLog.java
+++ b/testbed/src/main/java/gorseladder/testbed/platform/PlatformChangeLog.java
@@ -18,10 +18,10 @@
  * thread.
  */
 public final class PlatformChangeLog implements Closeable {
-  private static final int BEAT_MILLIS = 200;
+  private static final int HEARTBEAT_MILLIS = 200;
 
   /** What the present connection is told. */
-  private enum Telling {
+  private enum Mode {
     ALL,
     NOTHING,
     BYTES,
@@ -30,10 +30,10 @@
 
   private final ServerSocket server;
   private final List<String> events;
-  private final List<Long> asked = new ArrayList<>();
+  private final List<Long> requestedFrom = new ArrayList<>();
   private Socket current;
-  private Telling telling = Telling.ALL;
-  private int doubles;
+  private Mode mode = Mode.ALL;
+  private int repeats;
 
   /** A log on a free port of the loopback, sharing its events with others that take its place. */
   public PlatformChangeLog(List<String> events) throws IOException {
@@ -76,9 +76,9 @@
         Socket socket = server.accept();
         synchronized (this) {
           current = socket;
-          telling = Telling.ALL;
+          mode = Mode.ALL;
         }
-        Thread thread = new Thread(() -> tell(socket), "change-log-reader");
+        Thread thread = new Thread(() -> serve(socket), "change-log-reader");
         thread.setDaemon(true);
         thread.start();
       }
@@ -87,7 +87,7 @@
     }
   }
 
-  private void tell(Socket socket) {
+  private void serve(Socket socket) {
     try (socket) {
       String line = new BufferedReader(
               new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII))
@@ -95,16 +95,16 @@
       int from = Integer.parseInt(line.substring("since ".length()));
       OutputStream out = socket.getOutputStream();
       synchronized (this) {
-        asked.add((long) from);
+        requestedFrom.add((long) from);
       }
       while (true) {
         StringBuilder text = new StringBuilder();
         synchronized (this) {
-          for (; telling == Telling.ALL && from < events.size(); from++) {
-            text.append((events.get(from) + "\n").repeat(1 + doubles));
+          for (; mode == Mode.ALL && from < events.size(); from++) {
+            text.append((events.get(from) + "\n").repeat(1 + repeats));
           }
           text.append(
-              switch (telling) {
+              switch (mode) {
                 case ALL -> from + "\n";
                 case NOTHING -> "";
                 case BYTES -> " ";
@@ -116,8 +116,8 @@
           out.write(text.toString().getBytes(StandardCharsets.US_ASCII));
         }
         synchronized (this) {
-          if (telling != Telling.ALL || from >= events.size()) {
-            wait(BEAT_MILLIS);
+          if (mode != Mode.ALL || from >= events.size()) {
+            wait(HEARTBEAT_MILLIS);
           }
         }
       }
@@ -133,27 +133,27 @@
   }
 
   /** Stops telling on the present connection, which stays open; a new one is told again. */
-  public synchronized void fallSilent() {
-    telling = Telling.NOTHING;
+  public synchronized void stopSending() {
+    mode = Mode.NOTHING;
   }
 
   /** Has bytes trickle on the present connection that never make a line. */
-  public synchronized void trickle() {
-    telling = Telling.BYTES;
+  public synchronized void sendIncompleteLine() {
+    mode = Mode.BYTES;
   }
 
   /** Has the present connection told beats alone, with a number long passed. */
-  public synchronized void fallBehind() {
-    telling = Telling.OLD_BEATS;
+  public synchronized void sendStaleHeartbeats() {
+    mode = Mode.OLD_BEATS;
   }
 
   /** Writes every event so many times more from now on. */
-  public synchronized void doubled(int more) {
-    doubles = more;
+  public synchronized void repeatEvents(int more) {
+    repeats = more;
   }
 
   /** Breaks the present connection off inside an event. */
-  public synchronized void breakOff() throws IOException {
+  public synchronized void breakConnection() throws IOException {
     if (current != null) {
       synchronized (current) {
         current.getOutputStream().write("{\"seq\":9".getBytes(StandardCharsets.US_ASCII));
@@ -163,8 +163,8 @@
   }
 
   /** The numbers that readers asked from, so far. */
-  public synchronized List<Long> asked() {
-    return List.copyOf(asked);
+  public synchronized List<Long> requestedFrom() {
+    return List.copyOf(requestedFrom);
   }
 
   @Override
--- a/testbed/src/main/java/gorseladder/testbed/platform/PlatformRunner.java
+++ b/testbed/src/main/java/gorseladder/testbed/platform/PlatformRunner.java
@@ -53,11 +53,11 @@
   private final Function<Arrival, Reaction> script;
   private final List<Arrival> arrivals = new ArrayList<>();
   private final List<String> orders = new ArrayList<>();
-  private final List<Socket> blockers = new ArrayList<>();
+  private final List<Socket> backlogFillers = new ArrayList<>();
   private final Set<Socket> open = ConcurrentHashMap.newKeySet();
   private final Object work = new Object();
   private volatile int workMillis;
-  private int halts;
+  private int cancellations;
   private int connections;
 
   /** Listens on a free port of the loopback. */
@@ -72,14 +72,15 @@
   }
 
   /** A runner whose connections come up late: none before {@link #comeUp}, and then within about a second. */
-  public static PlatformRunner late(Function<Arrival, Reaction> script) throws IOException {
+  public static PlatformRunner withFullBacklog(Function<Arrival, Reaction> script)
+      throws IOException {
     PlatformRunner runner = new PlatformRunner(script, 1);
     try {
       // Once its queue of connections is full the system answers no further one.
       while (true) {
-        Socket blocker = new Socket();
-        runner.blockers.add(blocker);
-        blocker.connect(runner.server.getLocalSocketAddress(), 200);
+        Socket filler = new Socket();
+        runner.backlogFillers.add(filler);
+        filler.connect(runner.server.getLocalSocketAddress(), 200);
       }
     } catch (SocketTimeoutException e) {
       return runner;
@@ -87,9 +88,9 @@
   }
 
   /** Lets the connections of a late runner come up. */
-  public void comeUp() throws IOException {
-    for (Socket blocker : blockers) {
-      blocker.close();
+  public void acceptConnections() throws IOException {
+    for (Socket filler : backlogFillers) {
+      filler.close();
     }
     start(this::accept);
   }
@@ -101,7 +102,7 @@
   }
 
   /** Each request that is served takes so long from now on, one after the other; 0, as at first, for no time. */
-  public void works(int millis) {
+  public void setWorkMillis(int millis) {
     workMillis = millis;
   }
 
@@ -133,7 +134,7 @@
       for (String line = line(in); line != null; line = line(in)) {
         String[] words = line.split(" ");
         switch (words[0]) {
-          case "go" -> go(words, in, out, socket, connection);
+          case "go" -> handleCall(words, in, out, socket, connection);
           case "stage" -> {
             synchronized (this) {
               orders.add(words[2]);
@@ -142,7 +143,7 @@
           }
           case "halt" -> {
             synchronized (this) {
-              halts++;
+              cancellations++;
             }
           }
           default -> throw new IOException("not a command: " + line);
@@ -175,7 +176,8 @@
     return "made of " + id + " " + body;
   }
 
-  private void go(String[] words, InputStream in, OutputStream out, Socket socket, int connection)
+  private void handleCall(
+      String[] words, InputStream in, OutputStream out, Socket socket, int connection)
       throws IOException {
     int length = Integer.parseInt(words[3]);
     byte[] body = in.readNBytes(length);
@@ -242,8 +244,8 @@
   }
 
   /** Requests given up by the dispatcher so far. */
-  public synchronized int halts() {
-    return halts;
+  public synchronized int cancellations() {
+    return cancellations;
   }
 
   /** Connections taken so far. */
--- a/testbed/src/main/java/gorseladder/testbed/rehearsal/DispatcherDay.java
+++ b/testbed/src/main/java/gorseladder/testbed/rehearsal/DispatcherDay.java
@@ -49,7 +49,7 @@
   private final List<String> events = new ArrayList<>();
   private final List<PlatformRunner> runners = new ArrayList<>();
   private final List<FastCgiClient> clients = new ArrayList<>();
-  private final List<String> troubles = new ArrayList<>();
+  private final List<String> problems = new ArrayList<>();
   private final DatagramSocket other;
   private final InetSocketAddress listen;
   private final int peerPort;
@@ -99,8 +99,8 @@
   }
 
   /** What went otherwise than expected so far; empty where nothing did. */
-  public List<String> troubles() {
-    return List.copyOf(troubles);
+  public List<String> problems() {
+    return List.copyOf(problems);
   }
 
   /**
@@ -112,7 +112,7 @@
       throws IOException, InterruptedException {
     expect("live", () -> !dispatcher.isAlive() || isLive());
     if (!dispatcher.isAlive()) {
-      troubles.add("the dispatcher ended at its start");
+      problems.add("the dispatcher ended at its start");
       return;
     }
     over.accept("ready");
@@ -276,7 +276,7 @@
   private void expectAnswers(CallBatch calls) throws InterruptedException {
     int missing = calls.unanswered(PATIENCE);
     if (missing > 0) {
-      troubles.add(missing + " calls had no answer");
+      problems.add(missing + " calls had no answer");
     }
   }
 
@@ -319,16 +319,16 @@
     runners.add(new PlatformRunner(this::react));
     listed("r3", runners.get(3).address(), "active");
     served();
-    int asked = log.asked().size();
-    log.breakOff();
+    int asked = log.requestedFrom().size();
+    log.breakConnection();
     log.add("{\"seq\":" + (events.size() + 1) + ",\"fleet\":{\"rev\":1,\"all\":false,\"targets\":"
         + "[{\"uid\":\"odd\",\"endpoint\":\"nowhere\",\"state\":\"active\"}]}}");
-    expect("the change log is asked again", () -> log.asked().size() > asked);
-    log.fallBehind();
+    expect("the change log is asked again", () -> log.requestedFrom().size() > asked);
+    log.sendStaleHeartbeats();
     Thread.sleep(300);
-    int askedBefore = log.asked().size();
-    log.fallSilent();
-    expect("a silent change log is asked again", () -> log.asked().size() > askedBefore);
+    int askedBefore = log.requestedFrom().size();
+    log.stopSending();
+    expect("a silent change log is asked again", () -> log.requestedFrom().size() > askedBefore);
     listed("r1", runners.get(0).address(), "active", true, 0);
     listed("r3", runners.get(3).address(), "active");
     Thread.sleep(200);
@@ -350,7 +350,7 @@
     log = next;
     configure(DayConfig.text(next.address().getPort(), events, peerPort, address(other)));
     dispatcher.signal("HUP");
-    expect("the new change log is followed", () -> !next.asked().isEmpty());
+    expect("the new change log is followed", () -> !next.requestedFrom().isEmpty());
   }
 
   /** A stop while one call waits for an answer that comes too late, and with one that never gets any. */
@@ -372,7 +372,7 @@
     }
     int code = dispatcher.await(PATIENCE);
     if (code != STOPPED) {
-      troubles.add("the dispatcher ended with " + code);
+      problems.add("the dispatcher ended with " + code);
     }
   }
 
@@ -380,7 +380,7 @@
     long until = System.nanoTime() + PATIENCE * 1_000_000;
     while (!holds.getAsBoolean()) {
       if (System.nanoTime() > until) {
-        troubles.add("waited in vain: " + what);
+        problems.add("waited in vain: " + what);
         return;
       }
       Thread.sleep(5);
--- a/testbed/src/test/java/gorseladder/testbed/BadDaysTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/BadDaysTest.java
@@ -19,7 +19,7 @@
     DayScript day = DayScript.parse(script);
     try (TestFleet fleet = new TestFleet(day, dir, processes, line -> {})) {
       Play.Verdict verdict = new Play(day, fleet).run(null);
-      assertTrue(verdict.good(), verdict.breaks().toString() + verdict.fallen());
+      assertTrue(verdict.good(), verdict.violations().toString() + verdict.overloadedRunners());
       return verdict;
     }
   }
@@ -74,7 +74,7 @@
             List.of(),
             "planner { address: \"" + planner.address() + "\" ask_ms: 150 }\n")) {
       Play.Verdict verdict = new Play(day, fleet).run(null);
-      assertTrue(verdict.good(), verdict.breaks().toString() + verdict.fallen());
+      assertTrue(verdict.good(), verdict.violations().toString() + verdict.overloadedRunners());
       assertTrue(
           verdict.totals().served.get() > 0.9 * verdict.totals().calls.get(),
           verdict.totals().reasons.toString());
@@ -82,8 +82,8 @@
           .filter(o -> o.function().startsWith("svc/plan-"))
           .count();
       assertTrue(
-          planner.plans() > 20 && planned >= 5,
-          planner.plans() + " plans, " + planned + " orders of them");
+          planner.planCount() > 20 && planned >= 5,
+          planner.planCount() + " plans, " + planned + " orders of them");
     }
   }
 
--- a/testbed/src/test/java/gorseladder/testbed/EdgeConnectionTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/EdgeConnectionTest.java
@@ -45,7 +45,7 @@
   @ValueSource(booleans = {false, true})
   void noAttemptBeginsMuchAfterItsClientLeft(boolean pipelines) throws Exception {
     long leftAt;
-    try (Socket client = new Socket("127.0.0.1", fleet.edge(0).getPort())) {
+    try (Socket client = new Socket("127.0.0.1", fleet.edgeAddress(0).getPort())) {
       client.getOutputStream().write(signed("msg_leaves", ""));
       if (pipelines) {
         client.getOutputStream().write(signed("msg_behind", ""));
@@ -65,7 +65,7 @@
           .tap()
           .arrivals
           .forEach(attempt -> assertTrue(
-              attempt.at <= leftAt + GONE_SLACK + lag.ofACallAt(attempt.at),
+              attempt.at <= leftAt + GONE_SLACK + lag.callLagAt(attempt.at),
               () -> "began " + (attempt.at - leftAt) / 1_000 + " ms after its client left"));
     }
   }
@@ -79,7 +79,7 @@
   /** Guards against a request's time that begins only once the request before it on the connection is answered. */
   @Test
   void aPipelinedRequestsTimeBeginsWhenItComes() throws Exception {
-    try (Socket client = new Socket("127.0.0.1", fleet.edge(0).getPort())) {
+    try (Socket client = new Socket("127.0.0.1", fleet.edgeAddress(0).getPort())) {
       long sentAt = Clock.micros();
       client.getOutputStream().write(signed("msg_first", "Prefer: wait=1\r\n"));
       client.getOutputStream().write(signed("msg_behind", "Prefer: wait=2\r\n"));
@@ -91,7 +91,8 @@
         answers.append(new String(buffer, 0, count, StandardCharsets.ISO_8859_1));
       }
       long late = Clock.micros() - sentAt - 2 * SECOND;
-      assertTrue(late < Play.SLACK + lag.ofACallAt(Clock.micros()), late / 1_000 + " ms late");
+      assertTrue(
+          late < Play.BASE_SLACK_MICROS + lag.callLagAt(Clock.micros()), late / 1_000 + " ms late");
     }
   }
 
--- a/testbed/src/test/java/gorseladder/testbed/EdgeMemoryTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/EdgeMemoryTest.java
@@ -28,7 +28,9 @@
  */
 class EdgeMemoryTest {
   private static final WebhookClients.Kind SAFE = WebhookClients.kinds(
-          TestFleet.AIM, TestFleet.DEADLINE, TestFleet.REPEAT_WINDOW)
+          TestFleet.LATENCY_TARGET_MICROS,
+          TestFleet.DEADLINE_MICROS,
+          TestFleet.REPEAT_WINDOW_MICROS)
       .get(0);
 
   private static final List<String> SMALL_HEAP = List.of("env", "_JAVA_OPTIONS=-Xmx96m");
@@ -99,7 +101,7 @@
   void requestsThatComeByteByByteDisturbNoCalls() throws Exception {
     start();
     assertEquals(List.of(), faults(calls("before", 5)));
-    try (SlowClients slow = new SlowClients(fleet.edge(0), SLOW_REQUESTS, BODY_BYTES)) {
+    try (SlowClients slow = new SlowClients(fleet.edgeAddress(0), SLOW_REQUESTS, BODY_BYTES)) {
       Thread.sleep(SLOW_BEFORE_MILLIS);
       assertEquals(List.of(), faults(calls("beside", CALLS)));
       assertTrue(slow.sent() > 2 * SLOW_REQUESTS, "they sent too little to matter");
@@ -113,8 +115,8 @@
   void answersThatNeverEndDisturbNoOtherCalls() throws Exception {
     start();
     fleet.runners().forEach(runner -> {
-      runner.faults().endlessBytes = ANSWER_BYTES;
-      runner.faults().endless = ENDLESS;
+      runner.faults().endlessAnswerBytes = ANSWER_BYTES;
+      runner.faults().endlessFunction = ENDLESS;
     });
     assertEquals(List.of(), faults(calls("before", 5)));
     List<Future<Tap.Try>> endless = new ArrayList<>();
@@ -137,7 +139,8 @@
   /** One request without its last byte; a client that is refused meanwhile stops. */
   private void sendAllButTheLastByte() {
     try {
-      Socket socket = new Socket(InetAddress.getLoopbackAddress(), fleet.edge(0).getPort());
+      Socket socket =
+          new Socket(InetAddress.getLoopbackAddress(), fleet.edgeAddress(0).getPort());
       halves.add(socket);
       String head = "POST " + TestFleet.PATH + " HTTP/1.1\r\nHost: e\r\nwebhook-id: half\r\n"
           + "webhook-timestamp: 1\r\nwebhook-signature: v1,AAAA\r\nContent-Length: " + BODY_BYTES
@@ -190,8 +193,8 @@
   }
 
   private void assertNoThreadRanOutOfMemory() throws Exception {
-    fleet.process(0).toHandle().destroy();
-    assertTrue(fleet.process(0).waitFor(STOP_SECONDS, java.util.concurrent.TimeUnit.SECONDS));
+    fleet.edgeProcess(0).toHandle().destroy();
+    assertTrue(fleet.edgeProcess(0).waitFor(STOP_SECONDS, java.util.concurrent.TimeUnit.SECONDS));
     for (String file : List.of("edge-0.err", "edge-0.log")) {
       String said = Files.readString(dir.resolve(file));
       assertFalse(said.contains("OutOfMemoryError"), () -> said);
--- a/testbed/src/test/java/gorseladder/testbed/EdgePauseTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/EdgePauseTest.java
@@ -19,7 +19,9 @@
  */
 class EdgePauseTest {
   private static final Kind SAFE = WebhookClients.kinds(
-          TestFleet.AIM, TestFleet.DEADLINE, TestFleet.REPEAT_WINDOW)
+          TestFleet.LATENCY_TARGET_MICROS,
+          TestFleet.DEADLINE_MICROS,
+          TestFleet.REPEAT_WINDOW_MICROS)
       .get(0);
   private static final long PAUSE_MILLIS = 1_200;
 
@@ -49,7 +51,7 @@
 
   /** Sends a signal to the process of the only edge. */
   static void signal(TestFleet fleet, String name) throws IOException, InterruptedException {
-    String pid = Long.toString(fleet.process(0).pid());
+    String pid = Long.toString(fleet.edgeProcess(0).pid());
     assertEquals(0, new ProcessBuilder("kill", "-" + name, pid).start().waitFor());
   }
 
@@ -63,9 +65,9 @@
   }
 
   private void assertInTime(Tap.Try t) {
-    long late = t.answeredAt - t.sentAt - t.patience;
+    long late = t.answeredAt - t.sentAt - t.clientTimeout;
     assertTrue(
-        late <= Play.SLACK + lag.ofACallAt(t.answeredAt),
+        late <= Play.BASE_SLACK_MICROS + lag.callLagAt(t.answeredAt),
         t.message + " " + t.reason + " came " + late / 1_000 + " ms too late");
   }
 }
--- a/testbed/src/test/java/gorseladder/testbed/EdgeRuleWatchTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/EdgeRuleWatchTest.java
@@ -20,10 +20,12 @@
  */
 class EdgeRuleWatchTest {
   private static final Kind SAFE = WebhookClients.kinds(
-          TestFleet.AIM, TestFleet.DEADLINE, TestFleet.REPEAT_WINDOW)
+          TestFleet.LATENCY_TARGET_MICROS,
+          TestFleet.DEADLINE_MICROS,
+          TestFleet.REPEAT_WINDOW_MICROS)
       .get(0);
   /** By so much longer than the client waits and than an answer may be late without being lost. */
-  private static final long PAUSE_MILLIS = TestFleet.DEADLINE / 1_000 + 1_500;
+  private static final long PAUSE_MILLIS = TestFleet.DEADLINE_MICROS / 1_000 + 1_500;
 
   @TempDir
   Path dir;
@@ -39,7 +41,7 @@
           CompletableFuture.supplyAsync(() -> send(clients, "msg_late"));
       Thread.sleep(PAUSE_MILLIS);
       EdgePauseTest.signal(fleet, "CONT");
-      assertTrue(late.get().answeredAt > late.get().sentAt + late.get().patience, "not late");
+      assertTrue(late.get().answeredAt > late.get().sentAt + late.get().clientTimeout, "not late");
       fleet.stopEdge(0);
     }
     // Where logging is not configured, as in tests of this module, it goes to standard output.
--- a/testbed/src/test/java/gorseladder/testbed/FrontTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/FrontTest.java
@@ -60,7 +60,7 @@
 
   /** Sends bytes and reads until the edge closes or is silent for a while. */
   private static String talk(String request, boolean half) throws IOException {
-    try (Socket socket = new Socket("127.0.0.1", fleet.edge(0).getPort())) {
+    try (Socket socket = new Socket("127.0.0.1", fleet.edgeAddress(0).getPort())) {
       socket.getOutputStream().write(request.getBytes(StandardCharsets.UTF_8));
       socket.setSoTimeout(half ? 5_000 : 700);
       StringBuilder all = new StringBuilder();
@@ -105,7 +105,7 @@
     assertEquals(
         List.of(200),
         statuses(talk(signed("c1", body, "Transfer-Encoding: chunked\r\n\r\n") + chunks, false)));
-    try (Socket socket = new Socket("127.0.0.1", fleet.edge(0).getPort())) {
+    try (Socket socket = new Socket("127.0.0.1", fleet.edgeAddress(0).getPort())) {
       String head = signed(
           "c2", body, "Expect: 100-continue\r\nContent-Length: " + body.length() + "\r\n\r\n");
       socket.getOutputStream().write(head.getBytes(StandardCharsets.UTF_8));
@@ -157,7 +157,7 @@
   @Test
   void aSlowSenderIsAnsweredAndClosedAndOthersAreServedMeanwhile() throws Exception {
     String request = call("slow");
-    try (Socket socket = new Socket("127.0.0.1", fleet.edge(0).getPort())) {
+    try (Socket socket = new Socket("127.0.0.1", fleet.edgeAddress(0).getPort())) {
       socket.setSoTimeout(10_000);
       for (int i = 0; i < 5; i++) {
         socket
@@ -179,17 +179,19 @@
 
   @Test
   void aClientThatLeavesFreesItsCall() throws Exception {
-    long before = fleet.inside(0).counts().getOrDefault("gone", 0L);
+    long before = fleet.edgeInProcess(0).counts().getOrDefault("gone", 0L);
     fleet.runners().forEach(r -> r.faults().hang = true);
-    try (Socket socket = new Socket("127.0.0.1", fleet.edge(0).getPort())) {
+    try (Socket socket = new Socket("127.0.0.1", fleet.edgeAddress(0).getPort())) {
       socket.getOutputStream().write(call("gone").getBytes(StandardCharsets.UTF_8));
       Thread.sleep(100);
     }
-    for (int i = 0; i < 100 && fleet.inside(0).counts().getOrDefault("gone", 0L) == before; i++) {
+    for (int i = 0;
+        i < 100 && fleet.edgeInProcess(0).counts().getOrDefault("gone", 0L) == before;
+        i++) {
       Thread.sleep(20);
     }
     fleet.runners().forEach(r -> r.faults().hang = false);
-    assertEquals(before + 1, fleet.inside(0).counts().get("gone"));
+    assertEquals(before + 1, fleet.edgeInProcess(0).counts().get("gone"));
     assertEquals(List.of(200), statuses(talk(call("after"), false)));
   }
 
@@ -209,7 +211,7 @@
   void theFirstFaultOfASettingsFileIsNotTheOnlyOneNamed() throws IOException {
     Path bad = dir.resolve("bad.txtpb");
     Files.writeString(
-        bad, Files.readString(fleet.settings(0)).replace("aim_ms: 1000", "aim_ms: 0"));
+        bad, Files.readString(fleet.settingsFile(0)).replace("aim_ms: 1000", "aim_ms: 0"));
     assertEquals(3, gorseladder.edge.Edge.load(bad).faults().size());
   }
 }
--- a/testbed/src/test/java/gorseladder/testbed/HardCasesTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/HardCasesTest.java
@@ -28,13 +28,19 @@
 /** The cases in which an effect could happen twice or an answer be lost, each caused on sockets. */
 class HardCasesTest {
   private static final WebhookClients.Kind SAFE = WebhookClients.kinds(
-          TestFleet.AIM, TestFleet.DEADLINE, TestFleet.REPEAT_WINDOW)
+          TestFleet.LATENCY_TARGET_MICROS,
+          TestFleet.DEADLINE_MICROS,
+          TestFleet.REPEAT_WINDOW_MICROS)
       .get(0);
   private static final WebhookClients.Kind KEYED = WebhookClients.kinds(
-          TestFleet.AIM, TestFleet.DEADLINE, TestFleet.REPEAT_WINDOW)
+          TestFleet.LATENCY_TARGET_MICROS,
+          TestFleet.DEADLINE_MICROS,
+          TestFleet.REPEAT_WINDOW_MICROS)
       .get(1);
   private static final WebhookClients.Kind UNSAFE = WebhookClients.kinds(
-          TestFleet.AIM, TestFleet.DEADLINE, TestFleet.REPEAT_WINDOW)
+          TestFleet.LATENCY_TARGET_MICROS,
+          TestFleet.DEADLINE_MICROS,
+          TestFleet.REPEAT_WINDOW_MICROS)
       .get(2);
 
   /** A disk that stops for longer than any client waits. */
@@ -61,15 +67,15 @@
   @AfterEach
   void close() {
     if (fleet != null) {
-      List<RuleChecker.Break> breaks = RuleChecker.report(
+      List<RuleChecker.Violation> violations = RuleChecker.report(
               fleet.tap(),
               fleet.rules(),
-              TestFleet.REPEAT_WINDOW,
-              at -> Play.SLACK + lag.ofACallAt(at))
-          .breaks();
+              TestFleet.REPEAT_WINDOW_MICROS,
+              at -> Play.BASE_SLACK_MICROS + lag.callLagAt(at))
+          .violations();
       lag.close();
       fleet.close();
-      assertEquals(List.of(), breaks);
+      assertEquals(List.of(), violations);
     }
   }
 
@@ -136,7 +142,7 @@
     for (int i = 0; i < 8; i++) {
       assertEquals(List.of(200), send("msg_warm" + i, SAFE, 0).statuses);
     }
-    fleet.runners().forEach(r -> r.faults().stale = true);
+    fleet.runners().forEach(r -> r.faults().closeReused = true);
     assertEquals(List.of(200), send("msg_issue", UNSAFE, 0).statuses);
     assertEquals(1, runs("msg_issue"));
     assertEquals(List.of(200), send("msg_read", SAFE, 0).statuses);
@@ -224,7 +230,7 @@
         ledger.put(TestFleet.PATH + " msg_left_" + name, taken.withStage(Stage.LEAVING, true, now));
         ledger.put(
             TestFleet.PATH + " msg_old_" + name,
-            taken.withStage(Stage.LEAVING, true, now - TestFleet.REPEAT_WINDOW));
+            taken.withStage(Stage.LEAVING, true, now - TestFleet.REPEAT_WINDOW_MICROS));
         ledger.put(
             TestFleet.PATH + " msg_served_" + name,
             taken
@@ -261,7 +267,7 @@
   void twoStartsWithAnOldListStillServe() throws Exception {
     fleet("runners = 6;");
     assertEquals(List.of(200), send("msg_first", SAFE, 0).statuses);
-    fleet.list().behind(true);
+    fleet.list().setBehind(true);
     for (int i = 0; i < 2; i++) {
       fleet.runners().get(i).crash();
       fleet.list().set(fleet.runners().get(i), Phase.GONE, false, true);
@@ -282,8 +288,8 @@
     byte[] bytes = Files.readAllBytes(file);
     Files.write(file, new byte[bytes.length]);
     java.io.ByteArrayOutputStream err = new java.io.ByteArrayOutputStream();
-    int code =
-        gorseladder.edge.EdgeMain.run(fleet.settings(0), System.out, new java.io.PrintStream(err));
+    int code = gorseladder.edge.EdgeMain.run(
+        fleet.settingsFile(0), System.out, new java.io.PrintStream(err));
     assertEquals(gorseladder.edge.EdgeMain.CANNOT_START, code);
     assertTrue(
         err.toString().contains(folder.toString()) && err.toString().contains("Way out"),
@@ -376,11 +382,11 @@
     fleet("runners = 2;");
     assertEquals(List.of(200), send("msg_before", SAFE, 0).statuses);
     List<Socket> crowd = new ArrayList<>();
-    fleet.clientThreads().none(true);
+    fleet.clientThreads().setExhausted(true);
     try {
       for (int i = 0; i < 40; i++) {
         Socket socket = new Socket();
-        socket.connect(fleet.edge(0), 1_000);
+        socket.connect(fleet.edgeAddress(0), 1_000);
         socket.getOutputStream().write(ASKS_FOR_NOTHING);
         crowd.add(socket);
       }
@@ -394,7 +400,7 @@
         assertInTime(t.get());
       }
     } finally {
-      fleet.clientThreads().none(false);
+      fleet.clientThreads().setExhausted(false);
       for (Socket socket : crowd) {
         socket.close();
       }
@@ -409,7 +415,7 @@
   void anAttemptThatHasNoThreadWaitsForOne() throws Exception {
     fleet("runners = 8; work = 150ms; cores = 8; lanes = 8;");
     assertEquals(List.of(200), send("msg_before", SAFE, 0).statuses);
-    fleet.attemptThreads().none(true);
+    fleet.attemptThreads().setExhausted(true);
     List<CompletableFuture<Tap.Try>> tries = new ArrayList<>();
     ExecutorService callers = Executors.newFixedThreadPool(CALLS_AT_ONCE);
     for (int i = 0; i < CALLS_AT_ONCE; i++) {
@@ -420,7 +426,7 @@
       assertEquals("served", t.get().reason);
     }
     callers.shutdown();
-    fleet.attemptThreads().none(false);
+    fleet.attemptThreads().setExhausted(false);
   }
 
   private void awaitArrival(String id) throws InterruptedException {
@@ -430,9 +436,9 @@
   }
 
   private void assertInTime(Tap.Try t) {
-    long late = t.answeredAt - t.sentAt - t.patience;
+    long late = t.answeredAt - t.sentAt - t.clientTimeout;
     assertTrue(
-        late <= Play.SLACK + lag.ofACallAt(t.answeredAt),
+        late <= Play.BASE_SLACK_MICROS + lag.callLagAt(t.answeredAt),
         t.message + " " + t.reason + " came " + late / 1000 + " ms too late");
   }
 
--- a/testbed/src/test/java/gorseladder/testbed/LastLookTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/LastLookTest.java
@@ -43,12 +43,14 @@
   @Test
   void anAttemptHeldBackBeyondADrainNeverLeavesAndTheCallGoesElsewhere() throws Exception {
     Tap tap = new Tap();
-    StandInRunner.Nature nature = new StandInRunner.Nature(
+    StandInRunner.Settings runnerSettings = new StandInRunner.Settings(
         "z", 0, 4, 1, 6_000, 64, 5_000, 5_000, 8_000_000, true, true, 8_000_000, RULES);
-    StandInRunner.KeyMemory keys = new StandInRunner.KeyMemory();
+    StandInRunner.IdempotencyKeys keys = new StandInRunner.IdempotencyKeys();
     SendGate gate = new SendGate(RULES);
-    try (StandInRunner a = new StandInRunner(nature, new Archive(4, 40), keys, tap, 1, l -> {});
-        StandInRunner b = new StandInRunner(nature, new Archive(4, 40), keys, tap, 2, l -> {});
+    try (StandInRunner a =
+            new StandInRunner(runnerSettings, new Archive(4, 40), keys, tap, 1, l -> {});
+        StandInRunner b =
+            new StandInRunner(runnerSettings, new Archive(4, 40), keys, tap, 2, l -> {});
         Ledger ledger = Ledger.open(dir.resolve("ledger"), false, 100);
         Watchdog watchdog = new Watchdog("watchdog", 256 << 10);
         Runners runners = new Runners(
--- a/testbed/src/test/java/gorseladder/testbed/MessageMemoryTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/MessageMemoryTest.java
@@ -31,8 +31,8 @@
   private static final long GIVEN_BACK_MILLIS = 5_000;
   private static final long SEED = 50;
 
-  private static final List<WebhookClients.Kind> KINDS =
-      WebhookClients.kinds(TestFleet.AIM, TestFleet.DEADLINE, TestFleet.REPEAT_WINDOW);
+  private static final List<WebhookClients.Kind> KINDS = WebhookClients.kinds(
+      TestFleet.LATENCY_TARGET_MICROS, TestFleet.DEADLINE_MICROS, TestFleet.REPEAT_WINDOW_MICROS);
 
   @TempDir
   Path dir;
@@ -144,8 +144,8 @@
   void anAnswerPastTheBoundEndsItsAttempt(int kind, int attempts, int status) throws Exception {
     start("limits { max_message_bytes: 1048576 }");
     fleet.runners().forEach(runner -> {
-      runner.faults().endlessBytes = 4 << 20;
-      runner.faults().endless = "svc/endless";
+      runner.faults().endlessAnswerBytes = 4 << 20;
+      runner.faults().endlessFunction = "svc/endless";
     });
     assertEquals(List.of(200), attempt("before", KINDS.get(0), "svc/a").statuses);
     Tap.Try past = attempt("past", KINDS.get(kind), "svc/endless");
@@ -177,21 +177,22 @@
 
   private void awaitKept(long bytes) throws InterruptedException {
     long until = System.nanoTime() + GIVEN_BACK_MILLIS * 1_000_000;
-    while (fleet.inside(0).messageBytes() < bytes && System.nanoTime() < until) {
+    while (fleet.edgeInProcess(0).messageBytes() < bytes && System.nanoTime() < until) {
       Thread.sleep(5);
     }
   }
 
   private void assertGivenBack() throws InterruptedException {
     long until = System.nanoTime() + GIVEN_BACK_MILLIS * 1_000_000;
-    while (fleet.inside(0).messageBytes() != 0 && System.nanoTime() < until) {
+    while (fleet.edgeInProcess(0).messageBytes() != 0 && System.nanoTime() < until) {
       Thread.sleep(5);
     }
-    assertEquals(0, fleet.inside(0).messageBytes(), "bytes kept after all ended");
+    assertEquals(0, fleet.edgeInProcess(0).messageBytes(), "bytes kept after all ended");
   }
 
   private Socket connect() throws IOException {
-    Socket socket = new Socket(InetAddress.getLoopbackAddress(), fleet.edge(0).getPort());
+    Socket socket =
+        new Socket(InetAddress.getLoopbackAddress(), fleet.edgeAddress(0).getPort());
     socket.setSoTimeout(10_000);
     return socket;
   }
--- a/testbed/src/test/java/gorseladder/testbed/PlannerPathTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/PlannerPathTest.java
@@ -92,7 +92,9 @@
       PlannerServer planner = planner(at);
       WebhookClients clients = fleet.clients();
       WebhookClients.Kind kind = WebhookClients.kinds(
-              TestFleet.AIM, TestFleet.DEADLINE, TestFleet.REPEAT_WINDOW)
+              TestFleet.LATENCY_TARGET_MICROS,
+              TestFleet.DEADLINE_MICROS,
+              TestFleet.REPEAT_WINDOW_MICROS)
           .get(0);
       call(clients, kind, "first", 0);
       call(clients, kind, "second", 0);
@@ -101,7 +103,7 @@
       until("both edges", () -> planner.planner().state().get("edges").equals(List.of(0, 1)));
       // A copy that an edge believes warm is not ordered anew, and the plan may name the very
       // worker of the first two calls.
-      long agedOut = Clock.micros() + TestFleet.KEEP_ALIVE + 1_000_000;
+      long agedOut = Clock.micros() + TestFleet.KEEP_ALIVE_MICROS + 1_000_000;
       until("the first copies aged out", () -> Clock.micros() > agedOut);
       int before = orders(fleet);
       wall.addAndGet(17_500_000);
--- a/testbed/src/test/java/gorseladder/testbed/ProcessTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/ProcessTest.java
@@ -19,7 +19,9 @@
 /** An edge as a process: signals, exit codes, networks. */
 class ProcessTest {
   private static final WebhookClients.Kind UNSAFE = WebhookClients.kinds(
-          TestFleet.AIM, TestFleet.DEADLINE, TestFleet.REPEAT_WINDOW)
+          TestFleet.LATENCY_TARGET_MICROS,
+          TestFleet.DEADLINE_MICROS,
+          TestFleet.REPEAT_WINDOW_MICROS)
       .get(2);
 
   @TempDir
@@ -38,10 +40,10 @@
           System.currentTimeMillis() / 1000,
           UNSAFE.deadline()));
       awaitArrival(fleet, 1);
-      fleet.process(0).toHandle().destroy();
+      fleet.edgeProcess(0).toHandle().destroy();
       assertEquals(List.of(200), call.get(10, TimeUnit.SECONDS).statuses);
-      assertTrue(fleet.process(0).waitFor(10, TimeUnit.SECONDS));
-      assertEquals(EdgeMain.OK, fleet.process(0).exitValue());
+      assertTrue(fleet.edgeProcess(0).waitFor(10, TimeUnit.SECONDS));
+      assertEquals(EdgeMain.OK, fleet.edgeProcess(0).exitValue());
 
       fleet.runners().forEach(r -> r.faults().hang = true);
       CompletableFuture.runAsync(() -> clients.attempt(
@@ -52,11 +54,12 @@
           System.currentTimeMillis() / 1000,
           UNSAFE.deadline()));
       awaitArrival(fleet, 2);
-      fleet.process(1).toHandle().destroy();
+      fleet.edgeProcess(1).toHandle().destroy();
       Thread.sleep(300);
-      fleet.process(1).toHandle().destroy();
-      assertTrue(fleet.process(1).waitFor(1_500, TimeUnit.MILLISECONDS), "it waited for its call");
-      assertEquals(143, fleet.process(1).exitValue());
+      fleet.edgeProcess(1).toHandle().destroy();
+      assertTrue(
+          fleet.edgeProcess(1).waitFor(1_500, TimeUnit.MILLISECONDS), "it waited for its call");
+      assertEquals(143, fleet.edgeProcess(1).exitValue());
       fleet.runners().forEach(r -> r.faults().hang = false);
     }
   }
@@ -77,7 +80,7 @@
     try (TestFleet fleet =
         new TestFleet(DayScript.parse("edges = 1; runners = 1;"), dir, false, line -> {})) {
       Path file = dir.resolve("second.txtpb");
-      String good = Files.readString(fleet.settings(0));
+      String good = Files.readString(fleet.settingsFile(0));
       Files.writeString(file, good.replace("data-0", "data-second"));
       java.io.ByteArrayOutputStream err = new java.io.ByteArrayOutputStream();
       assertEquals(
@@ -96,7 +99,7 @@
       Path file = dir.resolve("far.txtpb");
       Files.writeString(
           file,
-          Files.readString(fleet.settings(0))
+          Files.readString(fleet.settingsFile(0))
               .replace("data-0", "data-far")
               .replace(
                   "allow_network: \"127.0.0.0/8\"",
--- a/testbed/src/test/java/gorseladder/testbed/RuleCheckerTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/RuleCheckerTest.java
@@ -16,7 +16,7 @@
 
   private List<Integer> rules() {
     return RuleChecker.check(tap, RULES, 2000, 10).stream()
-        .map(RuleChecker.Break::rule)
+        .map(RuleChecker.Violation::rule)
         .distinct()
         .toList();
   }
@@ -46,7 +46,7 @@
     answered("b", Effect.SAFE, 0, 100, 200);
     arrived("b", "r1", 10, true, false);
     arrived("b", "r2", 20, true, false);
-    tap.told(new Tap.Told(0, "r1", Phase.DRAINING, 50));
+    tap.phaseReported(new Tap.PhaseReport(0, "r1", Phase.DRAINING, 50));
     arrived("b", "r1", 60, true, false);
     assertEquals(List.of(), rules());
   }
@@ -63,7 +63,7 @@
     assertEquals(List.of(1), rules());
     tap.tries.clear();
     answered("a", Effect.SAFE, 0, 0);
-    tap.down(new Tap.Down(0, 500, 600));
+    tap.edgeWasDown(new Tap.Outage(0, 500, 600));
     assertEquals(List.of(), rules(), "what a killed edge held is the client's to retry");
   }
 
@@ -117,7 +117,7 @@
 
   @Test
   void callsAndOrdersAfterADrain() {
-    tap.told(new Tap.Told(0, "r1", Phase.DRAINING, 0));
+    tap.phaseReported(new Tap.PhaseReport(0, "r1", Phase.DRAINING, 0));
     tap.ordered(new Tap.Order("r1", 0, "f", 1, 400));
     assertEquals(List.of(), rules());
     tap.ordered(new Tap.Order("r1", 0, "f", 0, 900));
@@ -128,7 +128,7 @@
     answered("a", Effect.SAFE, 600, 700, 200);
     arrived("a", "r1", 650, true, false);
     assertEquals(List.of(3), rules());
-    tap.told(new Tap.Told(0, "r1", Phase.RUNNING, 640));
+    tap.phaseReported(new Tap.PhaseReport(0, "r1", Phase.RUNNING, 640));
     assertEquals(List.of(), rules());
   }
 
@@ -148,13 +148,13 @@
     answered("a", Effect.UNSAFE, 0, 100, 200);
     arrived("a", "r1", 10, false, true);
     arrived("a", "r2", 20, true, false);
-    tap.told(new Tap.Told(0, "r1", Phase.DRAINING, 50));
+    tap.phaseReported(new Tap.PhaseReport(0, "r1", Phase.DRAINING, 50));
     arrived("b", "r1", 60, true, false);
-    List<RuleChecker.Pressure> all =
-        RuleChecker.report(tap, RULES, 2000, at -> 10).pressures();
+    List<RuleChecker.RuleStats> all =
+        RuleChecker.report(tap, RULES, 2000, at -> 10).ruleStats();
     assertEquals(
         List.of(1L, 1L, 2L, 0L),
-        all.subList(0, 4).stream().map(RuleChecker.Pressure::occasions).toList());
+        all.subList(0, 4).stream().map(RuleChecker.RuleStats::occasions).toList());
     assertEquals(0.9, all.get(0).closest(), 1e-9);
     assertEquals((RULES.drainGrace() - 10) / 1000.0, all.get(2).closest(), 1e-9);
     assertEquals("rule 4: no occasion, not tested", all.get(3).toString());
@@ -166,16 +166,16 @@
    */
   @Test
   void whatAStallMayExplainIsNotJudged() {
-    tap.told(new Tap.Told(0, "r1", Phase.DRAINING, 1_000));
+    tap.phaseReported(new Tap.PhaseReport(0, "r1", Phase.DRAINING, 1_000));
     long grace = 1_000 + RULES.drainGrace();
     arrived("in-stall", "r1", grace + 60, true, false);
     arrived("after-it", "r1", grace + 160, true, false);
     RuleChecker.Report report =
         RuleChecker.report(tap, RULES, 2000, at -> at < grace + 100 ? 80 : 10);
-    assertEquals(1, report.breaks().stream().filter(b -> b.rule() == 3).count());
+    assertEquals(1, report.violations().stream().filter(b -> b.rule() == 3).count());
     assertTrue(
-        report.breaks().stream().anyMatch(b -> b.toString().contains("after-it")),
-        report.breaks().toString());
-    assertEquals(1, report.pressures().get(2).notJudged());
+        report.violations().stream().anyMatch(b -> b.toString().contains("after-it")),
+        report.violations().toString());
+    assertEquals(1, report.ruleStats().get(2).notJudged());
   }
 }
--- a/testbed/src/test/java/gorseladder/testbed/WholePathTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/WholePathTest.java
@@ -20,7 +20,9 @@
   @Test
   void theHistoryAddsUpToWhatWasTaken() throws Exception {
     WebhookClients.Kind kind = WebhookClients.kinds(
-            TestFleet.AIM, TestFleet.DEADLINE, TestFleet.REPEAT_WINDOW)
+            TestFleet.LATENCY_TARGET_MICROS,
+            TestFleet.DEADLINE_MICROS,
+            TestFleet.REPEAT_WINDOW_MICROS)
         .get(0);
     try (TestFleet fleet = new TestFleet(
         DayScript.parse("edges = 1; runners = 2; work = 2ms; load = 5ms;"), dir, false, l -> {})) {
@@ -61,7 +63,7 @@
         DayScript.parse("day = 2s; edges = 2; runners = 4; functions = 4; rate = 60;");
     try (TestFleet fleet = new TestFleet(script, dir, false, line -> {})) {
       Play.Verdict verdict = new Play(script, fleet).run(null);
-      assertTrue(verdict.good(), verdict.breaks().toString());
+      assertTrue(verdict.good(), verdict.violations().toString());
       assertEquals(
           verdict.totals().calls.get(),
           verdict.totals().served.get(),
--- a/testbed/src/test/java/gorseladder/testbed/platform/ChangeLogEntriesTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/platform/ChangeLogEntriesTest.java
@@ -33,7 +33,8 @@
   void anEntryThatCannotBeReadHidesNoOther(String entry) throws Exception {
     start(2, arrival -> Reaction.SERVE);
     log.add(EVENT.formatted("false", entry, GONE_FIRST));
-    assertTrue(within(3_000, () -> !node.runners().contains("r0")), () -> "asked " + log.asked());
+    assertTrue(
+        within(3_000, () -> !node.runners().contains("r0")), () -> "asked " + log.requestedFrom());
     log.add(PlatformChangeLog.event(4, false, "r2", runners.get(1).address(), "active"));
     assertTrue(within(3_000, () -> node.runners().contains("r2")), "nothing is heard after it");
   }
@@ -51,7 +52,8 @@
   void anUnreadableEntryOfAWholeListLeavesItsRunnerAsItWas() throws Exception {
     start(2, arrival -> Reaction.SERVE);
     log.add(EVENT.formatted("true", "{\"uid\":\"r1\",\"state\":\"active\"}", GONE_FIRST));
-    assertTrue(within(3_000, () -> !node.runners().contains("r0")), () -> "asked " + log.asked());
+    assertTrue(
+        within(3_000, () -> !node.runners().contains("r0")), () -> "asked " + log.requestedFrom());
     assertEquals(Set.of("r1"), node.runners());
   }
 
@@ -70,6 +72,7 @@
     start(2, arrival -> Reaction.SERVE);
     log.add(event);
     log.add(PlatformChangeLog.event(4, false, "r1", runners.get(1).address(), "left"));
-    assertTrue(within(4_000, () -> !node.runners().contains("r1")), () -> "asked " + log.asked());
+    assertTrue(
+        within(4_000, () -> !node.runners().contains("r1")), () -> "asked " + log.requestedFrom());
   }
 }
--- a/testbed/src/test/java/gorseladder/testbed/platform/ClockStepTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/platform/ClockStepTest.java
@@ -65,7 +65,7 @@
       send(client, ++call, 1_000);
     }
     PlatformRunner fresh = new PlatformRunner(a -> Reaction.SERVE);
-    fresh.works(WORK_MILLIS);
+    fresh.setWorkMillis(WORK_MILLIS);
     runners.add(fresh);
     work.set(workThen);
     long stamp = System.currentTimeMillis() + TimeUnit.HOURS.toMillis(hours);
--- a/testbed/src/test/java/gorseladder/testbed/platform/CrossingsTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/platform/CrossingsTest.java
@@ -115,7 +115,7 @@
   void nothingIsSentForAClientThatLeftWhileItsCallWaited() throws Exception {
     connect = 5 * SECOND;
     deadline = 5 * SECOND;
-    runners.add(PlatformRunner.late(a -> Reaction.SERVE));
+    runners.add(PlatformRunner.withFullBacklog(a -> Reaction.SERVE));
     start();
     FastCgiClient closes = client();
     closes.send(1, FastCgiClient.params("unsafe", id(1), FUNCTION, 4_900), body(1));
@@ -127,7 +127,7 @@
     closes.close();
     aborts.write(RecordWriter.abort(1));
     assertTrue(within(1_000, () -> node.callsOut() == 1), node.summary());
-    runners.get(0).comeUp();
+    runners.get(0).acceptConnections();
     assertEquals(200, stays.await(1, 4_000).status());
     assertEquals(List.of(id(3)), arrivals().stream().map(Arrival::id).toList());
   }
@@ -210,22 +210,22 @@
   @ValueSource(booleans = {true, false})
   void aWatchThatTricklesOrFallsBehindIsAskedAnew(boolean trickles) throws Exception {
     start(1, a -> Reaction.SERVE);
-    assertTrue(within(2_000, () -> log.asked().size() == 1));
+    assertTrue(within(2_000, () -> log.requestedFrom().size() == 1));
     if (trickles) {
-      log.trickle();
+      log.sendIncompleteLine();
     } else {
-      log.fallBehind();
+      log.sendStaleHeartbeats();
     }
     log.add(PlatformChangeLog.event(2, false, "r1", runners.get(0).address(), "active"));
     assertTrue(within(3_500, () -> node.runners().contains("r1")));
-    assertEquals(List.of(1L, 1L), log.asked());
+    assertEquals(List.of(1L, 1L), log.requestedFrom());
   }
 
   /** Moved to a change log that is down at first: it is asked as soon as it is there, and the list stays until then. */
   @Test
   void aNewChangeLogThatIsDownAtFirstIsFollowed() throws Exception {
     start(1, a -> Reaction.SERVE);
-    assertTrue(within(2_000, () -> log.asked().size() == 1));
+    assertTrue(within(2_000, () -> log.requestedFrom().size() == 1));
     InetSocketAddress address;
     // Nobody ever accepts there, so that nothing of it can answer once it is closed.
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -239,15 +239,15 @@
     log = new PlatformChangeLog(events, address.getPort());
     log.add(PlatformChangeLog.event(2, false, "r1", runners.get(0).address(), "active"));
     assertTrue(within(2_000, () -> node.runners().contains("r1")));
-    assertEquals(List.of(1L), log.asked());
+    assertEquals(List.of(1L), log.requestedFrom());
   }
 
   /** A whole list that takes the place of one half told: what it leaves out has gone, what it has is there. */
   @Test
   void aWholeListAfterABreakInsideAnEventStands() throws Exception {
     start(2, a -> Reaction.SERVE);
-    assertTrue(within(2_000, () -> log.asked().size() == 1));
-    log.breakOff();
+    assertTrue(within(2_000, () -> log.requestedFrom().size() == 1));
+    log.breakConnection();
     log.add(PlatformChangeLog.event(3, true, "r7", runners.get(0).address(), "active"));
     assertTrue(
         within(2_000, () -> node.runners().equals(Set.of("r7"))), node.runners().toString());
@@ -263,7 +263,7 @@
     connect = 3 * SECOND;
     deadline = 4 * SECOND;
     CountDownLatch secondIsListed = new CountDownLatch(1);
-    PlatformRunner late = PlatformRunner.late(a -> Reaction.SERVE);
+    PlatformRunner late = PlatformRunner.withFullBacklog(a -> Reaction.SERVE);
     start(1, a -> await(secondIsListed) ? Reaction.RESET : Reaction.SERVE);
     FastCgiClient client = client();
     client.send(1, FastCgiClient.params("keyed", id(1), FUNCTION, 3_900), body(1));
@@ -273,7 +273,7 @@
     Thread.sleep(100);
     secondIsListed.countDown();
     Thread.sleep(350);
-    late.comeUp();
+    late.acceptConnections();
     assertNotNull(client.await(1, 5_000));
     assertEquals(List.of(), late.arrivals());
   }
@@ -286,7 +286,7 @@
   void whatWasDecidedBeforeARestartDoesNotMeetTheColdRunner() throws Exception {
     connect = 3 * SECOND;
     deadline = 4 * SECOND;
-    PlatformRunner late = PlatformRunner.late(a -> Reaction.SERVE);
+    PlatformRunner late = PlatformRunner.withFullBacklog(a -> Reaction.SERVE);
     runners.add(late);
     start();
     FastCgiClient client = client();
@@ -297,7 +297,7 @@
     log.add(PlatformChangeLog.event(
         2, false, "r0", late.address(), "active", System.currentTimeMillis()));
     Thread.sleep(200);
-    late.comeUp();
+    late.acceptConnections();
     Thread.sleep(1_500);
     int met = late.arrivals().size();
     assertTrue(met <= 5, () -> "a runner that just started met " + met + " calls at once");
--- a/testbed/src/test/java/gorseladder/testbed/platform/LittleProcessorTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/platform/LittleProcessorTest.java
@@ -120,7 +120,7 @@
         runMillis + " ms" + (warm ? " warm" : " cold"), sent.size() + " sent, served " + served());
     assertEquals(List.of(), faults, this::said);
     for (FastCgiClient client : kept) {
-      assertEquals(0, client.second(), "second answers");
+      assertEquals(0, client.duplicateAnswers(), "second answers");
     }
   }
 
--- a/testbed/src/test/java/gorseladder/testbed/platform/NodePathTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/platform/NodePathTest.java
@@ -64,7 +64,7 @@
               new String(answer.body(), StandardCharsets.ISO_8859_1));
         }
       }
-      assertEquals(0, client.second());
+      assertEquals(0, client.duplicateAnswers());
       client.close();
     }
     Map<String, Integer> unsafe = new HashMap<>();
@@ -146,26 +146,26 @@
   @Test
   void anEventWithoutRunnersIsPassedOver() throws Exception {
     start(1, a -> Reaction.SERVE);
-    assertTrue(within(2_000, () -> log.asked().size() == 1));
+    assertTrue(within(2_000, () -> log.requestedFrom().size() == 1));
     log.add("{\"seq\":2,\"other\":{}}");
     log.add(PlatformChangeLog.event(3, false, "r1", runners.get(0).address(), "active"));
     assertTrue(within(2_000, () -> node.runners().contains("r1")));
-    assertEquals(List.of(1L), log.asked());
+    assertEquals(List.of(1L), log.requestedFrom());
   }
 
   /** Breaks, silence, doubled events and another address: the list is whole after each. */
   @Test
   void theChangeLogIsFollowedThroughBreaksSilenceDoublesAndAMove() throws Exception {
     start(1, a -> Reaction.SERVE);
-    assertTrue(within(2_000, () -> log.asked().size() == 1));
-    log.breakOff();
+    assertTrue(within(2_000, () -> log.requestedFrom().size() == 1));
+    log.breakConnection();
     log.add(PlatformChangeLog.event(2, false, "r1", runners.get(0).address(), "active"));
     assertTrue(within(2_000, () -> node.runners().contains("r1")), "after a break");
-    assertEquals(List.of(1L, 1L), log.asked());
-    log.doubled(1);
+    assertEquals(List.of(1L, 1L), log.requestedFrom());
+    log.repeatEvents(1);
     log.add(PlatformChangeLog.event(3, false, "r2", runners.get(0).address(), "active"));
     assertTrue(within(2_000, () -> node.runners().contains("r2")), "doubled");
-    log.fallSilent();
+    log.stopSending();
     log.add(PlatformChangeLog.event(4, false, "r3", runners.get(0).address(), "active"));
     assertTrue(within(4_000, () -> node.runners().contains("r3")), "after silence");
     PlatformChangeLog next = new PlatformChangeLog(events);
@@ -174,7 +174,7 @@
     node.changeLogAt(next.address());
     next.add(PlatformChangeLog.event(5, false, "r0", runners.get(0).address(), "left"));
     assertTrue(within(3_000, () -> !node.runners().contains("r0")), "after a move");
-    assertEquals(List.of(4L), next.asked());
+    assertEquals(List.of(4L), next.requestedFrom());
   }
 
   @ParameterizedTest
@@ -276,7 +276,7 @@
     }
     assertTrue(within(1_000, () -> arrivals().size() > 0));
     client.send(50, FastCgiClient.params("safe", id(51), FUNCTION, 1_000), body(51));
-    assertTrue(within(1_000, () -> client.second() == 1));
+    assertTrue(within(1_000, () -> client.duplicateAnswers() == 1));
     assertEquals(2, client.await(50, 1_000).protocol());
   }
 
@@ -287,7 +287,7 @@
     client.send(1, FastCgiClient.params("safe", id(1), FUNCTION, 1_900), body(1));
     assertTrue(within(1_000, () -> arrivals().size() == 1));
     client.write(RecordWriter.abort(1));
-    assertTrue(within(1_000, () -> runners.get(0).halts() == 1));
+    assertTrue(within(1_000, () -> runners.get(0).cancellations() == 1));
     assertTrue(within(1_000, () -> node.idle()));
   }
 
--- a/testbed/src/test/java/gorseladder/testbed/platform/NodeProcessTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/platform/NodeProcessTest.java
@@ -131,7 +131,8 @@
     try (PlatformChangeLog next = new PlatformChangeLog(events)) {
       configure(next.address());
       signal("HUP");
-      assertTrue(DispatcherFixture.within(5_000, () -> !next.asked().isEmpty()), this::said);
+      assertTrue(
+          DispatcherFixture.within(5_000, () -> !next.requestedFrom().isEmpty()), this::said);
     }
     signal("TERM");
     assertTrue(process.waitFor(6, TimeUnit.SECONDS), this::said);
@@ -185,7 +186,8 @@
         first.write(PlatformConfig.text(replaced.address(), events.get(0), 20_000)
             .getBytes(StandardCharsets.UTF_8));
       }
-      assertTrue(DispatcherFixture.within(5_000, () -> !last.asked().isEmpty()), this::said);
+      assertTrue(
+          DispatcherFixture.within(5_000, () -> !last.requestedFrom().isEmpty()), this::said);
       Thread.sleep(1_000);
       assertTrue(isFollowed(last), this::said);
     }
@@ -193,13 +195,13 @@
 
   /** True where a dispatcher asks again after its connection broke; one that is not followed has none. */
   private static boolean isFollowed(PlatformChangeLog log) throws InterruptedException {
-    int before = log.asked().size();
+    int before = log.requestedFrom().size();
     try {
-      log.breakOff();
+      log.breakConnection();
     } catch (IOException e) {
       return false;
     }
-    return DispatcherFixture.within(5_000, () -> log.asked().size() > before);
+    return DispatcherFixture.within(5_000, () -> log.requestedFrom().size() > before);
   }
 
   /**
@@ -249,7 +251,8 @@
       configure(next.address());
       signal("HUP");
       assertLive();
-      assertTrue(DispatcherFixture.within(4_000, () -> !next.asked().isEmpty()), this::said);
+      assertTrue(
+          DispatcherFixture.within(4_000, () -> !next.requestedFrom().isEmpty()), this::said);
       assertTrue(process.isAlive(), this::said);
     }
   }
