--- a/node/src/main/java/gorseladder/node/CallPath.java
+++ b/node/src/main/java/gorseladder/node/CallPath.java
@@ -1,8 +1,8 @@
 package gorseladder.node;
 
 import gorseladder.RouterApi.Loaded;
-import gorseladder.core.Core.AttemptEnd;
 import gorseladder.core.Core;
+import gorseladder.core.Core.AttemptEnd;
 import gorseladder.core.RuleLog;
 import gorseladder.core.StallDetector;
 import gorseladder.gate.SendGate;
--- a/node/src/main/java/gorseladder/node/Node.java
+++ b/node/src/main/java/gorseladder/node/Node.java
@@ -126,7 +126,8 @@
     changeLog.start(config.knownSeq(), config.knownEvents(), STACK_BYTES);
     int warmUpCalls = WarmUp.run(
         config, initialList, watchdog, stallDetector, connectionThreads, WarmUp.MAX_MICROS);
-    ThreadReclaimer threadReclaimer = new ThreadReclaimer(front::idleConnections, links::idleConnections);
+    ThreadReclaimer threadReclaimer =
+        new ThreadReclaimer(front::idleConnections, links::idleConnections);
     links.setThreadReclaimer(threadReclaimer);
     Retry.whileTransient(LocalShortage::is, () -> {
       front.listen(config.listen(), STACK_BYTES, connectionThreads, threadReclaimer);
--- a/node/src/main/java/gorseladder/node/runners/Link.java
+++ b/node/src/main/java/gorseladder/node/runners/Link.java
@@ -1,8 +1,8 @@
 package gorseladder.node.runners;
 
 import gorseladder.attempts.AttemptOutcomes.Ending;
-import gorseladder.attempts.ConnectionChoice.Candidate;
 import gorseladder.attempts.ConnectionChoice;
+import gorseladder.attempts.ConnectionChoice.Candidate;
 import gorseladder.core.ThreadReclaimer.IdleConnection;
 import gorseladder.node.NodeCall;
 import gorseladder.runtime.Clock;
