--- a/node/src/main/java/gorseladder/node/CallPath.java
+++ b/node/src/main/java/gorseladder/node/CallPath.java
@@ -74,7 +74,7 @@
         false,
         null,
         CORE_STACK_BYTES);
-    links.reportTo(new RunnerLinks.Hearer() {
+    links.setListener(new RunnerLinks.Listener() {
       @Override
       public void attemptEnded(AttemptEnd<NodeCall> end) {
         core.answerServed(end);
@@ -96,9 +96,9 @@
             config.memoryBytes() / MEMORY_DIVISOR, Runtime.getRuntime().maxMemory() / HEAP_DIVISOR),
         stallDetector,
         rules,
-        call -> links.taken(Clock.micros()));
-    front.setMemoryReclaimer(links::endLargestAnswer);
-    links.keepWithin(front.budget(), front::reclaimMemory);
+        call -> links.callAccepted(Clock.micros()));
+    front.setMemoryReclaimer(links::closeLargestAnswer);
+    links.limitAnswerMemory(front.budget(), front::reclaimMemory);
   }
 
   /** Carries out the decisions of the core. */
--- a/node/src/main/java/gorseladder/node/Node.java
+++ b/node/src/main/java/gorseladder/node/Node.java
@@ -8,7 +8,7 @@
 import gorseladder.core.ThreadReclaimer;
 import gorseladder.node.changelog.ChangeLogFollower;
 import gorseladder.node.front.FastCgiFront;
-import gorseladder.node.peers.TierLink;
+import gorseladder.node.peers.PeerLink;
 import gorseladder.node.runners.RunnerLinks;
 import gorseladder.rules.Rule;
 import gorseladder.runtime.Clock;
@@ -68,7 +68,7 @@
   private final Core<NodeCall> core;
   private final ChangeLogFollower changeLog;
   private final FastCgiFront front;
-  private final TierLink peers;
+  private final PeerLink peers;
   private long maxLagMicros;
   private long summaryAt;
   private volatile boolean closed;
@@ -95,14 +95,14 @@
     core = path.core();
     front = path.front();
     changeLog =
-        new ChangeLogFollower(config.changeLog(), config.seed(), new ChangeLogFollower.Hearer() {
+        new ChangeLogFollower(config.changeLog(), config.seed(), new ChangeLogFollower.Listener() {
           @Override
-          public void runner(WorkerEntry entry, InetSocketAddress address, long at) {
-            links.told(entry, address, listUpdateCount + 1, at);
+          public void runnerChanged(WorkerEntry entry, InetSocketAddress address, long at) {
+            links.runnerReported(entry, address, listUpdateCount + 1, at);
           }
 
           @Override
-          public void list(WorkerListUpdate workers) {
+          public void listChanged(WorkerListUpdate workers) {
             listUpdateCount++;
             initialList = listUpdateCount == 1 ? workers : initialList;
             core.workerListChanged(workers);
@@ -114,7 +114,7 @@
     peers = hasPeers
         ? Retry.whileTransient(
             LocalShortage::is,
-            () -> new TierLink(
+            () -> new PeerLink(
                 config.peerListen(),
                 config.peers(),
                 config.peersAll(),
@@ -125,8 +125,9 @@
     changeLog.start(config.knownSeq(), config.knownEvents(), STACK_BYTES);
     int warmUpCalls = WarmUp.run(
         config, initialList, watchdog, stallDetector, connectionThreads, WarmUp.MAX_MICROS);
-    ThreadReclaimer threadReclaimer = new ThreadReclaimer(front::idleConnections, links::idle);
-    links.shareThreadsBy(threadReclaimer);
+    ThreadReclaimer threadReclaimer =
+        new ThreadReclaimer(front::idleConnections, links::idleConnections);
+    links.setThreadReclaimer(threadReclaimer);
     Retry.whileTransient(LocalShortage::is, () -> {
       front.listen(config.listen(), STACK_BYTES, connectionThreads, threadReclaimer);
       return front;
@@ -137,7 +138,7 @@
 
   private void sendToPeers(String text) {
     if (peers != null) {
-      peers.tell(text);
+      peers.send(text);
     }
   }
 
@@ -157,9 +158,9 @@
         }
         logSummary();
         writers.growIfBlocked();
-        links.check();
+        links.cleanUp();
         front.checkTimeouts();
-        changeLog.noteSilence();
+        changeLog.warnIfSilent();
         scheduleCheck();
       }
     });
@@ -196,7 +197,7 @@
 
   /** Whether the change log currently sends events. */
   public boolean isChangeLogHeard() {
-    return changeLog.isHeard();
+    return changeLog.isReceiving();
   }
 
   /** Sets the source of the text about the configuration in {@link #summary}. */
@@ -206,12 +207,12 @@
 
   /** Whether no call is held and no attempt is in progress. */
   public boolean isIdle() {
-    return front.heldCallCount() == 0 && links.callsOut() == 0;
+    return front.heldCallCount() == 0 && links.callsInFlight() == 0;
   }
 
   /** Number of calls with an attempt in progress, including those that wait for a connection. */
   public int callsInFlight() {
-    return links.callsOut();
+    return links.callsInFlight();
   }
 
   /** The runners to which links exist. */
--- a/node/src/main/java/gorseladder/node/WarmUp.java
+++ b/node/src/main/java/gorseladder/node/WarmUp.java
@@ -66,7 +66,7 @@
     RuleLog silent = new RuleLog(NOPLogger.NOP_LOGGER);
     path = new CallPath(config, watchdog, stallDetector, silent, threads, text -> {});
     WarmUpRunner runner = new WarmUpRunner();
-    path.links().connectBy(() -> new InMemoryChannel(runner));
+    path.links().setChannelSource(() -> new InMemoryChannel(runner));
   }
 
   /**
@@ -165,14 +165,14 @@
   private void updateList(ListKind kind, List<WorkerEntry> entries) {
     InetSocketAddress nowhere = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     for (WorkerEntry entry : entries) {
-      path.links().told(entry, nowhere, 1, Clock.micros());
+      path.links().runnerReported(entry, nowhere, 1, Clock.micros());
     }
     path.core().workerListChanged(new WorkerListUpdate(kind, entries));
   }
 
   /** The steps of a graceful stop that need no listener. */
   private void stop() {
-    path.links().check();
+    path.links().cleanUp();
     path.front().checkTimeouts();
     path.front().owesAnswers();
     path.core().refuseAll();
