--- a/node/src/main/java/gorseladder/node/front/FastCgiFront.java
+++ b/node/src/main/java/gorseladder/node/front/FastCgiFront.java
@@ -62,7 +62,7 @@
 
   /** Notified of each accepted call before the core is. */
   public interface CallListener {
-    void callTaken(NodeCall call);
+    void callAccepted(NodeCall call);
   }
 
   private final Reader reader;
@@ -239,7 +239,7 @@
    * Accepts a complete request as a call.
    *
    * @param onFinalAnswer called once with the final answer; on any thread, possibly before this method returns
-   * @param onCallTaken called with the call before it can end
+   * @param onCallAccepted called with the call before it can end
    * @throws RequestReader.Unusable if the request cannot be used; nothing was accepted then
    */
   void acceptRequest(
@@ -247,7 +247,7 @@
       byte[] body,
       Arrival arrival,
       BiConsumer<NodeCall, FinalAnswer> onFinalAnswer,
-      Consumer<NodeCall> onCallTaken)
+      Consumer<NodeCall> onCallAccepted)
       throws RequestReader.Unusable {
     Facts facts = reader.read(params, body, arrival.at());
     NodeCall call = new NodeCall(
@@ -266,8 +266,8 @@
       throw new RequestReader.Unusable(Reason.CONFLICT, "the id is open already");
     }
     budget.forceTake(body.length);
-    onCallTaken.accept(call);
-    callListener.callTaken(call);
+    onCallAccepted.accept(call);
+    callListener.callAccepted(call);
     LOG.debug(
         "request={} taken, class={} time_ms={}",
         facts.message(),
--- a/node/src/main/java/gorseladder/node/front/FrontConnection.java
+++ b/node/src/main/java/gorseladder/node/front/FrontConnection.java
@@ -383,7 +383,7 @@
           body,
           Arrival.of(arrivals),
           (call, end) -> callEnded(e, call, end),
-          call -> callTaken(e, call));
+          call -> callAccepted(e, call));
     } catch (RequestReader.Unusable bad) {
       front.count("unusable: " + bad.getMessage());
       answer(e, bad.reason());
@@ -392,7 +392,7 @@
   }
 
   /** Sets the call of a request. If the connection has ended meanwhile, its client has left. */
-  private void callTaken(Exchange e, NodeCall call) {
+  private void callAccepted(Exchange e, NodeCall call) {
     boolean clientLeft;
     synchronized (this) {
       e.call = call;
