--- a/benchhost/src/main/java/gorseladder/simhost/SimHost.java
+++ b/benchhost/src/main/java/gorseladder/simhost/SimHost.java
@@ -20,7 +20,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Hosts router instances on the bench's wire: reads batches of events, writes their actions. */
+/** Hosts router instances for the bench: reads batches of events and writes the routers' actions. */
 public final class SimHost {
   private final Map<String, Router> instances = new HashMap<>();
   private final JsonParser in;
@@ -41,16 +41,16 @@
     }
   }
 
-  static int serve(InputStream in, OutputStream out, Consumer<String> complain) throws IOException {
+  static int serve(InputStream in, OutputStream out, Consumer<String> errors) throws IOException {
     SimHost host = new SimHost(in, out);
     try {
       host.run();
       return 0;
     } catch (JsonProcessingException e) {
-      complain.accept(
-          "gorseladder: line " + host.line() + ": not JSON: " + firstLine(e.getOriginalMessage()));
+      errors.accept("gorseladder: line " + host.lineNumber() + ": not JSON: "
+          + firstLine(e.getOriginalMessage()));
     } catch (BadInput | IllegalArgumentException e) {
-      complain.accept("gorseladder: line " + host.line() + ": " + firstLine(e.getMessage()));
+      errors.accept("gorseladder: line " + host.lineNumber() + ": " + firstLine(e.getMessage()));
     }
     return 1;
   }
@@ -59,11 +59,11 @@
     return String.valueOf(text).lines().findFirst().orElse("");
   }
 
-  private int line() {
+  private int lineNumber() {
     return in.currentLocation().getLineNr();
   }
 
-  private Map<String, Object> next() throws IOException {
+  private Map<String, Object> nextMessage() throws IOException {
     JsonToken token = in.nextToken();
     if (token == null) {
       return null;
@@ -75,17 +75,17 @@
   }
 
   private void run() throws IOException {
-    for (Map<String, Object> m = next(); m != null; m = next()) {
+    for (Map<String, Object> m = nextMessage(); m != null; m = nextMessage()) {
       if (!"batch".equals(Fields.text(m, "verb"))) {
         throw new BadInput("'" + Fields.text(m, "verb") + "' outside a batch");
       }
-      batch(Fields.micros(m, "tsMs"));
+      handleBatch(Fields.micros(m, "tsMs"));
     }
   }
 
-  private void batch(long now) throws IOException {
+  private void handleBatch(long now) throws IOException {
     while (true) {
-      Map<String, Object> m = next();
+      Map<String, Object> m = nextMessage();
       if (m == null) {
         throw new BadInput("input ends inside a batch");
       }
@@ -93,34 +93,34 @@
       if (verb.equals("overToYou")) {
         break;
       }
-      message(now, verb, m);
+      handleMessage(now, verb, m);
     }
     out.writeRaw("{\"verb\":\"end\"}\n");
     out.flush();
   }
 
-  private void message(long now, String verb, Map<String, Object> m) throws IOException {
+  private void handleMessage(long now, String verb, Map<String, Object> m) throws IOException {
     if (verb.equals("batch")) {
       throw new BadInput("a batch inside a batch");
     }
-    String who = Fields.text(m, "who");
+    String instance = Fields.text(m, "who");
     if (verb.equals("up")) {
-      instances.put(who, new Router(PlatformSettings.read(Fields.object(m, "facts")), (long)
+      instances.put(instance, new Router(PlatformSettings.read(Fields.object(m, "facts")), (long)
           Fields.number(m, "randomSeed")));
-    } else if (!instances.containsKey(who)) {
-      throw new BadInput("'" + verb + "' for '" + who + "', which is not up");
+    } else if (!instances.containsKey(instance)) {
+      throw new BadInput("'" + verb + "' for '" + instance + "', which is not up");
     } else if (verb.equals("kill")) {
-      instances.remove(who);
+      instances.remove(instance);
     } else {
-      decide(now, who, Wire.event(verb, m));
+      decide(now, instance, Wire.event(verb, m));
     }
   }
 
-  private void decide(long now, String who, Event event) throws IOException {
+  private void decide(long now, String instance, Event event) throws IOException {
     try {
-      instances.get(who).on(now, event, action -> {
+      instances.get(instance).on(now, event, action -> {
         try {
-          Wire.write(out, who, action);
+          Wire.write(out, instance, action);
         } catch (IOException e) {
           throw new UncheckedIOException(e);
         }
@@ -129,7 +129,7 @@
       throw e.getCause();
     } catch (RuntimeException e) {
       StackTraceElement[] trace = e.getStackTrace();
-      Wire.writeFault(out, who, e + (trace.length > 0 ? " at " + trace[0] : ""));
+      Wire.writeFault(out, instance, e + (trace.length > 0 ? " at " + trace[0] : ""));
     }
   }
 }
--- a/benchhost/src/main/java/gorseladder/simhost/Wire.java
+++ b/benchhost/src/main/java/gorseladder/simhost/Wire.java
@@ -43,11 +43,11 @@
       "NOT_FOUND",
       Outcome.MISS);
   private static final Map<String, String> REPORT_NAMES = Map.of("rif", "inFlight", "q", "queued");
-  private static final RouterApi.CopyStatus[] NOTES = RouterApi.CopyStatus.values();
+  private static final RouterApi.CopyStatus[] COPY_STATUSES = RouterApi.CopyStatus.values();
 
   private Wire() {}
 
-  /** Reads one JSON object; the parser stands on its opening brace. */
+  /** Reads one JSON object; the current token is its opening brace. */
   static Map<String, Object> readObject(JsonParser in) throws IOException {
     Map<String, Object> object = new LinkedHashMap<>();
     while (in.nextToken() != JsonToken.END_OBJECT) {
@@ -83,7 +83,7 @@
     };
   }
 
-  /** Reads an event; {@code up}, {@code kill} and the batch lines are the host's own. */
+  /** Reads an event; the host itself handles {@code up}, {@code kill} and the lines that delimit a batch. */
   static Event event(String verb, Map<String, Object> m) {
     return switch (verb) {
       case "backendsChanged" -> workers(m);
@@ -121,9 +121,9 @@
 
   private static Event answer(Map<String, Object> m) {
     int info = (int) number(m, "info", 0);
-    int note = info & 7;
+    int copyStatusIndex = info & 7;
     Outcome outcome = outcome(m);
-    boolean counts = outcome == Outcome.OK || outcome == Outcome.FULL;
+    boolean hasConcurrency = outcome == Outcome.OK || outcome == Outcome.FULL;
     return new RouterApi.Answer(
         id(m),
         (int) number(m, "shot"),
@@ -131,8 +131,8 @@
         outcome,
         flag(m, "settled"),
         micros(m, "lagMs", 0),
-        note < NOTES.length ? NOTES[note] : NOTES[0],
-        counts ? info >> 3 : -1,
+        copyStatusIndex < COPY_STATUSES.length ? COPY_STATUSES[copyStatusIndex] : COPY_STATUSES[0],
+        hasConcurrency ? info >> 3 : -1,
         report(m));
   }
 
@@ -164,67 +164,68 @@
   }
 
   /** Writes one action of an instance as a line. */
-  static void write(JsonGenerator out, String who, Action action) throws IOException {
+  static void write(JsonGenerator out, String instance, Action action) throws IOException {
     out.writeStartObject();
     if (action instanceof RouterApi.Send a) {
-      head(out, "submitTo", who);
+      writeHeader(out, "submitTo", instance);
       out.writeNumberField("opId", a.id());
       out.writeStringField("runner", a.worker());
       if (a.timeout() > 0) {
-        millis(out, "giveUpAfterMs", a.timeout());
+        writeMillis(out, "giveUpAfterMs", a.timeout());
       }
     } else if (action instanceof RouterApi.Cancel a) {
-      head(out, "retract", who);
+      writeHeader(out, "retract", instance);
       out.writeNumberField("opId", a.id());
       out.writeNumberField("shot", a.attempt());
     } else if (action instanceof RouterApi.Refuse a) {
-      head(out, "decline", who);
+      writeHeader(out, "decline", instance);
       out.writeNumberField("opId", a.id());
       if (a.retryAfter() > 0) {
-        millis(out, "pauseMs", a.retryAfter());
+        writeMillis(out, "pauseMs", a.retryAfter());
       }
     } else if (action instanceof RouterApi.Fail a) {
-      head(out, "respondError", who);
+      writeHeader(out, "respondError", instance);
       out.writeNumberField("opId", a.id());
     } else if (action instanceof RouterApi.SetTimer a) {
-      head(out, "arm", who);
-      millis(out, "inMs", a.delay());
+      writeHeader(out, "arm", instance);
+      writeMillis(out, "inMs", a.delay());
       out.writeStringField("token", a.token());
     } else if (action instanceof RouterApi.TellPeers a) {
-      head(out, "announce", who);
+      writeHeader(out, "announce", instance);
       out.writeStringField("dst", "all");
       out.writeStringField("bytes", a.text());
     } else if (action instanceof RouterApi.Load a) {
-      head(out, "mount", who);
+      writeHeader(out, "mount", instance);
       out.writeStringField("runner", a.worker());
       out.writeStringField("targetFn", a.function());
       out.writeNumberField("howMany", a.copies());
     } else if (action instanceof RouterApi.SubscribeWorkerList) {
-      head(out, "streamChanges", who);
+      writeHeader(out, "streamChanges", instance);
       out.writeBooleanField("enable", true);
     } else if (action instanceof RouterApi.Log a) {
-      head(out, "writeLog", who);
+      writeHeader(out, "writeLog", instance);
       out.writeStringField("bodyText", a.text());
     }
     out.writeEndObject();
     out.writeRaw('\n');
   }
 
-  /** Writes the message that says that the decision code failed. */
-  static void writeFault(JsonGenerator out, String who, String text) throws IOException {
+  /** Writes the message that reports a failure of the decision code. */
+  static void writeFault(JsonGenerator out, String instance, String text) throws IOException {
     out.writeStartObject();
-    head(out, "broken", who);
+    writeHeader(out, "broken", instance);
     out.writeStringField("bodyText", text);
     out.writeEndObject();
     out.writeRaw('\n');
   }
 
-  private static void head(JsonGenerator out, String verb, String who) throws IOException {
+  private static void writeHeader(JsonGenerator out, String verb, String instance)
+      throws IOException {
     out.writeStringField("verb", verb);
-    out.writeStringField("who", who);
+    out.writeStringField("who", instance);
   }
 
-  private static void millis(JsonGenerator out, String name, long micros) throws IOException {
+  private static void writeMillis(JsonGenerator out, String name, long micros) throws IOException {
     out.writeNumberField(name, micros / 1000.0);
   }
 
--- a/benchhost/src/test/java/gorseladder/simhost/SimHostTest.java
+++ b/benchhost/src/test/java/gorseladder/simhost/SimHostTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Messages in, messages out. */
+/** Feeds messages of the bench to the host and checks the messages it writes. */
 class SimHostTest {
   private static final String UP =
       "{'verb':'up','who':'d0','randomSeed':7,'facts':{'ordinal':0,'balancers':1,"
--- a/config/src/main/java/gorseladder/config/Address.java
+++ b/config/src/main/java/gorseladder/config/Address.java
@@ -5,14 +5,17 @@
 import inet.ipaddr.IPAddressString;
 import java.net.InetSocketAddress;
 
-/** Reads {@code 127.0.0.1:80} and {@code [::1]:80}: numeric addresses only, so that no name service decides. */
+/**
+ * Reads and prints socket addresses such as {@code 127.0.0.1:80} and {@code [::1]:80}. Only numeric addresses are
+ * allowed, so that the result does not depend on a name service.
+ */
 public final class Address {
   private Address() {}
 
   /**
-   * The socket address of a text; port 0 is allowed.
+   * Parses an address; port 0 is allowed.
    *
-   * @throws IllegalArgumentException where it is not a numeric address with a port
+   * @throws IllegalArgumentException if the text is not a numeric address with a port
    */
   public static InetSocketAddress parse(String text) {
     int colon = text.lastIndexOf(':');
@@ -36,7 +39,7 @@
     throw new IllegalArgumentException("not a numeric address with a port");
   }
 
-  /** The printed form that {@link #parse} reads. */
+  /** Returns the form that {@link #parse} reads. */
   public static String print(InetSocketAddress address) {
     String host = address.getAddress().getHostAddress();
     return (host.contains(":") ? "[" + host + "]" : host) + ":" + address.getPort();
--- a/config/src/main/java/gorseladder/config/Fault.java
+++ b/config/src/main/java/gorseladder/config/Fault.java
@@ -1,12 +1,12 @@
 package gorseladder.config;
 
 /**
- * One fault of a settings file.
+ * One fault in a settings file.
  *
- * @param file the file as it was named
- * @param line from 1; 0 where the fault is that something is missing from the whole file
- * @param field the field's path, for example {@code endpoint[1].secret[0]}
- * @param reason what is wrong, without secret content
+ * @param file the name of the file as given
+ * @param line from 1; 0 if something is missing from the file as a whole
+ * @param field path of the field, for example {@code endpoint[1].secret[0]}
+ * @param reason what is wrong, without the content of secrets
  */
 public record Fault(String file, int line, String field, String reason) {
   @Override
--- a/config/src/main/java/gorseladder/config/Networks.java
+++ b/config/src/main/java/gorseladder/config/Networks.java
@@ -10,16 +10,16 @@
 import java.net.InetAddress;
 import java.util.List;
 
-/** A set of IPv4 and IPv6 networks. Not changed after it is built; any thread. */
+/** A set of IPv4 and IPv6 networks. Immutable. */
 public final class Networks {
   private final IPv4AddressTrie v4 = new IPv4AddressTrie();
   private final IPv6AddressTrie v6 = new IPv6AddressTrie();
   private final boolean all;
 
   /**
-   * The set of the given networks; an empty list stands for all addresses.
+   * Creates the set of the given networks; an empty list stands for all addresses.
    *
-   * @throws IllegalArgumentException naming the text that is not an address or network
+   * @throws IllegalArgumentException if a text is not an address or network; the message contains it
    */
   public Networks(List<String> texts) {
     all = texts.isEmpty();
@@ -45,7 +45,7 @@
     }
   }
 
-  /** True where the address is in the set; an IPv4 address mapped into IPv6 counts as IPv4. */
+  /** Whether the address is in the set; an IPv4 address mapped into IPv6 counts as IPv4. */
   public boolean contains(InetAddress address) {
     if (all) {
       return true;
--- a/config/src/main/java/gorseladder/config/SettingsFile.java
+++ b/config/src/main/java/gorseladder/config/SettingsFile.java
@@ -22,7 +22,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** Loads the settings of an edge from protobuf text format and finds every fault in them. */
+/** Loads the settings of an edge from protobuf text format and collects all faults in them. */
 public final class SettingsFile {
   private final String file;
   private final List<Fault> faults = new ArrayList<>();
@@ -36,8 +36,8 @@
   /**
    * Reads and checks a file.
    *
-   * @param secretCheck throws IllegalArgumentException for a secret that cannot be used
-   * @return the settings with their faults; usable only where there are none
+   * @param secretCheck throws IllegalArgumentException for an unusable secret
+   * @return the settings with their faults; usable only if there are none
    */
   public static SettingsFile load(Path path, Consumer<String> secretCheck) {
     SettingsFile loaded = new SettingsFile(path.toString());
@@ -55,38 +55,38 @@
     return settings;
   }
 
-  /** Every fault, by line. */
+  /** All faults, ordered by line. */
   public List<Fault> faults() {
     return List.copyOf(faults);
   }
 
   private void read(String text) {
     EdgeSettings.Builder builder = EdgeSettings.newBuilder();
-    TextFormatParseInfoTree places = TextFile.parse(file, text, builder, faults);
-    if (places == null) {
+    TextFormatParseInfoTree locations = TextFile.parse(file, text, builder, faults);
+    if (locations == null) {
       return;
     }
     settings = builder.build();
-    check(new At(places, ""));
+    check(new Location(locations, ""));
     faults.sort((a, b) -> Integer.compare(a.line(), b.line()));
   }
 
-  /** A message's place in the file. */
-  private final class At {
+  /** The location of a message in the file. */
+  private final class Location {
     private final TextFormatParseInfoTree tree;
     private final String path;
 
-    At(TextFormatParseInfoTree tree, String path) {
+    Location(TextFormatParseInfoTree tree, String path) {
       this.tree = tree;
       this.path = path;
     }
 
-    At in(com.google.protobuf.Descriptors.Descriptor type, String field, int index) {
+    Location in(com.google.protobuf.Descriptors.Descriptor type, String field, int index) {
       FieldDescriptor descriptor = type.findFieldByName(field);
       List<TextFormatParseInfoTree> trees =
           tree == null ? List.of() : tree.getNestedTrees(descriptor);
       String name = path + field + (descriptor.isRepeated() ? "[" + index + "]" : "") + ".";
-      return new At(index < trees.size() ? trees.get(index) : null, name);
+      return new Location(index < trees.size() ? trees.get(index) : null, name);
     }
 
     void fault(
@@ -102,20 +102,20 @@
     }
 
     void require(
-        boolean holds,
+        boolean valid,
         com.google.protobuf.Descriptors.Descriptor type,
         String field,
         String reason) {
-      if (!holds) {
+      if (!valid) {
         fault(type, field, 0, reason);
       }
     }
   }
 
-  private void check(At root) {
+  private void check(Location root) {
     var type = EdgeSettings.getDescriptor();
     EdgeSettings s = settings;
-    address(root, type, "listen", 0, s.getListen());
+    checkAddress(root, type, "listen", 0, s.getListen());
     root.require(
         s.getOrdinal() >= 0 && s.getOrdinal() < Math.max(1, s.getEdges()),
         type,
@@ -125,9 +125,9 @@
         s.getEdges() > 0 && s.getEdges() <= 10_000, type, "edges", "must be from 1 to 10000");
     root.require(!s.getDataDirectory().isEmpty(), type, "data_directory", "is needed");
     if (s.hasPlanner()) {
-      At planner = root.in(type, "planner", 0);
+      Location planner = root.in(type, "planner", 0);
       var link = PlannerLink.getDescriptor();
-      address(planner, link, "address", 0, s.getPlanner().getAddress());
+      checkAddress(planner, link, "address", 0, s.getPlanner().getAddress());
       planner.require(
           s.getPlanner().getAskMs() >= 50 && s.getPlanner().getAskMs() <= 60_000,
           link,
@@ -138,15 +138,15 @@
     root.require(s.getEndpointCount() > 0, type, "endpoint", "at least one is needed");
     Set<String> classes = new HashSet<>();
     for (int i = 0; i < s.getRequestClassCount(); i++) {
-      requestClass(root.in(type, "request_class", i), s.getRequestClass(i), classes);
+      checkRequestClass(root.in(type, "request_class", i), s.getRequestClass(i), classes);
     }
     Set<String> tenants = new HashSet<>();
     for (int i = 0; i < s.getTenantCount(); i++) {
-      tenant(root.in(type, "tenant", i), s.getTenant(i), tenants);
+      checkTenant(root.in(type, "tenant", i), s.getTenant(i), tenants);
     }
     Set<String> paths = new HashSet<>();
     for (int i = 0; i < s.getEndpointCount(); i++) {
-      endpoint(root.in(type, "endpoint", i), s.getEndpoint(i), classes, tenants, paths);
+      checkEndpoint(root.in(type, "endpoint", i), s.getEndpoint(i), classes, tenants, paths);
     }
     for (int i = 0; i < s.getAllowNetworkCount(); i++) {
       try {
@@ -155,19 +155,19 @@
         root.fault(type, "allow_network", i, e.getMessage());
       }
     }
-    limits(root.in(type, "limits", 0), s.getLimits());
-    runners(root.in(type, "runners", 0), s.getRunners());
-    rules(root.in(type, "rules", 0), s.getRules());
-    others(root, s);
+    checkLimits(root.in(type, "limits", 0), s.getLimits());
+    checkRunners(root.in(type, "runners", 0), s.getRunners());
+    checkRules(root.in(type, "rules", 0), s.getRules());
+    checkSections(root, s);
   }
 
-  private void others(At root, EdgeSettings s) {
+  private void checkSections(Location root, EdgeSettings s) {
     var type = EdgeSettings.getDescriptor();
-    At list = root.in(type, "worker_list", 0);
+    Location list = root.in(type, "worker_list", 0);
     var listType = s.getWorkerList().getDescriptorForType();
     root.require(s.hasWorkerList(), type, "worker_list", "is needed");
     if (s.hasWorkerList()) {
-      address(list, listType, "address", 0, s.getWorkerList().getAddress());
+      checkAddress(list, listType, "address", 0, s.getWorkerList().getAddress());
       list.require(
           s.getWorkerList().getWaitMs() >= 100, listType, "wait_ms", "must be 100 or more");
       list.require(
@@ -176,15 +176,15 @@
           "service",
           "must be letters, digits, '.', '_' or '-'");
     }
-    At peers = root.in(type, "peers", 0);
+    Location peers = root.in(type, "peers", 0);
     var peersType = s.getPeers().getDescriptorForType();
     if (s.hasPeers()) {
-      address(peers, peersType, "listen", 0, s.getPeers().getListen());
+      checkAddress(peers, peersType, "listen", 0, s.getPeers().getListen());
       for (int i = 0; i < s.getPeers().getPeerCount(); i++) {
-        address(peers, peersType, "peer", i, s.getPeers().getPeer(i));
+        checkAddress(peers, peersType, "peer", i, s.getPeers().getPeer(i));
       }
     }
-    At ledger = root.in(type, "ledger", 0);
+    Location ledger = root.in(type, "ledger", 0);
     var ledgerType = s.getLedger().getDescriptorForType();
     long tolerance =
         s.getEndpointList().stream().mapToLong(Endpoint::getToleranceS).max().orElse(0);
@@ -200,7 +200,7 @@
         ledgerType,
         "max_kept_answer_bytes",
         "must not be negative");
-    At history = root.in(type, "history", 0);
+    Location history = root.in(type, "history", 0);
     var historyType = s.getHistory().getDescriptorForType();
     history.require(
         s.getHistory().getSegmentBytes() >= 1_024,
@@ -214,7 +214,7 @@
         historyType,
         "max_bytes",
         "must be at least four times segment_bytes");
-    At log = root.in(type, "log", 0);
+    Location log = root.in(type, "log", 0);
     log.require(
         Set.of("ERROR", "WARN", "INFO", "DEBUG").contains(s.getLog().getLevel()),
         s.getLog().getDescriptorForType(),
@@ -222,8 +222,8 @@
         "must be ERROR, WARN, INFO or DEBUG");
   }
 
-  private void address(
-      At at,
+  private void checkAddress(
+      Location at,
       com.google.protobuf.Descriptors.Descriptor type,
       String field,
       int index,
@@ -235,7 +235,7 @@
     }
   }
 
-  private void requestClass(At at, RequestClass c, Set<String> names) {
+  private void checkRequestClass(Location at, RequestClass c, Set<String> names) {
     var type = RequestClass.getDescriptor();
     at.require(
         c.getName().matches("[\\x21-\\x7e]{1,64}"),
@@ -258,7 +258,7 @@
     at.require(c.getLanes() > 0 && c.getLanes() <= 1024, type, "lanes", "must be from 1 to 1024");
   }
 
-  private void tenant(At at, Tenant t, Set<String> names) {
+  private void checkTenant(Location at, Tenant t, Set<String> names) {
     var type = Tenant.getDescriptor();
     at.require(!t.getName().isEmpty(), type, "name", "is needed");
     at.require(names.add(t.getName()), type, "name", "stands twice");
@@ -266,8 +266,8 @@
     at.require(t.getQuotaPerS() >= 0, type, "quota_per_s", "must not be negative");
   }
 
-  private void endpoint(
-      At at, Endpoint e, Set<String> classes, Set<String> tenants, Set<String> paths) {
+  private void checkEndpoint(
+      Location at, Endpoint e, Set<String> classes, Set<String> tenants, Set<String> paths) {
     var type = Endpoint.getDescriptor();
     at.require(
         e.getPath().matches("/[A-Za-z0-9._~/-]*"),
@@ -296,7 +296,7 @@
     }
     Set<String> types = new HashSet<>();
     for (int i = 0; i < e.getRouteCount(); i++) {
-      At route = at.in(type, "route", i);
+      Location route = at.in(type, "route", i);
       Route r = e.getRoute(i);
       route.require(!r.getType().isEmpty(), Route.getDescriptor(), "type", "is needed");
       route.require(
@@ -309,7 +309,7 @@
     }
   }
 
-  private void limits(At at, Limits l) {
+  private void checkLimits(Location at, Limits l) {
     var type = Limits.getDescriptor();
     for (FieldDescriptor f : type.getFields()) {
       long value = ((Number) l.getField(f)).longValue();
@@ -326,7 +326,7 @@
         l.getMaxBodyBytes() <= 64L << 20, type, "max_body_bytes", "must be 67108864 or less");
   }
 
-  private void runners(At at, Runners r) {
+  private void checkRunners(Location at, Runners r) {
     var type = Runners.getDescriptor();
     at.require(
         r.getMaxAttempts() > 0 && r.getMaxAttempts() <= 16,
@@ -346,7 +346,7 @@
     at.require(r.getMaxAnswerBytes() > 0, type, "max_answer_bytes", "must be more than 0");
   }
 
-  private void rules(At at, RuleFigures r) {
+  private void checkRules(Location at, RuleFigures r) {
     var type = RuleFigures.getDescriptor();
     at.require(r.getDrainGraceMs() >= 0, type, "drain_grace_ms", "must not be negative");
     at.require(
--- a/config/src/main/java/gorseladder/config/TextFile.java
+++ b/config/src/main/java/gorseladder/config/TextFile.java
@@ -9,13 +9,13 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Reads a message from protobuf text format, with a fault for each place that cannot be read. Any thread. */
+/** Reads a message from protobuf text format and reports a fault for each unreadable place. Any thread. */
 public final class TextFile {
-  private static final Pattern PLACE = Pattern.compile("(?:line )?(\\d+):(\\d+):?\\s*(.*)");
-  private static final String UNKNOWN = "Input contains unknown fields";
+  private static final Pattern POSITION = Pattern.compile("(?:line )?(\\d+):(\\d+):?\\s*(.*)");
+  private static final String UNKNOWN_FIELDS = "Input contains unknown fields";
   /**
-   * The parser tells of unknown fields here too; they are faults already. Held, as the level is forgotten with the
-   * logger.
+   * The parser also logs unknown fields, which are already reported as faults. The logger is held in a field because a
+   * collected logger loses its level.
    */
   private static final Logger PARSER = Logger.getLogger(TextFormat.class.getName());
 
@@ -26,18 +26,18 @@
   private TextFile() {}
 
   /**
-   * Reads the text into the message. Fields that do not exist are faults and hide nothing of those that do.
+   * Reads the text into the message. Unknown fields are faults but do not prevent the others from being read.
    *
-   * @param file named in the faults
-   * @return where each field stands; null where the text could not be read to its end, and then the message holds
-   *     nothing of use
+   * @param file name of the file for the faults
+   * @return the location of each field; null if the text could not be read to its end, and then the content of the
+   *     message is unusable
    */
   public static TextFormatParseInfoTree parse(
       String file, String text, Message.Builder into, List<Fault> faults) {
     try {
       return parse(text, into, false);
     } catch (TextFormat.ParseException e) {
-      tell(file, e, into, faults);
+      addFaults(file, e, into, faults);
     }
     into.clear();
     try {
@@ -49,34 +49,34 @@
 
   private static TextFormatParseInfoTree parse(
       String text, Message.Builder into, boolean allowUnknown) throws TextFormat.ParseException {
-    TextFormatParseInfoTree.Builder places = TextFormatParseInfoTree.builder();
+    TextFormatParseInfoTree.Builder locations = TextFormatParseInfoTree.builder();
     TextFormat.Parser.newBuilder()
         .setAllowUnknownFields(allowUnknown)
-        .setParseInfoTreeBuilder(places)
+        .setParseInfoTreeBuilder(locations)
         .build()
         .merge(text, into);
-    return places.build();
+    return locations.build();
   }
 
-  private static void tell(
+  private static void addFaults(
       String file, TextFormat.ParseException e, Message.Builder into, List<Fault> faults) {
     Pattern field = Pattern.compile(
         "gorseladder\\.(?:" + into.getDescriptorForType().getName() + "\\.)?(\\S+)");
-    boolean unknown = e.getMessage().contains(UNKNOWN);
-    int before = faults.size();
+    boolean unknown = e.getMessage().contains(UNKNOWN_FIELDS);
+    int previousCount = faults.size();
     for (String line : e.getMessage().split("\n")) {
-      Matcher m = PLACE.matcher(line.strip());
-      if (m.matches() && !m.group(3).startsWith(UNKNOWN)) {
+      Matcher m = POSITION.matcher(line.strip());
+      if (m.matches() && !m.group(3).startsWith(UNKNOWN_FIELDS)) {
         Matcher name = field.matcher(m.group(3));
-        boolean named = unknown && name.matches();
+        boolean namesField = unknown && name.matches();
         faults.add(new Fault(
             file,
             Integer.parseInt(m.group(1)),
-            named ? name.group(1) : "",
-            named ? "there is no such field" : m.group(3)));
+            namesField ? name.group(1) : "",
+            namesField ? "there is no such field" : m.group(3)));
       }
     }
-    if (faults.size() == before) {
+    if (faults.size() == previousCount) {
       faults.add(new Fault(file, e.getLine(), "", e.getMessage()));
     }
   }
--- a/config/src/test/java/gorseladder/config/SettingsFileTest.java
+++ b/config/src/test/java/gorseladder/config/SettingsFileTest.java
@@ -72,7 +72,7 @@
         faults("").stream().anyMatch(f -> f.field().equals("data_directory") && f.line() == 0));
   }
 
-  /** A field that does not exist hides no fault of those that do, at the top or inside. */
+  /** An unknown field, at the top level or nested, hides no fault of the other fields. */
   @Test
   void whatStandsBehindAnUnknownFieldIsCheckedToo() throws IOException {
     String text = GOOD.replace("deadline_ms: 300", "deadline_ms: 30 dedline_ms: 3")
--- a/node/src/main/java/gorseladder/node/runners/AttemptRequest.java
+++ b/node/src/main/java/gorseladder/node/runners/AttemptRequest.java
@@ -121,10 +121,10 @@
   void report(Outcome outcome, Answer answer) {
     boolean answered = answer != null;
     CopyStatus copyStatus = answered && links.reportsCopyStatus()
-        ? PlatformAnswers.note(answer.fields().get("remark"))
+        ? PlatformAnswers.copyStatus(answer.fields().get("remark"))
         : CopyStatus.NONE;
     int concurrency = answered
-        ? PlatformAnswers.crowd(
+        ? PlatformAnswers.concurrency(
             outcome, links.reportsConcurrency() ? answer.fields().get("depth") : null)
         : -1;
     byte[] body = answered && outcome == Outcome.OK ? answer.body() : null;
