--- a/node/src/main/java/gorseladder/node/front/RequestReader.java
+++ b/node/src/main/java/gorseladder/node/front/RequestReader.java
@@ -11,29 +11,31 @@
 import java.util.stream.Collectors;
 
 /**
- * Turns the parameters of a request into a call's facts, or says why it cannot be used ("Clients to dispatchers" of the
- * platform's protocol). Whatever passes here is fit to be sent to a runner as it stands. Pure; any thread.
+ * Turns the parameters of a request into the facts of a call, or rejects it ("Clients to dispatchers" in the protocol
+ * of the platform). An accepted request can be sent to a runner unchanged.
+ *
+ * <p>Without side effects and thread safe.
  */
 public final class RequestReader {
-  /** Bytes of a request's body at the most. */
-  public static final int MOST_BODY = 16_384;
+  /** Limit of the body of a request. */
+  public static final int MAX_BODY_BYTES = 16_384;
 
-  private static final int MOST_KEY = 128;
-  private static final String PREFIX = "/svc/";
-  private static final double MOST_FIGURE = 1e7;
-  /** A client's clock and rounding may put its time a little past the class's. */
-  private static final long TIME_SLACK = 10_000;
+  private static final int MAX_KEY_CHARS = 128;
+  private static final String PATH_PREFIX = "/svc/";
+  private static final double MAX_FACT_VALUE = 1e7;
+  /** Clock differences and rounding may make the timeout of a client slightly longer than the deadline of the class. */
+  private static final long TIMEOUT_SLACK_MICROS = 10_000;
 
   private final Map<String, RequestClass> classes = new HashMap<>();
   private final Set<String> tenants;
 
-  /** A reader for the classes and tenants of the settings. */
+  /** Creates a reader for the classes and tenants of the settings. */
   public RequestReader(Settings settings) {
     settings.classes().forEach(c -> classes.put(c.name(), c));
     tenants = settings.tenants().stream().map(Tenant::name).collect(Collectors.toUnmodifiableSet());
   }
 
-  /** A request that cannot be used; the reason is what it is answered with. */
+  /** A request that cannot be used. */
   public static final class Unusable extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -44,49 +46,50 @@
       this.reason = reason;
     }
 
-    /** What it is answered with. */
+    /** The reason with which the request is answered. */
     public Reason reason() {
       return reason;
     }
   }
 
   /**
-   * Reads a request that has arrived whole.
+   * Reads a complete request.
    *
-   * @param arrivedAt when its last byte was read, the start of its time
-   * @throws Unusable where anything that is needed is missing, out of range or unknown
+   * @param arrivedAt when its last byte arrived, from which its timeout counts
+   * @throws Unusable if a required value is missing, out of range or unknown
    */
   public Facts read(Map<String, String> params, byte[] body, long arrivedAt) throws Unusable {
-    String script = params.getOrDefault("SCRIPT_NAME", "");
+    String path = params.getOrDefault("SCRIPT_NAME", "");
     RequestClass requestClass =
-        script.startsWith(PREFIX) ? classes.get(script.substring(PREFIX.length())) : null;
+        path.startsWith(PATH_PREFIX) ? classes.get(path.substring(PATH_PREFIX.length())) : null;
     if (requestClass == null) {
       throw new Unusable(Reason.UNKNOWN_PATH, "no class has this path");
     }
     String length = params.get("CONTENT_LENGTH");
     if (length != null && !length.isEmpty() && !length.equals(Integer.toString(body.length))) {
-      throw new Unusable(Reason.BAD_PAYLOAD, "CONTENT_LENGTH does not fit the body");
+      throw new Unusable(Reason.BAD_PAYLOAD, "CONTENT_LENGTH is not the length of the body");
     }
-    String id = hex(params, "HTTP_X_REQUEST_ID");
-    String function = hex(params, "HTTP_X_OBJECT");
+    String id = hexId(params, "HTTP_X_REQUEST_ID");
+    String function = hexId(params, "HTTP_X_OBJECT");
     String tenant = params.getOrDefault("HTTP_X_TENANT", "");
     if (!tenants.isEmpty() && !tenants.contains(tenant)) {
-      throw bad("no tenant is named so");
+      throw badPayload("unknown tenant");
     }
     String retry = params.get("HTTP_X_RETRY");
     if (retry != null && !retry.equals("1")) {
-      throw bad("HTTP_X_RETRY is not 1");
+      throw badPayload("HTTP_X_RETRY is not 1");
     }
-    long time = Math.round(number(params.get("HTTP_X_TIMEOUT_MS"), "HTTP_X_TIMEOUT_MS") * 1000);
-    if (time <= 0 || time > requestClass.deadline() + TIME_SLACK) {
-      throw bad("HTTP_X_TIMEOUT_MS is out of range");
+    long timeout = Math.round(number(params.get("HTTP_X_TIMEOUT_MS"), "HTTP_X_TIMEOUT_MS") * 1000);
+    if (timeout <= 0 || timeout > requestClass.deadline() + TIMEOUT_SLACK_MICROS) {
+      throw badPayload("HTTP_X_TIMEOUT_MS is out of range");
     }
-    Map<String, Double> figures = figures(params.get("HTTP_X_FACTS"));
-    double memory = figure(figures, "memory_mb", 0, MOST_FIGURE);
-    double lanes = figure(figures, "lanes", 1, 1_000);
-    double load = figures.containsKey("load_ms") ? figure(figures, "load_ms", 0, MOST_FIGURE) : 0;
+    Map<String, Double> facts = parseFacts(params.get("HTTP_X_FACTS"));
+    double memory = requiredFact(facts, "memory_mb", 0, MAX_FACT_VALUE);
+    double lanes = requiredFact(facts, "lanes", 1, 1_000);
+    double load =
+        facts.containsKey("load_ms") ? requiredFact(facts, "load_ms", 0, MAX_FACT_VALUE) : 0;
     if (lanes != Math.rint(lanes)) {
-      throw bad("lanes is no whole number");
+      throw badPayload("lanes is not an integer");
     }
     return new Facts(
         id,
@@ -99,75 +102,80 @@
         Math.round(load * 1000),
         retry != null,
         arrivedAt,
-        arrivedAt + time);
+        arrivedAt + timeout);
   }
 
   /**
-   * The idempotency key of a request, as it came; null where there is none.
+   * The idempotency key of a request, unchanged; null if there is none.
    *
-   * @throws Unusable where it is no word of a runner's line
+   * @throws Unusable if it cannot be sent as a word in a line to a runner
    */
-  public static String key(Map<String, String> params) throws Unusable {
+  public static String idempotencyKey(Map<String, String> params) throws Unusable {
     String key = params.get("HTTP_IDEMPOTENCY_KEY");
     if (key != null
         && (key.isEmpty()
-            || key.length() > MOST_KEY
+            || key.length() > MAX_KEY_CHARS
             || !key.chars().allMatch(c -> c > ' ' && c < 127 && c != ',' && c != '='))) {
-      throw bad("HTTP_IDEMPOTENCY_KEY is no word of " + MOST_KEY + " characters at the most");
+      throw badPayload(
+          "HTTP_IDEMPOTENCY_KEY is not a word of " + MAX_KEY_CHARS + " characters or fewer");
     }
     return key;
   }
 
-  private static Unusable bad(String text) {
+  private static Unusable badPayload(String text) {
     return new Unusable(Reason.BAD_PAYLOAD, text);
   }
 
-  private static String hex(Map<String, String> params, String name) throws Unusable {
+  private static String hexId(Map<String, String> params, String name) throws Unusable {
     String value = params.get(name);
     if (value == null
         || value.length() != 16
         || !value.chars().allMatch(c -> c >= '0' && c <= '9' || c >= 'a' && c <= 'f')) {
-      throw bad(name + " is not 16 hex digits");
+      throw badPayload(name + " is not 16 hex digits");
     }
     return value;
   }
 
-  /** Plain decimal numbers alone: {@code Double.parseDouble} would take NaN, hexadecimal and exponents too. */
+  /**
+   * Parses plain decimal numbers only: {@code Double.parseDouble} would also accept NaN, hexadecimal numbers and
+   * exponents.
+   */
   private static double number(String text, String name) throws Unusable {
     if (text == null || text.length() > 20 || text.isEmpty()) {
-      throw bad(name + " is missing or too long");
+      throw badPayload(name + " is missing or too long");
     }
-    int points = 0;
+    int decimalPoints = 0;
     for (int i = 0; i < text.length(); i++) {
       char c = text.charAt(i);
-      points += c == '.' ? 1 : 0;
-      if ((c < '0' || c > '9') && (c != '.' || i == 0 || i == text.length() - 1) || points > 1) {
-        throw bad(name + " is no number");
+      decimalPoints += c == '.' ? 1 : 0;
+      if ((c < '0' || c > '9') && (c != '.' || i == 0 || i == text.length() - 1)
+          || decimalPoints > 1) {
+        throw badPayload(name + " is not a number");
       }
     }
     return Double.parseDouble(text);
   }
 
-  private static Map<String, Double> figures(String text) throws Unusable {
-    Map<String, Double> figures = new HashMap<>();
+  private static Map<String, Double> parseFacts(String text) throws Unusable {
+    Map<String, Double> facts = new HashMap<>();
     for (String pair : text == null ? new String[0] : text.split(";", -1)) {
       int colon = pair.indexOf(':');
       if (colon < 1) {
-        throw bad("HTTP_X_FACTS is no list of figures");
+        throw badPayload("HTTP_X_FACTS is not a list of name:number pairs");
       }
       String name = pair.substring(0, colon);
-      if (figures.put(name, number(pair.substring(colon + 1), name)) != null) {
-        throw bad(name + " stands twice");
+      if (facts.put(name, number(pair.substring(colon + 1), name)) != null) {
+        throw badPayload(name + " is given twice");
       }
     }
-    return figures;
+    return facts;
   }
 
-  private static double figure(Map<String, Double> figures, String name, double least, double most)
+  private static double requiredFact(Map<String, Double> facts, String name, double min, double max)
       throws Unusable {
-    Double value = figures.get(name);
-    if (value == null || value < least || value > most) {
-      throw bad(name + " is missing or out of range");
+    Double value = facts.get(name);
+    if (value == null || value < min || value > max) {
+      throw badPayload(name + " is missing or out of range");
     }
     return value;
   }
--- a/node/src/main/java/gorseladder/node/runners/AttemptRequest.java
+++ b/node/src/main/java/gorseladder/node/runners/AttemptRequest.java
@@ -59,7 +59,7 @@
         deadline,
         !gate.maySendCall(worker()),
         gate.restartedSince(worker(), call.attempt(number).listUpdatesAtDecision()),
-        Math.max(call.seenFrom(), links.clientsKnownSince(now)),
+        Math.max(call.clientSeenFrom(), links.clientsKnownSince(now)),
         links.mayDuplicate());
     return call.trySend(number, conditions, now);
   }
@@ -72,7 +72,7 @@
         call.facts().requestClass().name(),
         call.facts().function(),
         timeoutMillis,
-        call.key(),
+        call.idempotencyKey(),
         call.facts().body());
   }
 
--- a/node/src/main/java/gorseladder/node/runners/Link.java
+++ b/node/src/main/java/gorseladder/node/runners/Link.java
@@ -65,7 +65,7 @@
       if (inFlight < settings.maxRequestsPerConnection()
           && c.idle(now) < settings.idleLimit()
           && c.mayAccept(request.id())
-          && (call == null || !call.wasOn(c))) {
+          && (call == null || !call.wasCarriedBy(c))) {
         eligible.add(c);
         candidates.add(new Candidate(inFlight, c.idle(now)));
       }
--- a/node/src/main/java/gorseladder/node/runners/RunnerLinks.java
+++ b/node/src/main/java/gorseladder/node/runners/RunnerLinks.java
@@ -108,9 +108,9 @@
     this.rules = rules;
     this.watchdog = watchdog;
     this.settings = new LinkSettings(
-        config.connect(),
-        ConnectionChoice.localIdleLimit(config.idle()),
-        config.multiplex(),
+        config.connectTimeout(),
+        ConnectionChoice.localIdleLimit(config.idleTimeout()),
+        config.maxCallsPerConnection(),
         maxAnswerBytes,
         new Semaphore(descriptors),
         () -> channels.open(),
@@ -194,11 +194,11 @@
   }
 
   boolean reportsCopyStatus() {
-    return config.tellsNote();
+    return config.reportsCopyStatus();
   }
 
   boolean reportsConcurrency() {
-    return config.tellsCrowd();
+    return config.reportsConcurrency();
   }
 
   /**
