--- a/testbed/src/main/java/gorseladder/testbed/Archive.java
+++ b/testbed/src/main/java/gorseladder/testbed/Archive.java
@@ -4,31 +4,32 @@
 
 /** The archive that all runners fetch from: slower when crowded, refusing past a limit. Any thread. */
 public final class Archive {
-  private final int atOnce;
-  private final int most;
+  private final int fullSpeedFetches;
+  private final int maxFetches;
   private final AtomicInteger fetching = new AtomicInteger();
-  private final AtomicInteger fetched = new AtomicInteger();
-  private volatile double slower = 1;
+  private final AtomicInteger begun = new AtomicInteger();
+  private volatile double slowdown = 1;
 
   /** Serves so many fetches at full speed and refuses past a most. */
-  public Archive(int atOnce, int most) {
-    this.atOnce = atOnce;
-    this.most = most;
+  public Archive(int fullSpeedFetches, int maxFetches) {
+    this.fullSpeedFetches = fullSpeedFetches;
+    this.maxFetches = maxFetches;
   }
 
-  void slower(double factor) {
-    slower = factor;
+  void setSlowdown(double factor) {
+    slowdown = factor;
   }
 
   /** Fetches; false where it was refused. */
   boolean fetch(long micros) throws InterruptedException {
-    int crowd = fetching.incrementAndGet();
+    int concurrent = fetching.incrementAndGet();
     try {
-      if (crowd > most) {
+      if (concurrent > maxFetches) {
         return false;
       }
-      fetched.incrementAndGet();
-      Thread.sleep((long) (micros / 1000.0 * slower * Math.max(1, (double) crowd / atOnce)));
+      begun.incrementAndGet();
+      Thread.sleep((long)
+          (micros / 1000.0 * slowdown * Math.max(1, (double) concurrent / fullSpeedFetches)));
       return true;
     } finally {
       fetching.decrementAndGet();
@@ -36,7 +37,7 @@
   }
 
   /** Fetches begun. */
-  public int fetched() {
-    return fetched.get();
+  public int fetchCount() {
+    return begun.get();
   }
 }
--- a/testbed/src/main/java/gorseladder/testbed/LagMeter.java
+++ b/testbed/src/main/java/gorseladder/testbed/LagMeter.java
@@ -12,11 +12,11 @@
  */
 public final class LagMeter implements AutoCloseable {
   private static final long SLEEP_MILLIS = 2;
-  private static final int HOPS = 10;
+  private static final int HANDOVERS_PER_CALL = 10;
   /** Oversleeps below this are what every sleep has. */
-  private static final long USUAL = 500;
+  private static final long NORMAL_OVERSLEEP_MICROS = 500;
   /** A moment is judged with what was measured within this time of it, either way. */
-  private static final long AROUND = 250_000;
+  private static final long WINDOW_MICROS = 250_000;
 
   private final ConcurrentSkipListMap<Long, Long> lags = new ConcurrentSkipListMap<>();
   private volatile boolean closed;
@@ -35,7 +35,7 @@
         return;
       }
       long lag = Clock.micros() - began - SLEEP_MILLIS * 1000;
-      if (lag > USUAL) {
+      if (lag > NORMAL_OVERSLEEP_MICROS) {
         lags.put(began, lag);
       }
     }
@@ -43,14 +43,14 @@
 
   /** What the machine may have added to a call around that moment ({@link Clock#micros()}), in microseconds. */
   public long callLagAt(long at) {
-    long most = USUAL;
+    long maxLag = NORMAL_OVERSLEEP_MICROS;
     // A long stall is found by its end.
-    for (Map.Entry<Long, Long> e = lags.floorEntry(at + AROUND);
-        e != null && e.getKey() + e.getValue() >= at - AROUND;
+    for (Map.Entry<Long, Long> e = lags.floorEntry(at + WINDOW_MICROS);
+        e != null && e.getKey() + e.getValue() >= at - WINDOW_MICROS;
         e = lags.lowerEntry(e.getKey())) {
-      most = Math.max(most, e.getValue());
+      maxLag = Math.max(maxLag, e.getValue());
     }
-    return HOPS * most;
+    return HANDOVERS_PER_CALL * maxLag;
   }
 
   @Override
--- a/testbed/src/main/java/gorseladder/testbed/ListStandIn.java
+++ b/testbed/src/main/java/gorseladder/testbed/ListStandIn.java
@@ -28,23 +28,23 @@
   private static final int STACK = 256 << 10;
 
   /** One entry; {@code born} is wall time in milliseconds, 0 where long ago. */
-  private record Entry(StandInRunner runner, Phase phase, long born) {}
+  private record Entry(StandInRunner runner, Phase phase, long startedAtMillis) {}
 
-  private final Map<String, Entry> truth = new LinkedHashMap<>();
+  private final Map<String, Entry> entries = new LinkedHashMap<>();
   private final Tap tap;
   private final HttpServer server;
-  private final long late;
-  private List<Map<String, Object>> shown = new ArrayList<>();
-  private Map<String, Phase> shownPhases = new LinkedHashMap<>();
-  private final Map<Integer, Map<String, Phase>> lastTold = new LinkedHashMap<>();
+  private final long delay;
+  private List<Map<String, Object>> visibleEntries = new ArrayList<>();
+  private Map<String, Phase> visiblePhases = new LinkedHashMap<>();
+  private final Map<Integer, Map<String, Phase>> lastSent = new LinkedHashMap<>();
   private long index = 1;
   private boolean behind;
   private boolean closed;
 
   /** A list whose changes show after so many microseconds. */
-  public ListStandIn(Tap tap, long late) throws IOException {
+  public ListStandIn(Tap tap, long delay) throws IOException {
     this.tap = tap;
-    this.late = late;
+    this.delay = delay;
     this.server =
         HttpServer.listen(new InetSocketAddress("127.0.0.1", 0), "list", STACK, this::serve);
   }
@@ -55,23 +55,24 @@
   }
 
   /** A runner's phase changes in truth; shown after the delay, at once where {@code now}. */
-  public void set(StandInRunner runner, Phase phase, boolean fresh, boolean now) {
+  public void setPhase(StandInRunner runner, Phase phase, boolean restarted, boolean immediately) {
     synchronized (this) {
       if (phase == Phase.GONE) {
-        truth.remove(runner.id());
+        entries.remove(runner.id());
       } else {
-        Entry before = truth.get(runner.id());
-        long born = fresh ? System.currentTimeMillis() : before == null ? 0 : before.born();
-        truth.put(runner.id(), new Entry(runner, phase, born));
+        Entry before = entries.get(runner.id());
+        long startedAtMillis =
+            restarted ? System.currentTimeMillis() : before == null ? 0 : before.startedAtMillis();
+        entries.put(runner.id(), new Entry(runner, phase, startedAtMillis));
       }
     }
-    if (now) {
-      show();
+    if (immediately) {
+      publish();
     } else {
       gorseladder.runtime.Threads.start("list-late", STACK, () -> {
         try {
-          Thread.sleep(late / 1000);
-          show();
+          Thread.sleep(delay / 1000);
+          publish();
         } catch (InterruptedException e) {
           Thread.currentThread().interrupt();
         }
@@ -80,28 +81,28 @@
   }
 
   /** Shows nothing new until it is told otherwise; then everything at once. */
-  public void setBehind(boolean stuck) {
+  public void setBehind(boolean isBehind) {
     synchronized (this) {
-      behind = stuck;
+      behind = isBehind;
     }
-    show();
+    publish();
   }
 
-  private synchronized void show() {
+  private synchronized void publish() {
     if (behind || closed) {
       return;
     }
-    shown = new ArrayList<>();
-    shownPhases = new LinkedHashMap<>();
-    truth.values().forEach(e -> {
-      shown.add(print(e));
-      shownPhases.put(e.runner().id(), e.phase());
+    visibleEntries = new ArrayList<>();
+    visiblePhases = new LinkedHashMap<>();
+    entries.values().forEach(e -> {
+      visibleEntries.add(toConsulEntry(e));
+      visiblePhases.put(e.runner().id(), e.phase());
     });
     index++;
     notifyAll();
   }
 
-  private static Map<String, Object> print(Entry e) {
+  private static Map<String, Object> toConsulEntry(Entry e) {
     String id = e.runner().id();
     StandInRunner.Settings n = e.runner().settings();
     Map<String, Object> meta = new LinkedHashMap<>();
@@ -109,8 +110,8 @@
     meta.put("cell", Integer.toString(n.cell()));
     meta.put("phase", e.phase() == Phase.DRAINING ? "draining" : "running");
     meta.put("weight", Double.toString(n.cores() * n.speed()));
-    if (e.born() > 0) {
-      meta.put("born", Long.toString(e.born()));
+    if (e.startedAtMillis() > 0) {
+      meta.put("born", Long.toString(e.startedAtMillis()));
     }
     Map<String, Object> service = new LinkedHashMap<>();
     service.put("ID", id);
@@ -144,31 +145,31 @@
   }
 
   private void answer(HttpConnection c, Head head) throws IOException, InterruptedException {
-    long since = query(head, "index", 0);
-    long until = Clock.micros() + query(head, "wait", 5000) * 1000;
+    long sinceIndex = query(head, "index", 0);
+    long waitUntil = Clock.micros() + query(head, "wait", 5000) * 1000;
     byte[] body;
-    long at;
+    long currentIndex;
     Map<String, Phase> phases;
     synchronized (this) {
-      while (index <= since && !closed && Clock.micros() < until) {
-        wait(Math.max(1, (until - Clock.micros()) / 1000));
+      while (index <= sinceIndex && !closed && Clock.micros() < waitUntil) {
+        wait(Math.max(1, (waitUntil - Clock.micros()) / 1000));
       }
-      body = Json.write(shown).getBytes(StandardCharsets.UTF_8);
-      at = index;
-      phases = shownPhases;
+      body = Json.write(visibleEntries).getBytes(StandardCharsets.UTF_8);
+      currentIndex = index;
+      phases = visiblePhases;
     }
     c.write(HeadWriter.response(200)
-        .field("X-Consul-Index", at)
+        .field("X-Consul-Index", currentIndex)
         .field("Content-Type", "application/json")
         .with(body));
     String agent = String.valueOf(head.get("user-agent"));
     int edge = Integer.parseInt(agent.substring(agent.indexOf('/') + 1));
-    told(edge, phases, Clock.micros());
+    recordPhases(edge, phases, Clock.micros());
   }
 
   /** Notes for the checker what this edge was told now that differs from what it was told before. */
-  private synchronized void told(int edge, Map<String, Phase> phases, long now) {
-    Map<String, Phase> before = lastTold.getOrDefault(edge, Map.of());
+  private synchronized void recordPhases(int edge, Map<String, Phase> phases, long now) {
+    Map<String, Phase> before = lastSent.getOrDefault(edge, Map.of());
     before.keySet().stream()
         .filter(r -> !phases.containsKey(r))
         .forEach(r -> tap.phaseReported(new Tap.PhaseReport(edge, r, Phase.GONE, now)));
@@ -177,7 +178,7 @@
         tap.phaseReported(new Tap.PhaseReport(edge, runner, phase, now));
       }
     });
-    lastTold.put(edge, phases);
+    lastSent.put(edge, phases);
   }
 
   @Override
--- a/testbed/src/main/java/gorseladder/testbed/Play.java
+++ b/testbed/src/main/java/gorseladder/testbed/Play.java
@@ -28,7 +28,7 @@
    */
   public static final long BASE_SLACK_MICROS = 40_000;
 
-  private static final long ENDS_WITHIN = 30_000;
+  private static final long END_TIMEOUT_MILLIS = 30_000;
 
   private final DayScript script;
   private final TestFleet fleet;
@@ -38,9 +38,9 @@
   private final List<Trouble> unplayed = java.util.Collections.synchronizedList(new ArrayList<>());
   private final List<WebhookClients.Kind> kinds = WebhookClients.kinds(
       TestFleet.LATENCY_TARGET_MICROS, TestFleet.DEADLINE_MICROS, TestFleet.REPEAT_WINDOW_MICROS);
-  private volatile double burst = 1;
-  private volatile double hot;
-  private volatile double scan;
+  private volatile double rateFactor = 1;
+  private volatile double hotKeyShare;
+  private volatile double scanShare;
 
   /** A day about to be played. */
   public Play(DayScript script, TestFleet fleet) {
@@ -86,9 +86,10 @@
           Locale.ROOT,
           "%-34s %5.0f / %.0f ms%n",
           "served from intended time, p50/p99",
-          totals.millis(50),
-          totals.millis(99));
-      out.printf(Locale.ROOT, "%-34s %s%n", "reasons", WebhookClients.print(totals.reasons));
+          totals.latencyMillis(50),
+          totals.latencyMillis(99));
+      out.printf(
+          Locale.ROOT, "%-34s %s%n", "reasons", WebhookClients.formatReasons(totals.reasons));
       ruleStats.forEach(out::println);
       out.printf(Locale.ROOT, "%-34s %8d%n", "rules broken", violations.size());
       violations.stream().limit(10).forEach(b -> out.println("  " + b));
@@ -106,13 +107,13 @@
     long start = Clock.micros() + 200_000;
     long end = start + (long) script.number("day");
     for (Trouble t : script.troubles()) {
-      running.add(Threads.start("trouble", STACK, () -> trouble(t, start)));
+      running.add(Threads.start("trouble", STACK, () -> runTrouble(t, start)));
     }
-    calls(start, end, progress);
+    sendCalls(start, end, progress);
     for (Thread t : running) {
-      t.join(ENDS_WITHIN);
+      t.join(END_TIMEOUT_MILLIS);
     }
-    boolean ended = clients.finish(ENDS_WITHIN);
+    boolean ended = clients.finish(END_TIMEOUT_MILLIS);
     lag.close();
     Tap tap = fleet.tap();
     RuleChecker.Report report = RuleChecker.report(
@@ -130,7 +131,7 @@
       return new Verdict(
           clients.totals(),
           tap.arrivals.size(),
-          fleet.archive().fetched(),
+          fleet.archive().fetchCount(),
           violations,
           overloadedRunners,
           List.copyOf(unplayed),
@@ -138,7 +139,7 @@
     }
   }
 
-  private void calls(long start, long end, PrintStream progress) throws InterruptedException {
+  private void sendCalls(long start, long end, PrintStream progress) throws InterruptedException {
     double at = start;
     long nextLine = start + 1_000_000;
     long number = 0;
@@ -147,8 +148,8 @@
       if (wait > 0) {
         Thread.sleep(wait / 1000, (int) (wait % 1000) * 1000);
       }
-      call(number++, (long) at);
-      at += -Math.log(1 - random.nextDouble()) * 1e6 / (script.number("rate") * burst);
+      sendCall(number++, (long) at);
+      at += -Math.log(1 - random.nextDouble()) * 1e6 / (script.number("rate") * rateFactor);
       if (progress != null && at > nextLine) {
         WebhookClients.Totals t = clients.totals();
         progress.printf(
@@ -164,7 +165,7 @@
     }
   }
 
-  private void call(long number, long meantFor) {
+  private void sendCall(long number, long intendedAt) {
     double draw = random.nextDouble()
         * (script.number("safe") + script.number("keyed") + script.number("unsafe"));
     int kind = draw < script.number("safe")
@@ -173,10 +174,10 @@
     // Few functions draw much of the traffic.
     int rank = (int) (Math.pow(random.nextDouble(), 2) * script.count("functions"));
     String function = "svc/f" + kind + "-" + rank;
-    double odd = random.nextDouble();
-    if (odd < hot) {
+    double specialDraw = random.nextDouble();
+    if (specialDraw < hotKeyShare) {
       function = "svc/hot-" + kind;
-    } else if (odd < hot + scan) {
+    } else if (specialDraw < hotKeyShare + scanShare) {
       function = "svc/once-" + number;
     }
     clients.call(
@@ -191,15 +192,15 @@
             300,
             "load_ms",
             (long) script.number("load") / 1000),
-        meantFor,
+        intendedAt,
         random.nextLong());
   }
 
-  private void trouble(Trouble t, long start) {
+  private void runTrouble(Trouble t, long start) {
     try {
       sleepUntil(start + t.at());
       LOG.info("trouble begins: {}", t);
-      bring(t, start + t.at() + t.lasts());
+      applyTrouble(t, start + t.at() + t.lasts());
       LOG.info("trouble ends: {}", t.kind());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -213,34 +214,34 @@
     Thread.sleep(Math.max(0, (micros - Clock.micros()) / 1000));
   }
 
-  private List<StandInRunner> victims(Trouble t) {
+  private List<StandInRunner> affectedRunners(Trouble t) {
     List<StandInRunner> all = new ArrayList<>(fleet.runners());
     java.util.Collections.shuffle(
         all, new Random(t.at() ^ t.kind().ordinal() ^ script.count("seed")));
-    return all.subList(0, t.of(all.size()));
+    return all.subList(0, t.affectedCount(all.size()));
   }
 
-  private void bring(Trouble t, long until) throws InterruptedException, IOException {
+  private void applyTrouble(Trouble t, long until) throws InterruptedException, IOException {
     switch (t.kind()) {
       case BURST -> {
-        burst = t.factor();
+        rateFactor = t.factor();
         sleepUntil(until);
-        burst = 1;
+        rateFactor = 1;
       }
       case RETRY_ABUSE -> {
-        clients.abusive = true;
+        clients.retryAbuse = true;
         sleepUntil(until);
-        clients.abusive = false;
+        clients.retryAbuse = false;
       }
       case HOT_KEY -> {
-        hot = t.share() ? t.amount() : 0.3;
+        hotKeyShare = t.share() ? t.amount() : 0.3;
         sleepUntil(until);
-        hot = 0;
+        hotKeyShare = 0;
       }
       case SCAN -> {
-        scan = t.share() ? t.amount() : 0.1;
+        scanShare = t.share() ? t.amount() : 0.1;
         sleepUntil(until);
-        scan = 0;
+        scanShare = 0;
       }
       case LIST_BEHIND -> {
         fleet.list().setBehind(true);
@@ -248,94 +249,94 @@
         fleet.list().setBehind(false);
       }
       case ARCHIVE_SLOW -> {
-        fleet.archive().slower(t.factor());
+        fleet.archive().setSlowdown(t.factor());
         sleepUntil(until);
-        fleet.archive().slower(1);
+        fleet.archive().setSlowdown(1);
       }
       case RESTART_EDGES -> {
-        for (int i = 0; i < t.of(fleet.edgeCount()); i++) {
+        for (int i = 0; i < t.affectedCount(fleet.edgeCount()); i++) {
           fleet.restartEdge(i, 200);
         }
       }
-      default -> runners(t, until);
+      default -> applyToRunners(t, until);
     }
   }
 
-  private void runners(Trouble t, long until) throws InterruptedException, IOException {
-    List<StandInRunner> victims = victims(t);
-    for (StandInRunner r : victims) {
-      begin(t.kind(), t, r);
+  private void applyToRunners(Trouble t, long until) throws InterruptedException, IOException {
+    List<StandInRunner> affected = affectedRunners(t);
+    for (StandInRunner r : affected) {
+      startFault(t.kind(), t, r);
     }
     if (t.kind() == Kind.NEIGHBOUR || t.kind() == Kind.AGEING) {
-      for (double grown = 1;
+      for (double growth = 1;
           Clock.micros() < until;
-          grown = grown > 1 && t.kind() == Kind.NEIGHBOUR ? 1 : grown + 1) {
-        for (StandInRunner r : victims) {
-          r.faults().slower =
-              t.kind() == Kind.AGEING ? grown * t.factor() / 2 : grown > 1 ? t.factor() : 1;
+          growth = growth > 1 && t.kind() == Kind.NEIGHBOUR ? 1 : growth + 1) {
+        for (StandInRunner r : affected) {
+          r.faults().slowdown =
+              t.kind() == Kind.AGEING ? growth * t.factor() / 2 : growth > 1 ? t.factor() : 1;
         }
         Thread.sleep(500);
       }
     }
     if (t.kind() == Kind.DRAIN) {
-      drainedAndGone(victims);
+      removeDrained(affected);
     }
     sleepUntil(until);
-    for (StandInRunner r : victims) {
-      end(t.kind(), r);
+    for (StandInRunner r : affected) {
+      endFault(t.kind(), r);
     }
   }
 
-  private void begin(Kind kind, Trouble t, StandInRunner r) {
+  private void startFault(Kind kind, Trouble t, StandInRunner r) {
     StandInRunner.Faults f = r.faults();
     switch (kind) {
       case HANG, VANISH -> f.hang = true;
       case CRASH -> {
         r.crash();
-        fleet.list().set(r, Phase.GONE, false, false);
+        fleet.list().setPhase(r, Phase.GONE, false, false);
       }
-      case SLOW -> f.slower = t.factor();
+      case SLOW -> f.slowdown = t.factor();
       case FAST_ERRORS -> f.errors = true;
       case THROTTLE -> f.throttle = true;
-      case REPORT_LATE -> f.reportsLate = true;
-      case SLOW_HANDSHAKE -> f.handshake = (long) (t.factor() * 100_000);
+      case REPORT_LATE -> f.freezesReport = true;
+      case SLOW_HANDSHAKE -> f.handshakeDelay = (long) (t.factor() * 100_000);
       case RESET -> f.reset = true;
       case STALE -> f.closeReused = true;
       case DRAIN -> {
         f.draining = true;
-        fleet.list().set(r, Phase.DRAINING, false, true);
+        fleet.list().setPhase(r, Phase.DRAINING, false, true);
       }
       default -> {}
     }
   }
 
   /** A drained runner finishes what it holds, leaves the list and dies. */
-  private void drainedAndGone(List<StandInRunner> victims) throws InterruptedException {
+  private void removeDrained(List<StandInRunner> affected) throws InterruptedException {
     Thread.sleep(1_500);
-    for (StandInRunner r : victims) {
-      fleet.list().set(r, Phase.GONE, false, true);
+    for (StandInRunner r : affected) {
+      fleet.list().setPhase(r, Phase.GONE, false, true);
     }
     Thread.sleep(500);
-    victims.forEach(StandInRunner::crash);
+    affected.forEach(StandInRunner::crash);
   }
 
-  private void end(Kind kind, StandInRunner r) throws IOException {
+  private void endFault(Kind kind, StandInRunner r) throws IOException {
     StandInRunner.Faults f = r.faults();
     switch (kind) {
       case CRASH, DRAIN, AGEING, VANISH -> {
         r.crash();
-        f.slower = 1;
+        f.slowdown = 1;
         r.restart();
-        fleet.list().set(r, Phase.RUNNING, true, true);
+        fleet.list().setPhase(r, Phase.RUNNING, true, true);
       }
       default -> {}
     }
     f.hang = false;
-    f.slower = 1;
+    f.slowdown = 1;
     f.errors = false;
     f.throttle = false;
-    f.reportsLate = false;
-    f.handshake = 0;
+    f.freezesReport = false;
+    f.handshakeDelay = 0;
     f.reset = false;
     f.closeReused = false;
   }
--- a/testbed/src/main/java/gorseladder/testbed/Ports.java
+++ b/testbed/src/main/java/gorseladder/testbed/Ports.java
@@ -12,17 +12,17 @@
  * systems take the ports of outgoing connections; else such a connection could hold the port when its owner returns.
  */
 final class Ports {
-  private static final int FROM = 20_000;
-  private static final int COUNT = 12_000;
-  private static final int TRIES = 1_000;
+  private static final int FIRST_PORT = 20_000;
+  private static final int PORT_COUNT = 12_000;
+  private static final int MAX_TRIES = 1_000;
 
   private Ports() {}
 
   /** An address whose port is free for TCP and UDP now. */
   static InetSocketAddress free() throws IOException {
     InetAddress loopback = InetAddress.getByName("127.0.0.1");
-    for (int i = 0; i < TRIES; i++) {
-      int port = FROM + ThreadLocalRandom.current().nextInt(COUNT);
+    for (int i = 0; i < MAX_TRIES; i++) {
+      int port = FIRST_PORT + ThreadLocalRandom.current().nextInt(PORT_COUNT);
       try (ServerSocket tcp = new ServerSocket(port, 1, loopback);
           DatagramSocket udp = new DatagramSocket(new InetSocketAddress(loopback, port))) {
         return new InetSocketAddress(loopback, port);
--- a/testbed/src/main/java/gorseladder/testbed/RuleChecker.java
+++ b/testbed/src/main/java/gorseladder/testbed/RuleChecker.java
@@ -45,9 +45,9 @@
    */
   public record RuleStats(
       int rule,
-      String what,
+      String description,
       long occasions,
-      double closest,
+      double smallestMargin,
       String unit,
       long slackMillis,
       long notJudged) {
@@ -60,10 +60,10 @@
               "rule %d: %d %s%s%s",
               rule,
               occasions,
-              what,
-              Double.isNaN(closest) || closest == Double.MAX_VALUE
+              description,
+              Double.isNaN(smallestMargin) || smallestMargin == Double.MAX_VALUE
                   ? ""
-                  : String.format(Locale.ROOT, ", closest %.0f %s", closest, unit),
+                  : String.format(Locale.ROOT, ", closest %.0f %s", smallestMargin, unit),
               slackMillis < 0
                   ? ""
                   : String.format(
@@ -75,17 +75,17 @@
   public record Report(List<Violation> violations, List<RuleStats> ruleStats) {}
 
   /** An edge that sent to a runner within this time before has it in use. */
-  private static final long IN_USE = 1_000_000;
+  private static final long IN_USE_MICROS = 1_000_000;
 
   private final Tap tap;
   private final Rules rules;
   private final long repeatWindow;
   private final LongUnaryOperator slackAt;
-  private final List<List<Long>> slacks = new ArrayList<>();
+  private final List<List<Long>> slackSamples = new ArrayList<>();
   private final long[] notJudged = new long[6];
   private final List<Violation> violations = new ArrayList<>();
   private final long[] occasions = new long[6];
-  private final double[] closest = {
+  private final double[] smallestMargins = {
     0, Double.MAX_VALUE, Double.NaN, Double.MAX_VALUE, Double.MAX_VALUE, Double.MAX_VALUE
   };
 
@@ -95,7 +95,7 @@
     this.repeatWindow = repeatWindow;
     this.slackAt = slackAt;
     for (int rule = 0; rule < 6; rule++) {
-      slacks.add(new ArrayList<>());
+      slackSamples.add(new ArrayList<>());
     }
   }
 
@@ -112,54 +112,54 @@
   public static Report report(Tap tap, Rules rules, long repeatWindow, LongUnaryOperator slackAt) {
     RuleChecker checker = new RuleChecker(tap, rules, repeatWindow, slackAt);
     synchronized (tap) {
-      checker.answers();
-      checker.effects();
-      checker.drains();
-      checker.coldRunners();
-      checker.orders();
+      checker.checkFinalAnswers();
+      checker.checkEffects();
+      checker.checkDrains();
+      checker.checkColdRunners();
+      checker.checkLoadOrders();
     }
     return new Report(checker.violations, checker.ruleStats());
   }
 
   private List<RuleStats> ruleStats() {
     return List.of(
-        pressure(1, "tries answered", "ms before the client gave up"),
-        pressure(2, "repeats or refusals of what had been sent", ""),
-        pressure(
+        statsOf(1, "tries answered", "ms before the client gave up"),
+        statsOf(2, "repeats or refusals of what had been sent", ""),
+        statsOf(
             3,
             "drains told of runners in use, and calls and orders after one",
             "ms before the grace ended"),
-        pressure(4, "calls at cold runners", "% of the allowance left"),
-        pressure(5, "load orders under a ration", "orders left"));
+        statsOf(4, "calls at cold runners", "% of the allowance left"),
+        statsOf(5, "load orders under a ration", "orders left"));
   }
 
-  private RuleStats pressure(int rule, String what, String unit) {
-    List<Long> all = slacks.get(rule);
+  private RuleStats statsOf(int rule, String description, String unit) {
+    List<Long> all = slackSamples.get(rule);
     Collections.sort(all);
     return new RuleStats(
         rule,
-        what,
+        description,
         occasions[rule],
-        closest[rule],
+        smallestMargins[rule],
         unit,
         all.isEmpty() ? -1 : all.get((all.size() - 1) * 99 / 100) / 1000,
         notJudged[rule]);
   }
 
   /** True where something at that moment was past its bound by more than the machine may have added. */
-  private boolean past(int rule, long at, long bound) {
+  private boolean exceedsBound(int rule, long at, long bound) {
     long slack = slackAt.applyAsLong(at);
-    slacks.get(rule).add(slack);
+    slackSamples.get(rule).add(slack);
     notJudged[rule] += at > bound && at <= bound + slack ? 1 : 0;
     return at > bound + slack;
   }
 
-  private void judged(int rule, double left) {
+  private void countOccasion(int rule, double margin) {
     occasions[rule]++;
-    closest[rule] = Math.min(closest[rule], left);
+    smallestMargins[rule] = Math.min(smallestMargins[rule], margin);
   }
 
-  private void broke(int rule, String text) {
+  private void addViolation(int rule, String text) {
     violations.add(new Violation(rule, text));
   }
 
@@ -171,14 +171,14 @@
   }
 
   /** What a late try waited for, as far as its client saw it. */
-  private String steps(Try t) {
+  private String describe(Try t) {
     return t.reason + ", patience " + t.clientTimeout / 1000 + " ms, connected after "
         + (t.connectedAt - t.sentAt) / 1000 + " ms, written after "
         + (t.writtenAt - t.sentAt) / 1000 + " ms, machine's slack then "
         + slackAt.applyAsLong(t.answeredAt) / 1000 + " ms";
   }
 
-  private static String interval(Try t) {
+  private static String describeInterval(Try t) {
     return t.reason + " " + t.sentAt / 1000 + " to " + t.answeredAt / 1000;
   }
 
@@ -187,59 +187,59 @@
   }
 
   /** Rule 1: one final answer in time, and nothing sent for a message after it. */
-  private void answers() {
+  private void checkFinalAnswers() {
     for (Try t : tap.tries) {
       if (t.unreached || edgeWasDown(t)) {
         continue;
       }
-      judged(
+      countOccasion(
           1,
           t.statuses.isEmpty()
               ? Double.MAX_VALUE
               : (t.countsFrom() + t.clientTimeout - t.answeredAt) / 1000.0);
       if (t.statuses.isEmpty()) {
-        broke(
+        addViolation(
             1,
             t.message + " got no answer from edge " + t.edge
                 + (t.broken ? ", the connection broke" : ""));
       } else if (t.statuses.size() > 1) {
-        broke(1, t.message + " got " + t.statuses.size() + " answers " + t.statuses);
-      } else if (past(1, t.answeredAt, t.countsFrom() + t.clientTimeout)) {
-        broke(
+        addViolation(1, t.message + " got " + t.statuses.size() + " answers " + t.statuses);
+      } else if (exceedsBound(1, t.answeredAt, t.countsFrom() + t.clientTimeout)) {
+        addViolation(
             1,
             t.message + " was answered " + (t.answeredAt - t.countsFrom() - t.clientTimeout) / 1000
-                + " ms too late: " + steps(t));
+                + " ms too late: " + describe(t));
       }
     }
     Map<String, List<Try>> tries = group(tap.tries, t -> t.message);
     for (Arrival a : tap.arrivals) {
-      List<Try> of = tries.getOrDefault(a.message, List.of());
-      boolean wanted = of.stream()
+      List<Try> messageTries = tries.getOrDefault(a.message, List.of());
+      boolean awaited = messageTries.stream()
           .anyMatch(t -> t.sentAt <= a.at
               && (t.statuses.isEmpty()
                   || edgeWasDown(t)
                   || a.at <= t.answeredAt + slackAt.applyAsLong(a.at)));
-      if (!wanted) {
-        broke(
+      if (!awaited) {
+        addViolation(
             1,
             a.message + " was sent to " + a.runner + " after its final answer: it came at "
                 + a.at / 1000 + ", slack " + slackAt.applyAsLong(a.at) / 1000 + ", tries "
-                + of.stream().map(RuleChecker::interval).toList() + " ms");
+                + messageTries.stream().map(RuleChecker::describeInterval).toList() + " ms");
       }
     }
   }
 
   /** Rule 2: no effect twice, and a refusal only where nothing ran. */
-  private void effects() {
+  private void checkEffects() {
     Map<String, List<Arrival>> arrivals = group(tap.arrivals, a -> a.message);
     Map<String, List<Try>> tries = group(tap.tries, t -> t.message);
     arrivals.forEach((message, all) -> {
       Effect effect = tries.containsKey(message) ? tries.get(message).get(0).effect : Effect.UNSAFE;
       if (effect != Effect.SAFE) {
         all.sort(Comparator.comparingLong(a -> a.at));
-        repeats(message, effect, all);
+        checkRepeats(message, effect, all);
         if (effect == Effect.UNSAFE) {
-          refusals(message, all, tries.getOrDefault(message, List.of()));
+          checkRefusals(message, all, tries.getOrDefault(message, List.of()));
         }
       }
     });
@@ -249,71 +249,73 @@
     return a.saidNeverRan && a.endedAt <= by && !a.ran;
   }
 
-  private void repeats(String message, Effect effect, List<Arrival> all) {
+  private void checkRepeats(String message, Effect effect, List<Arrival> all) {
     long runs = all.stream().filter(a -> a.ran).count();
     if (runs > 1) {
-      broke(2, message + " ran " + runs + " times");
+      addViolation(2, message + " ran " + runs + " times");
     }
     for (int i = 1; i < all.size(); i++) {
       Arrival later = all.get(i);
-      judged(2, Double.NaN);
+      countOccasion(2, Double.NaN);
       for (Arrival earlier : all.subList(0, i)) {
         boolean mayHaveRun = !provenNeverRan(earlier, later.at);
         if (mayHaveRun && effect == Effect.UNSAFE) {
-          broke(
+          addViolation(
               2,
               message + " was sent to " + later.runner + " though it may have run at "
                   + earlier.runner);
           return;
         }
-        if (mayHaveRun && effect == Effect.KEYED && past(2, later.at, earlier.at + repeatWindow)) {
-          broke(2, message + " was sent again after its repeat window");
+        if (mayHaveRun
+            && effect == Effect.KEYED
+            && exceedsBound(2, later.at, earlier.at + repeatWindow)) {
+          addViolation(2, message + " was sent again after its repeat window");
           return;
         }
       }
     }
   }
 
-  private void refusals(String message, List<Arrival> all, List<Try> tries) {
+  private void checkRefusals(String message, List<Arrival> all, List<Try> tries) {
     for (Try t : tries) {
       boolean refused = t.retryAfter && !t.statuses.isEmpty();
       if (refused && all.stream().anyMatch(a -> a.at < t.answeredAt)) {
-        judged(2, Double.NaN);
+        countOccasion(2, Double.NaN);
       }
       if (refused
           && all.stream().anyMatch(a -> a.at < t.answeredAt && !provenNeverRan(a, t.answeredAt))) {
-        broke(2, message + " was refused as harmless though it may have run");
+        addViolation(2, message + " was refused as harmless though it may have run");
       }
     }
   }
 
   /** Rule 3: after the grace of a drain nothing new, call or order. */
-  private void drains() {
-    Map<String, List<PhaseReport>> words =
+  private void checkDrains() {
+    Map<String, List<PhaseReport>> reports =
         group(tap.phaseReports, t -> t.edge() + " " + t.runner());
-    words.values().forEach(list -> list.sort(Comparator.comparingLong(PhaseReport::at)));
-    for (PhaseReport word : tap.phaseReports) {
+    reports.values().forEach(list -> list.sort(Comparator.comparingLong(PhaseReport::at)));
+    for (PhaseReport report : tap.phaseReports) {
       // An edge that had just sent there would have sent on: that is what the word had to stop.
-      if (word.phase() != Phase.RUNNING
+      if (report.phase() != Phase.RUNNING
           && tap.arrivals.stream()
-              .anyMatch(a -> a.edge == word.edge()
-                  && a.runner.equals(word.runner())
-                  && a.at <= word.at()
-                  && a.at > word.at() - IN_USE)) {
-        judged(3, Double.MAX_VALUE);
+              .anyMatch(a -> a.edge == report.edge()
+                  && a.runner.equals(report.runner())
+                  && a.at <= report.at()
+                  && a.at > report.at() - IN_USE_MICROS)) {
+        countOccasion(3, Double.MAX_VALUE);
       }
     }
     for (Arrival a : tap.arrivals) {
-      drain(
-          words.getOrDefault(a.edge + " " + a.runner, List.of()),
+      checkDrain(
+          reports.getOrDefault(a.edge + " " + a.runner, List.of()),
           a.at,
           "call " + a.message,
           a.runner);
     }
     for (Order o : tap.orders) {
       if (o.copies() > 0) {
-        drain(
-            words.getOrDefault(o.edge() + " " + o.runner(), List.of()),
+        checkDrain(
+            reports.getOrDefault(o.edge() + " " + o.runner(), List.of()),
             o.at(),
             "order for " + o.function(),
             o.runner());
@@ -321,49 +323,51 @@
     }
   }
 
-  private void drain(List<PhaseReport> words, long at, String what, String runner) {
+  private void checkDrain(List<PhaseReport> reports, long at, String description, String runner) {
     long closedSince = -1;
-    for (PhaseReport word : words) {
-      if (word.at() > at) {
+    for (PhaseReport report : reports) {
+      if (report.at() > at) {
         break;
       }
-      closedSince = word.phase() == Phase.RUNNING ? -1 : closedSince < 0 ? word.at() : closedSince;
+      closedSince =
+          report.phase() == Phase.RUNNING ? -1 : closedSince < 0 ? report.at() : closedSince;
     }
     if (closedSince >= 0) {
-      judged(3, (closedSince + rules.drainGrace() - at) / 1000.0);
+      countOccasion(3, (closedSince + rules.drainGrace() - at) / 1000.0);
     }
-    if (closedSince >= 0 && past(3, at, closedSince + rules.drainGrace())) {
-      broke(
+    if (closedSince >= 0 && exceedsBound(3, at, closedSince + rules.drainGrace())) {
+      addViolation(
           3,
-          what + " reached " + runner + " " + (at - closedSince) / 1000
+          description + " reached " + runner + " " + (at - closedSince) / 1000
               + " ms after its drain was told");
     }
   }
 
   /** Rule 4: in no window does a cold runner get more than the multiple of what it can do then. */
-  private void coldRunners() {
+  private void checkColdRunners() {
     Map<String, List<Arrival>> arrivals = group(tap.arrivals, a -> a.runner);
     for (Start start : tap.starts) {
       List<Arrival> cold = arrivals.getOrDefault(start.runner(), List.of()).stream()
           .filter(a -> a.at >= start.at() && a.at <= start.at() + rules.rampDuration())
           .sorted(Comparator.comparingLong(a -> a.at))
           .toList();
-      double sum = 0;
-      int first = 0;
+      double workInWindow = 0;
+      int oldest = 0;
       for (Arrival a : cold) {
-        sum += a.work;
-        while (cold.get(first).at <= a.at - rules.overloadWindow()) {
-          sum -= cold.get(first++).work;
+        workInWindow += a.work;
+        while (cold.get(oldest).at <= a.at - rules.overloadWindow()) {
+          workInWindow -= cold.get(oldest++).work;
         }
         double warmth = rules.initialCapacity()
             + (1 - rules.initialCapacity()) * (a.at - start.at()) / rules.rampDuration();
-        double most = rules.overloadMultiple() * start.capacity() * warmth * rules.overloadWindow();
-        judged(4, 100 * (most - sum) / most);
-        if (sum > most + 2 * a.work) {
-          broke(
+        double maxWork =
+            rules.overloadMultiple() * start.capacity() * warmth * rules.overloadWindow();
+        countOccasion(4, 100 * (maxWork - workInWindow) / maxWork);
+        if (workInWindow > maxWork + 2 * a.work) {
+          addViolation(
               4,
-              start.runner() + " was sent " + Math.round(sum / 1000)
-                  + " ms of work in a window for " + Math.round(most / 1000) + " while cold");
+              start.runner() + " was sent " + Math.round(workInWindow / 1000)
+                  + " ms of work in a window for " + Math.round(maxWork / 1000) + " while cold");
           break;
         }
       }
@@ -371,7 +375,7 @@
   }
 
   /** Rule 5: load orders within the ration; calls are counted from a little before the window, for the tap's slack. */
-  private void orders() {
+  private void checkLoadOrders() {
     if (rules.loadWindow() == 0) {
       return;
     }
@@ -382,16 +386,18 @@
     for (Order o : counted) {
       long from = o.at() - rules.loadWindow();
       long slack = slackAt.applyAsLong(o.at());
-      long within = counted.stream()
+      long ordersInWindow = counted.stream()
           .filter(p -> p.edge() == o.edge() && p.at() > from + slack && p.at() <= o.at())
           .count();
-      long taken = tap.tries.stream()
+      long callsInWindow = tap.tries.stream()
           .filter(t -> t.edge == o.edge() && t.sentAt > from - slack && t.sentAt <= o.at())
           .count();
-      judged(5, rules.freeLoads() + rules.loadsPerCall() * taken - within);
-      if (within > rules.freeLoads() + rules.loadsPerCall() * taken) {
-        broke(
-            5, "edge " + o.edge() + " ordered " + within + " loads with " + taken + " calls taken");
+      countOccasion(5, rules.freeLoads() + rules.loadsPerCall() * callsInWindow - ordersInWindow);
+      if (ordersInWindow > rules.freeLoads() + rules.loadsPerCall() * callsInWindow) {
+        addViolation(
+            5,
+            "edge " + o.edge() + " ordered " + ordersInWindow + " loads with " + callsInWindow
+                + " calls taken");
       }
     }
   }
--- a/testbed/src/main/java/gorseladder/testbed/StandInPlanner.java
+++ b/testbed/src/main/java/gorseladder/testbed/StandInPlanner.java
@@ -28,7 +28,7 @@
  * its answer is no answer.
  */
 public final class StandInPlanner implements Closeable {
-  private static final long PATIENCE = 60_000_000;
+  private static final long TIMEOUT_MICROS = 60_000_000;
   private static final int STACK = 256 << 10;
 
   private final List<String> functions;
@@ -59,10 +59,10 @@
   private void serve(SocketChannel channel) throws IOException {
     HttpConnection c = new HttpConnection(channel, HttpLimits.INTERNAL);
     try {
-      while (c.awaitMessage(Clock.micros() + PATIENCE)) {
-        Head head = c.readRequest(Clock.micros() + PATIENCE);
-        byte[] body =
-            c.readBody(BodyParser.forRequest(head, HttpLimits.INTERNAL), Clock.micros() + PATIENCE);
+      while (c.awaitMessage(Clock.micros() + TIMEOUT_MICROS)) {
+        Head head = c.readRequest(Clock.micros() + TIMEOUT_MICROS);
+        byte[] body = c.readBody(
+            BodyParser.forRequest(head, HttpLimits.INTERNAL), Clock.micros() + TIMEOUT_MICROS);
         c.write(answer(Ask.parseFrom(body)));
       }
     } catch (BadMessage e) {
@@ -72,21 +72,23 @@
 
   private synchronized byte[] answer(Ask ask) {
     ask.getWorkerList().stream().map(Worker::getName).forEach(workers::add);
-    int mood = random.nextInt(20);
-    if (mood == 0) {
+    int responseKind = random.nextInt(20);
+    if (responseKind == 0) {
       return HeadWriter.response(200).with(new byte[] {1, 2, 3});
     }
-    if (mood == 1) {
+    if (responseKind == 1) {
       return HeadWriter.response(503).with(new byte[0]);
     }
-    Plan.Builder plan =
-        Plan.newBuilder().setEpoch(mood == 2 ? 1 : 2).setVersion(++version).setLivesMs(30_000);
+    Plan.Builder plan = Plan.newBuilder()
+        .setEpoch(responseKind == 2 ? 1 : 2)
+        .setVersion(++version)
+        .setLivesMs(30_000);
     for (String f : functions) {
       for (String w : workers) {
         plan.addItem(Item.newBuilder()
             .setWorker(w)
             .setFunction(f)
-            .setCopies(mood == 3 ? 9_999 : 1 + random.nextInt(2))
+            .setCopies(responseKind == 3 ? 9_999 : 1 + random.nextInt(2))
             .setLanes(1)
             .setFromMs(0)
             .setUntilMs(20_000)
--- a/testbed/src/main/java/gorseladder/testbed/StandInRunner.java
+++ b/testbed/src/main/java/gorseladder/testbed/StandInRunner.java
@@ -39,12 +39,12 @@
       int cores,
       double speed,
       double memoryMb,
-      int mostHeld,
-      long work,
-      long load,
+      int maxHeldCalls,
+      long workTime,
+      long loadTime,
       long keepAlive,
       boolean loadsOnMiss,
-      boolean cancelling,
+      boolean stopsCancelledWork,
       long repeatWindow,
       Rules rules) {}
 
@@ -56,9 +56,9 @@
     volatile boolean reset;
     volatile boolean closeReused;
     volatile boolean draining;
-    volatile boolean reportsLate;
-    volatile double slower = 1;
-    volatile long handshake;
+    volatile boolean freezesReport;
+    volatile double slowdown = 1;
+    volatile long handshakeDelay;
     /** The function whose answers announce so many bytes, and never send the last one. */
     volatile String endlessFunction;
 
@@ -66,10 +66,10 @@
   }
 
   private static final class Copy {
-    int standing;
+    int loaded;
     int loading;
-    int busy;
-    int held;
+    int busyLanes;
+    int heldCalls;
     double memoryMb;
     int lanes;
     long lastUsed;
@@ -77,16 +77,16 @@
 
   /** Shared by the runners of a group: what each key answered, and until when it is remembered. */
   public static final class IdempotencyKeys {
-    private record Kept(long until, byte[] result) {}
+    private record KeyEntry(long expiresAt, byte[] result) {}
 
-    private final Map<String, Kept> kept = new ConcurrentHashMap<>();
+    private final Map<String, KeyEntry> kept = new ConcurrentHashMap<>();
 
-    private synchronized boolean begin(String key, long now, long window) {
-      Kept before = kept.get(key);
-      if (before != null && before.until() > now) {
+    private synchronized boolean tryStart(String key, long now, long window) {
+      KeyEntry before = kept.get(key);
+      if (before != null && before.expiresAt() > now) {
         return false;
       }
-      kept.put(key, new Kept(now + window, null));
+      kept.put(key, new KeyEntry(now + window, null));
       return true;
     }
   }
@@ -101,14 +101,14 @@
   private final Faults faults = new Faults();
   private final InetSocketAddress address;
   private HttpServer server;
-  private int life;
+  private int incarnation;
   private long startedAt;
   private boolean warmFromStart;
   private boolean overloaded;
-  private int running;
-  private int held;
+  private int runningCalls;
+  private int heldCalls;
   private double windowWork;
-  private long windowFrom;
+  private long windowStart;
   private String lastReport;
 
   /** Starts a runner on a free loopback port, warm; {@code log} hears a line for each infer request that began. */
@@ -152,59 +152,61 @@
 
   /** Dies at once: connections are reset and everything loaded is lost. */
   public void crash() {
-    HttpServer dying;
+    HttpServer oldServer;
     synchronized (this) {
-      dying = server;
+      oldServer = server;
       server = null;
-      life++;
+      incarnation++;
       copies.clear();
-      running = 0;
-      held = 0;
+      runningCalls = 0;
+      heldCalls = 0;
       notifyAll();
     }
-    if (dying != null) {
-      dying.close();
+    if (oldServer != null) {
+      oldServer.close();
     }
   }
 
   /** Starts again at the same address, cold and empty. */
   public void restart() throws IOException {
-    HttpServer fresh = HttpServer.listen(address, "runner", STACK, this::serve);
+    HttpServer newServer = HttpServer.listen(address, "runner", STACK, this::serve);
     synchronized (this) {
-      server = fresh;
+      server = newServer;
       startedAt = Clock.micros();
       warmFromStart = false;
       windowWork = 0;
-      windowFrom = startedAt;
+      windowStart = startedAt;
       faults.hang = false;
       faults.draining = false;
     }
     tap.started(new Tap.Start(id(), startedAt, settings.cores() * settings.speed()));
   }
 
-  private synchronized boolean alive(int since) {
-    return life == since && server != null;
+  private synchronized boolean alive(int expectedIncarnation) {
+    return incarnation == expectedIncarnation && server != null;
   }
 
   private void serve(SocketChannel channel) throws IOException {
     HttpConnection c = new HttpConnection(channel, HttpLimits.INTERNAL);
-    int born;
+    int expectedIncarnation;
     synchronized (this) {
-      born = life;
+      expectedIncarnation = incarnation;
     }
     try {
       // A connection that is slow to be served holds bytes that came meanwhile: they count from
       // its beginning.
       long openedAt = Clock.micros();
-      long handshake = faults.handshake;
-      Thread.sleep(handshake / 1000);
+      long handshakeDelay = faults.handshakeDelay;
+      Thread.sleep(handshakeDelay / 1000);
       boolean first = true;
       while (c.awaitMessage(Clock.micros() + 60_000_000L)) {
-        long at = first && handshake > 0 ? openedAt : Clock.micros();
+        long at = first && handshakeDelay > 0 ? openedAt : Clock.micros();
         Head head = c.readRequest(Clock.micros() + 10_000_000L);
         byte[] body = c.readBody(
             BodyParser.forRequest(head, HttpLimits.INTERNAL), Clock.micros() + 10_000_000L);
-        if (!alive(born) || !answer(c, head, body, born, first, at) || !head.keepsConnection()) {
+        if (!alive(expectedIncarnation)
+            || !answer(c, head, body, expectedIncarnation, first, at)
+            || !head.keepsConnection()) {
           break;
         }
         first = false;
@@ -214,15 +216,16 @@
     }
   }
 
-  private boolean answer(HttpConnection c, Head head, byte[] body, int born, boolean first, long at)
+  private boolean answer(
+      HttpConnection c, Head head, byte[] body, int expectedIncarnation, boolean first, long at)
       throws IOException, InterruptedException {
     String model = Oip.modelIn(head.path(), "/v2/models/", "/infer");
     if (model != null) {
-      return infer(c, head, body, model, born, first, at);
+      return infer(c, head, body, model, expectedIncarnation, first, at);
     }
     model = Oip.modelIn(head.path(), "/v2/repository/models/", "/load");
     if (model != null) {
-      return order(c, head, body, model, born, at);
+      return handleLoadOrder(c, head, body, model, expectedIncarnation, at);
     }
     model = Oip.modelIn(head.path(), "/v2/repository/models/", "/unload");
     if (model != null) {
@@ -245,7 +248,7 @@
   private synchronized byte[] index() {
     java.util.List<Object> all = new java.util.ArrayList<>();
     copies.forEach((name, copy) -> all.add(Map.of(
-        "name", name, "state", copy.standing > 0 ? "READY" : "LOADING", "copies", copy.standing)));
+        "name", name, "state", copy.loaded > 0 ? "READY" : "LOADING", "copies", copy.loaded)));
     return gorseladder.wire.json.Json.write(all).getBytes(StandardCharsets.UTF_8);
   }
 
@@ -255,7 +258,13 @@
   }
 
   private boolean infer(
-      HttpConnection c, Head head, byte[] body, String model, int born, boolean first, long at)
+      HttpConnection c,
+      Head head,
+      byte[] body,
+      String model,
+      int expectedIncarnation,
+      boolean first,
+      long at)
       throws IOException, InterruptedException {
     Oip.Content content;
     try {
@@ -265,16 +274,16 @@
       return true;
     }
     Tap.Arrival arrival = tap.arrived(
-        content.id(), id(), header(head, Oip.EDGE_ORDINAL, -1), model, at, settings.work());
+        content.id(), id(), header(head, Oip.EDGE_ORDINAL, -1), model, at, settings.workTime());
     try {
-      pushed(arrival);
+      countColdWork(arrival);
       if (faults.closeReused && !first) {
         return false;
       }
-      while (faults.hang && alive(born)) {
+      while (faults.hang && alive(expectedIncarnation)) {
         Thread.sleep(SLICE_MILLIS);
       }
-      if (!alive(born)) {
+      if (!alive(expectedIncarnation)) {
         return false;
       }
       if (faults.errors) {
@@ -283,7 +292,7 @@
       if (faults.throttle && random.nextInt(10) > 0 || faults.draining || isOverloaded()) {
         return respond(c, arrival, 429, null, -1, new byte[0]);
       }
-      return run(c, head, content, model, born, arrival);
+      return run(c, head, content, model, expectedIncarnation, arrival);
     } finally {
       if (arrival.endedAt == 0) {
         arrival.endedAt = Clock.micros();
@@ -292,14 +301,14 @@
   }
 
   /** A cold runner that is sent too much in a window falls over and stays down. */
-  private synchronized void pushed(Tap.Arrival arrival) {
+  private synchronized void countColdWork(Tap.Arrival arrival) {
     Rules rules = settings.rules();
     long age = arrival.at - startedAt;
     if (warmFromStart || age >= rules.rampDuration()) {
       return;
     }
-    if (arrival.at - windowFrom > rules.overloadWindow()) {
-      windowFrom = arrival.at;
+    if (arrival.at - windowStart > rules.overloadWindow()) {
+      windowStart = arrival.at;
       windowWork = 0;
     }
     windowWork += arrival.work;
@@ -320,50 +329,56 @@
   }
 
   private boolean run(
-      HttpConnection c, Head head, Oip.Content content, String model, int born, Tap.Arrival arrival)
+      HttpConnection c,
+      Head head,
+      Oip.Content content,
+      String model,
+      int expectedIncarnation,
+      Tap.Arrival arrival)
       throws IOException, InterruptedException {
-    String copyWord;
-    int crowd;
+    String copyStatus;
+    int concurrency;
     synchronized (this) {
       Copy copy = copies.computeIfAbsent(model, m -> new Copy());
       copy.memoryMb = header(head, Oip.MEMORY_MB, 256);
       copy.lanes = Math.max(1, header(head, Oip.LANES, 1));
-      expire(model, copy);
-      crowd = copy.held;
-      if (held >= settings.mostHeld()) {
-        return respond(c, arrival, 429, null, crowd, new byte[0]);
+      dropExpiredCopies(model, copy);
+      concurrency = copy.heldCalls;
+      if (heldCalls >= settings.maxHeldCalls()) {
+        return respond(c, arrival, 429, null, concurrency, new byte[0]);
       }
-      boolean lacks = copy.standing + copy.loading == 0;
-      if (lacks && !settings.loadsOnMiss()) {
-        return respond(c, arrival, 404, null, crowd, new byte[0]);
+      boolean missing = copy.loaded + copy.loading == 0;
+      if (missing && !settings.loadsOnMiss()) {
+        return respond(c, arrival, 404, null, concurrency, new byte[0]);
       }
-      if (lacks && !makeRoom(model, copy.memoryMb)) {
-        return respond(c, arrival, 429, null, crowd, new byte[0]);
+      if (missing && !makeRoom(model, copy.memoryMb)) {
+        return respond(c, arrival, 429, null, concurrency, new byte[0]);
       }
-      copyWord = copy.busy < copy.standing * copy.lanes ? "found" : lacks ? "began" : "awaited";
-      copy.loading += lacks ? 1 : 0;
-      copy.held++;
-      held++;
+      copyStatus =
+          copy.busyLanes < copy.loaded * copy.lanes ? "found" : missing ? "began" : "awaited";
+      copy.loading += missing ? 1 : 0;
+      copy.heldCalls++;
+      heldCalls++;
     }
     try {
-      if (copyWord.equals("began") && !load(model, born)) {
-        return respond(c, arrival, 404, "load-failed", crowd, new byte[0]);
+      if (copyStatus.equals("began") && !load(model, expectedIncarnation)) {
+        return respond(c, arrival, 404, "load-failed", concurrency, new byte[0]);
       }
-      if (!lane(c, model, born)) {
-        return alive(born)
+      if (!awaitLane(c, model, expectedIncarnation)) {
+        return alive(expectedIncarnation)
             && !c.peerGone()
-            && respond(c, arrival, 404, "load-failed", crowd, new byte[0]);
+            && respond(c, arrival, 404, "load-failed", concurrency, new byte[0]);
       }
       try {
-        return work(c, head, content, model, born, arrival, copyWord, crowd);
+        return work(c, head, content, model, expectedIncarnation, arrival, copyStatus, concurrency);
       } finally {
-        release(model, born);
+        releaseLane(model, expectedIncarnation);
       }
     } finally {
       synchronized (this) {
-        if (life == born) {
-          copies.get(model).held--;
-          held--;
+        if (incarnation == expectedIncarnation) {
+          copies.get(model).heldCalls--;
+          heldCalls--;
         }
       }
     }
@@ -374,13 +389,13 @@
       Head head,
       Oip.Content content,
       String model,
-      int born,
+      int expectedIncarnation,
       Tap.Arrival arrival,
-      String copyWord,
-      int crowd)
+      String copyStatus,
+      int concurrency)
       throws IOException, InterruptedException {
     String key = head.get("idempotency-key");
-    boolean fresh = key == null || keys.begin(key, Clock.micros(), settings.repeatWindow());
+    boolean fresh = key == null || keys.tryStart(key, Clock.micros(), settings.repeatWindow());
     if (fresh) {
       arrival.ran = true;
       Map<String, Object> line = new java.util.LinkedHashMap<>();
@@ -390,7 +405,7 @@
       line.put("function", model);
       line.put("started", System.currentTimeMillis());
       log.accept(line);
-      if (!labour(c, born)) {
+      if (!doWork(c, expectedIncarnation)) {
         return false;
       }
     }
@@ -398,7 +413,7 @@
         .getBytes(StandardCharsets.UTF_8);
     byte[] message = Oip.response(content.id(), model, result);
     if (model.equals(faults.endlessFunction)) {
-      answerWithoutEnd(c, born);
+      answerWithoutEnd(c, expectedIncarnation);
       return false;
     }
     if (faults.reset) {
@@ -407,26 +422,26 @@
       c.abort();
       return false;
     }
-    return respond(c, arrival, 200, copyWord, crowd, message);
+    return respond(c, arrival, 200, copyStatus, concurrency, message);
   }
 
   /** Sends all but the last byte of a long answer, and waits until the other side has had enough. */
-  private void answerWithoutEnd(HttpConnection c, int born)
+  private void answerWithoutEnd(HttpConnection c, int expectedIncarnation)
       throws IOException, InterruptedException {
     c.write(HeadWriter.response(200).headFor(new byte[faults.endlessAnswerBytes]));
     c.write(new byte[faults.endlessAnswerBytes - 1]);
-    while (alive(born) && !c.peerGone()) {
+    while (alive(expectedIncarnation) && !c.peerGone()) {
       Thread.sleep(SLICE_MILLIS);
     }
   }
 
   /** Works in slices, so that a cancel or a death ends it; true where it was done. */
-  private boolean labour(HttpConnection c, int born) throws InterruptedException {
+  private boolean doWork(HttpConnection c, int expectedIncarnation) throws InterruptedException {
     double left;
     synchronized (this) {
-      running++;
-      double share = Math.max(1, (double) running / settings.cores());
-      left = settings.work()
+      runningCalls++;
+      double share = Math.max(1, (double) runningCalls / settings.cores());
+      left = settings.workTime()
           / 1000.0
           * (0.6 + 0.8 * random.nextDouble())
           * share
@@ -437,21 +452,21 @@
       while (left > 0) {
         long slice = (long) Math.max(1, Math.min(SLICE_MILLIS, left));
         Thread.sleep(slice);
-        left -= slice / faults.slower;
-        if (!alive(born) || settings.cancelling() && c.peerGone()) {
+        left -= slice / faults.slowdown;
+        if (!alive(expectedIncarnation) || settings.stopsCancelledWork() && c.peerGone()) {
           return false;
         }
       }
       return true;
     } finally {
       synchronized (this) {
-        running -= life == born ? 1 : 0;
+        runningCalls -= incarnation == expectedIncarnation ? 1 : 0;
       }
     }
   }
 
   private boolean respond(
-      HttpConnection c, Tap.Arrival arrival, int status, String copy, int crowd, byte[] body)
+      HttpConnection c, Tap.Arrival arrival, int status, String copy, int concurrency, byte[] body)
       throws IOException {
     boolean neverRan = status == 429 || status == 404;
     arrival.saidNeverRan = neverRan;
@@ -465,25 +480,26 @@
     if (copy != null) {
       w.field(Oip.COPY_STATUS, copy);
     }
-    if (crowd >= 0) {
-      w.field(Oip.CONCURRENCY, crowd);
+    if (concurrency >= 0) {
+      w.field(Oip.CONCURRENCY, concurrency);
     }
     c.write(w.with(body));
     return true;
   }
 
   private synchronized String report() {
-    if (!faults.reportsLate || lastReport == null) {
+    if (!faults.freezesReport || lastReport == null) {
       lastReport = LoadReport.format(
-          Math.min(1, (double) running / settings.cores()), Map.of("inFlight", (double) held));
+          Math.min(1, (double) runningCalls / settings.cores()),
+          Map.of("inFlight", (double) heldCalls));
     }
     return lastReport;
   }
 
-  private void expire(String model, Copy copy) {
+  private void dropExpiredCopies(String model, Copy copy) {
     long now = Clock.micros();
-    if (copy.busy == 0 && copy.held == 0 && now - copy.lastUsed > settings.keepAlive()) {
-      copy.standing = 0;
+    if (copy.busyLanes == 0 && copy.heldCalls == 0 && now - copy.lastUsed > settings.keepAlive()) {
+      copy.loaded = 0;
     }
     copy.lastUsed = now;
   }
@@ -491,34 +507,34 @@
   /** Unloads idle copies of other functions, least lately used first, until there is room. */
   private boolean makeRoom(String model, double memoryMb) {
     double used = copies.values().stream()
-        .mapToDouble(k -> (k.standing + k.loading) * k.memoryMb)
+        .mapToDouble(c -> (c.loaded + c.loading) * c.memoryMb)
         .sum();
     while (used + memoryMb > settings.memoryMb()) {
       var victim = copies.entrySet().stream()
-          .filter(
-              e -> !e.getKey().equals(model) && e.getValue().standing > 0 && e.getValue().held == 0)
+          .filter(e ->
+              !e.getKey().equals(model) && e.getValue().loaded > 0 && e.getValue().heldCalls == 0)
           .min(Comparator.comparingLong(e -> e.getValue().lastUsed))
           .orElse(null);
       if (victim == null) {
         return false;
       }
-      used -= victim.getValue().standing * victim.getValue().memoryMb;
-      victim.getValue().standing = 0;
+      used -= victim.getValue().loaded * victim.getValue().memoryMb;
+      victim.getValue().loaded = 0;
     }
     return true;
   }
 
   /** Loads a copy whose place was taken by {@code loading}. */
-  private boolean load(String model, int born) throws InterruptedException {
-    boolean fetched = archive.fetch(settings.load() * 2 / 3);
-    Thread.sleep(settings.load() / 3000);
+  private boolean load(String model, int expectedIncarnation) throws InterruptedException {
+    boolean fetched = archive.fetch(settings.loadTime() * 2 / 3);
+    Thread.sleep(settings.loadTime() / 3000);
     synchronized (this) {
-      if (life != born) {
+      if (incarnation != expectedIncarnation) {
         return false;
       }
       Copy copy = copies.get(model);
       copy.loading--;
-      copy.standing += fetched ? 1 : 0;
+      copy.loaded += fetched ? 1 : 0;
       copy.lastUsed = Clock.micros();
       notifyAll();
     }
@@ -526,15 +542,16 @@
   }
 
   /** Waits for a free lane; false where none can come any more or the caller left. */
-  private boolean lane(HttpConnection c, String model, int born) throws InterruptedException {
+  private boolean awaitLane(HttpConnection c, String model, int expectedIncarnation)
+      throws InterruptedException {
     synchronized (this) {
-      while (life == born) {
+      while (incarnation == expectedIncarnation) {
         Copy copy = copies.get(model);
-        if (copy.busy < copy.standing * copy.lanes) {
-          copy.busy++;
+        if (copy.busyLanes < copy.loaded * copy.lanes) {
+          copy.busyLanes++;
           return true;
         }
-        if (copy.standing + copy.loading == 0 || settings.cancelling() && c.peerGone()) {
+        if (copy.loaded + copy.loading == 0 || settings.stopsCancelledWork() && c.peerGone()) {
           return false;
         }
         wait(20);
@@ -543,15 +560,16 @@
     return false;
   }
 
-  private synchronized void release(String model, int born) {
-    if (life == born) {
-      copies.get(model).busy--;
+  private synchronized void releaseLane(String model, int expectedIncarnation) {
+    if (incarnation == expectedIncarnation) {
+      copies.get(model).busyLanes--;
       copies.get(model).lastUsed = Clock.micros();
       notifyAll();
     }
   }
 
-  private boolean order(HttpConnection c, Head head, byte[] body, String model, int born, long at)
+  private boolean handleLoadOrder(
+      HttpConnection c, Head head, byte[] body, String model, int expectedIncarnation, long at)
       throws IOException, InterruptedException {
     int wanted = Oip.copiesIn(body);
     tap.ordered(new Tap.Order(id(), header(head, Oip.EDGE_ORDINAL, -1), model, wanted, at));
@@ -560,39 +578,41 @@
       Copy copy = copies.computeIfAbsent(model, m -> new Copy());
       copy.memoryMb = header(head, Oip.MEMORY_MB, 256);
       copy.lanes = Math.max(copy.lanes, 1);
-      expire(model, copy);
-      boolean lacks = copy.standing + copy.loading < wanted;
-      if (faults.draining || overloaded || lacks && !makeRoom(model, copy.memoryMb)) {
+      dropExpiredCopies(model, copy);
+      boolean missing = copy.loaded + copy.loading < wanted;
+      if (faults.draining || overloaded || missing && !makeRoom(model, copy.memoryMb)) {
         c.write(HeadWriter.response(503).field(Oip.EXECUTED, "no").with(new byte[0]));
         return true;
       }
-      loads = lacks;
-      copy.loading += lacks ? 1 : 0;
+      loads = missing;
+      copy.loading += missing ? 1 : 0;
     }
-    boolean loaded = !loads || load(model, born);
+    boolean loadSucceeded = !loads || load(model, expectedIncarnation);
     synchronized (this) {
-      while (life == born && copies.get(model).loading > 0 && copies.get(model).standing < wanted) {
+      while (incarnation == expectedIncarnation
+          && copies.get(model).loading > 0
+          && copies.get(model).loaded < wanted) {
         wait(20);
       }
     }
-    if (!alive(born)) {
+    if (!alive(expectedIncarnation)) {
       return false;
     }
-    int standing;
+    int loaded;
     synchronized (this) {
-      standing = copies.get(model).standing;
+      loaded = copies.get(model).loaded;
     }
     c.write(
-        loaded
-            ? HeadWriter.response(200).with(Oip.loadRequest(standing))
+        loadSucceeded
+            ? HeadWriter.response(200).with(Oip.loadRequest(loaded))
             : HeadWriter.response(500).with(new byte[0]));
     return true;
   }
 
   private synchronized void unload(String model) {
     Copy copy = copies.get(model);
-    if (copy != null && copy.held == 0) {
-      copy.standing = 0;
+    if (copy != null && copy.heldCalls == 0) {
+      copy.loaded = 0;
     }
   }
 
--- a/testbed/src/main/java/gorseladder/testbed/TestFleet.java
+++ b/testbed/src/main/java/gorseladder/testbed/TestFleet.java
@@ -44,13 +44,13 @@
   /** Names a property with the class path of edge processes, where it is not this process's own. */
   public static final String CLASS_PATH = "gorseladder.fleet.classpath";
 
-  private static final long STARTS_WITHIN = 30_000;
+  private static final long START_TIMEOUT_MILLIS = 30_000;
 
   private final DayScript script;
   private final Path directory;
-  private final boolean processes;
-  private final List<String> prefix;
-  private final String moreSettings;
+  private final boolean separateProcesses;
+  private final List<String> commandPrefix;
+  private final String extraSettings;
   private final Tap tap = new Tap();
   private final String secret;
   private final StallingDisk disk = new StallingDisk();
@@ -78,7 +78,7 @@
     }
 
     void start() throws IOException {
-      if (!processes) {
+      if (!separateProcesses) {
         SettingsFile loaded = Edge.load(settings);
         if (!loaded.faults().isEmpty()) {
           throw new IOException(loaded.faults().toString());
@@ -87,7 +87,7 @@
         return;
       }
       String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-      List<String> command = new ArrayList<>(prefix);
+      List<String> command = new ArrayList<>(commandPrefix);
       command.addAll(List.of(
           java,
           "-Xmx512m",
@@ -109,16 +109,16 @@
       }
       BufferedReader out = new BufferedReader(
           new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-      long until = System.currentTimeMillis() + STARTS_WITHIN;
-      List<String> said = new ArrayList<>();
+      long timeoutAt = System.currentTimeMillis() + START_TIMEOUT_MILLIS;
+      List<String> startLines = new ArrayList<>();
       for (String line = out.readLine();
-          line != null && System.currentTimeMillis() < until;
+          line != null && System.currentTimeMillis() < timeoutAt;
           line = out.readLine()) {
-        said.add(line);
+        startLines.add(line);
         if (line.contains("\"ready\":true")) {
-          Process mine = process;
+          Process startedProcess = process;
           gorseladder.runtime.Threads.start(
-              "edge-out", 128 << 10, () -> drain(mine, out, logFile()));
+              "edge-out", 128 << 10, () -> copyOutput(startedProcess, out, logFile()));
           return;
         }
       }
@@ -127,7 +127,7 @@
           + Files.readString(directory.resolve("edge-" + number + ".err"))
               .lines()
               .limit(3)
-              .toList() + said.stream().limit(5).toList());
+              .toList() + startLines.stream().limit(5).toList());
     }
 
     private Path logFile() {
@@ -156,7 +156,7 @@
     }
   }
 
-  private static void drain(Process process, BufferedReader out, Path to) {
+  private static void copyOutput(Process process, BufferedReader out, Path to) {
     try (var log = Files.newBufferedWriter(
         to, java.nio.file.StandardOpenOption.CREATE, java.nio.file.StandardOpenOption.APPEND)) {
       for (String line = out.readLine(); line != null; line = out.readLine()) {
@@ -175,36 +175,39 @@
    * @param runnerLog hears a line for each infer request that began at a runner
    */
   public TestFleet(
-      DayScript script, Path directory, boolean processes, Consumer<Map<String, Object>> runnerLog)
+      DayScript script,
+      Path directory,
+      boolean separateProcesses,
+      Consumer<Map<String, Object>> runnerLog)
       throws IOException {
-    this(script, directory, processes, runnerLog, List.of());
+    this(script, directory, separateProcesses, runnerLog, List.of());
   }
 
   /** As above, with words before each edge's command, for example a pin to processors. */
   public TestFleet(
       DayScript script,
       Path directory,
-      boolean processes,
+      boolean separateProcesses,
       Consumer<Map<String, Object>> runnerLog,
-      List<String> prefix)
+      List<String> commandPrefix)
       throws IOException {
-    this(script, directory, processes, runnerLog, prefix, "");
+    this(script, directory, separateProcesses, runnerLog, commandPrefix, "");
   }
 
   /** As above, with more settings for each edge, for example a planner. */
   public TestFleet(
       DayScript script,
       Path directory,
-      boolean processes,
+      boolean separateProcesses,
       Consumer<Map<String, Object>> runnerLog,
-      List<String> prefix,
-      String moreSettings)
+      List<String> commandPrefix,
+      String extraSettings)
       throws IOException {
-    this.prefix = prefix;
-    this.moreSettings = moreSettings;
+    this.commandPrefix = commandPrefix;
+    this.extraSettings = extraSettings;
     this.script = script;
     this.directory = directory;
-    this.processes = processes;
+    this.separateProcesses = separateProcesses;
     Files.createDirectories(directory);
     byte[] key = new byte[32];
     new Random(script.count("seed")).nextBytes(key);
@@ -232,7 +235,7 @@
           rules);
       runners.add(new StandInRunner(
           settings, archive, keys, tap, script.count("seed") * 1000L + i, runnerLog));
-      list.set(runners.get(i), Phase.RUNNING, false, true);
+      list.setPhase(runners.get(i), Phase.RUNNING, false, true);
     }
     for (int i = 0; i < script.count("edges"); i++) {
       edges.add(new EdgeSlot(i));
@@ -320,7 +323,7 @@
             list.address(),
             slot.peerPort,
             peers)
-        + moreSettings;
+        + extraSettings;
   }
 
   /**
--- a/testbed/src/main/java/gorseladder/testbed/WebhookClients.java
+++ b/testbed/src/main/java/gorseladder/testbed/WebhookClients.java
@@ -35,15 +35,16 @@
  */
 public final class WebhookClients {
   private static final int STACK = 256 << 10;
-  private static final long CONNECT_MILLIS = 1_000;
+  private static final long CONNECT_TIMEOUT_MILLIS = 1_000;
   /** After a final answer the connection is watched this long for a second one. */
-  private static final long WATCH = 2_000;
+  private static final long DUPLICATE_WATCH_MICROS = 2_000;
 
   /** A client that judges waits this much longer than its patience, to tell a late answer from none. */
-  private static final long NO_ANSWER_AFTER = 6_000_000;
+  private static final long NO_ANSWER_MARGIN_MICROS = 6_000_000;
 
   /** How a class of calls behaves; times in microseconds. */
-  public record Kind(String type, Effect effect, long deadline, long aim, long repeatWindow) {}
+  public record Kind(
+      String type, Effect effect, long deadline, long latencyTarget, long repeatWindow) {}
 
   /** What came of all calls. */
   public static final class Totals {
@@ -56,16 +57,16 @@
     public final Map<String, Integer> reasons = new TreeMap<>();
     final Histogram latency = new Histogram(60_000_000L, 3);
 
-    synchronized void reason(String word) {
-      reasons.merge(word, 1, Integer::sum);
+    synchronized void countReason(String reason) {
+      reasons.merge(reason, 1, Integer::sum);
     }
 
-    synchronized void servedAfter(long micros) {
+    synchronized void recordServed(long micros) {
       latency.recordValue(Math.min(60_000_000L, Math.max(1, micros)));
     }
 
     /** Milliseconds at a percentile of served calls. */
-    public synchronized double millis(double percentile) {
+    public synchronized double latencyMillis(double percentile) {
       return latency.getValueAtPercentile(percentile) / 1000.0;
     }
   }
@@ -77,7 +78,7 @@
   private final Totals totals = new Totals();
   private final ThreadPoolExecutor threads = Threads.pool("clients", 8_000, STACK);
   private final Map<InetSocketAddress, ArrayDeque<HttpConnection>> idle = new LinkedHashMap<>();
-  volatile boolean abusive;
+  volatile boolean retryAbuse;
 
   /** Clients that send to a path signed with a secret; {@code edges} gives the address of an edge's number. */
   public WebhookClients(String path, Secret secret, IntFunction<InetSocketAddress> edges, Tap tap) {
@@ -98,10 +99,10 @@
       Kind kind,
       String function,
       Map<String, Object> hints,
-      long meantFor,
+      long intendedAt,
       long seed) {
     totals.calls.incrementAndGet();
-    threads.execute(() -> run(message, edge, kind, function, hints, meantFor, new Random(seed)));
+    threads.execute(() -> run(message, edge, kind, function, hints, intendedAt, new Random(seed)));
   }
 
   /** Waits until every call has ended. */
@@ -126,42 +127,42 @@
       Kind kind,
       String function,
       Map<String, Object> hints,
-      long meantFor,
+      long intendedAt,
       Random random) {
     byte[] body = body(kind, function, hints);
-    long stamp = 0;
+    long timestamp = 0;
     long firstAt = Clock.micros();
     Tap.Try last = null;
-    int tries = abusive ? 5 : 3;
+    int tries = retryAbuse ? 5 : 3;
     try {
       for (int i = 0; i < tries; i++) {
-        stamp = Math.max(stamp + 1, System.currentTimeMillis() / 1000);
+        timestamp = Math.max(timestamp + 1, System.currentTimeMillis() / 1000);
         long clientTimeout =
             kind.deadline() / 2_000_000 * 1_000_000 < 1_000_000 || random.nextBoolean()
                 ? kind.deadline()
                 : (kind.deadline() / 1_000_000 - 1) * 1_000_000;
-        last = attempt(message, edge, kind, body, stamp, clientTimeout);
+        last = attempt(message, edge, kind, body, timestamp, clientTimeout);
         if (served(last) || !mayRetry(last, kind, firstAt)) {
           break;
         }
-        Thread.sleep(abusive ? 20 : 300 + random.nextInt(900));
+        Thread.sleep(retryAbuse ? 20 : 300 + random.nextInt(900));
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    count(last, kind, meantFor);
+    countOutcome(last, kind, intendedAt);
   }
 
   private static boolean served(Tap.Try t) {
     return t != null && t.statuses.contains(200);
   }
 
-  private void count(Tap.Try last, Kind kind, long meantFor) {
+  private void countOutcome(Tap.Try last, Kind kind, long intendedAt) {
     if (served(last)) {
-      long took = last.answeredAt - meantFor;
+      long latency = last.answeredAt - intendedAt;
       totals.served.incrementAndGet();
-      totals.servedAfter(took);
-      totals.late.addAndGet(took > kind.aim() ? 1 : 0);
+      totals.recordServed(latency);
+      totals.late.addAndGet(latency > kind.latencyTarget() ? 1 : 0);
     } else if (last != null && last.retryAfter) {
       totals.refused.incrementAndGet();
     } else if (last != null && last.unreached) {
@@ -170,7 +171,7 @@
       totals.failed.incrementAndGet();
     }
     if (last != null) {
-      totals.reason(
+      totals.countReason(
           last.reason.isEmpty()
               ? last.unreached ? "not_reached" : "connection_broke"
               : last.reason);
@@ -189,15 +190,15 @@
 
   /** One try; also what tests use to send exactly one request. */
   public Tap.Try attempt(
-      String message, int edge, Kind kind, byte[] body, long stamp, long clientTimeout) {
+      String message, int edge, Kind kind, byte[] body, long timestamp, long clientTimeout) {
     InetSocketAddress to = edges.apply(edge);
     // Signed before its time begins to count: what this process takes for that is none of the
     // edge's.
     HeadWriter w = HeadWriter.request("POST", path, "edge")
         .field("Content-Type", "application/json")
         .field(Delivery.ID, message)
-        .field(Delivery.TIMESTAMP, stamp)
-        .field(Delivery.SIGNATURE, secret.sign(message, stamp, body));
+        .field(Delivery.TIMESTAMP, timestamp)
+        .field(Delivery.SIGNATURE, secret.sign(message, timestamp, body));
     if (clientTimeout < kind.deadline()) {
       w.field("Prefer", "wait=" + clientTimeout / 1_000_000);
     }
@@ -205,7 +206,7 @@
     Tap.Try t = tap.sent(path + " " + message, edge, kind.effect(), Clock.micros(), clientTimeout);
     HttpConnection c = null;
     try {
-      c = borrow(to);
+      c = acquire(to);
       t.connectedAt = Clock.micros();
       c.write(request);
       t.writtenAt = Clock.micros();
@@ -224,42 +225,43 @@
 
   private void answer(HttpConnection c, Tap.Try t, InetSocketAddress to)
       throws IOException, BadMessage {
-    long until = t.sentAt + t.clientTimeout + NO_ANSWER_AFTER;
-    Head head = c.readResponse(until);
-    c.readBody(BodyParser.forResponse(head, HttpLimits.INTERNAL), until);
+    long answerBy = t.sentAt + t.clientTimeout + NO_ANSWER_MARGIN_MICROS;
+    Head head = c.readResponse(answerBy);
+    c.readBody(BodyParser.forResponse(head, HttpLimits.INTERNAL), answerBy);
     t.answeredAt = Clock.micros();
     t.retryAfter = head.get("retry-after") != null;
     t.reason = String.valueOf(head.get("gorseladder-reason"));
     t.statuses.add(head.status());
     try {
-      if (c.awaitMessage(Clock.micros() + WATCH)) {
-        t.statuses.add(c.readResponse(Clock.micros() + WATCH).status());
+      if (c.awaitMessage(Clock.micros() + DUPLICATE_WATCH_MICROS)) {
+        t.statuses.add(c.readResponse(Clock.micros() + DUPLICATE_WATCH_MICROS).status());
       }
       c.close();
     } catch (SocketTimeoutException e) {
       if (head.keepsConnection()) {
-        giveBack(to, c);
+        release(to, c);
       } else {
         c.close();
       }
     }
   }
 
-  private HttpConnection borrow(InetSocketAddress to) throws IOException {
+  private HttpConnection acquire(InetSocketAddress to) throws IOException {
     synchronized (idle) {
-      ArrayDeque<HttpConnection> kept = idle.computeIfAbsent(to, k -> new ArrayDeque<>());
-      while (!kept.isEmpty()) {
-        HttpConnection c = kept.pollLast();
+      ArrayDeque<HttpConnection> idleConnections =
+          idle.computeIfAbsent(to, k -> new ArrayDeque<>());
+      while (!idleConnections.isEmpty()) {
+        HttpConnection c = idleConnections.pollLast();
         if (!c.peerGone() && !c.hasBufferedBytes()) {
           return c;
         }
         c.close();
       }
     }
-    return HttpConnection.open(to, CONNECT_MILLIS, HttpLimits.INTERNAL);
+    return HttpConnection.open(to, CONNECT_TIMEOUT_MILLIS, HttpLimits.INTERNAL);
   }
 
-  private void giveBack(InetSocketAddress to, HttpConnection c) {
+  private void release(InetSocketAddress to, HttpConnection c) {
     synchronized (idle) {
       idle.get(to).addLast(c);
     }
@@ -271,17 +273,17 @@
   }
 
   /** Reasons by count, in their order. */
-  public static String print(Map<String, Integer> reasons) {
+  public static String formatReasons(Map<String, Integer> reasons) {
     return String.join(
         ", ",
         reasons.entrySet().stream().map(e -> e.getKey() + " " + e.getValue()).toList());
   }
 
   /** The kinds of call that every fleet takes, by their event types. */
-  public static List<Kind> kinds(long aim, long deadline, long repeatWindow) {
+  public static List<Kind> kinds(long latencyTarget, long deadline, long repeatWindow) {
     return List.of(
-        new Kind("hours.read", Effect.SAFE, deadline, aim, 0),
-        new Kind("assessment.saved", Effect.KEYED, deadline, aim, repeatWindow),
-        new Kind("certificate.issued", Effect.UNSAFE, deadline, aim, 0));
+        new Kind("hours.read", Effect.SAFE, deadline, latencyTarget, 0),
+        new Kind("assessment.saved", Effect.KEYED, deadline, latencyTarget, repeatWindow),
+        new Kind("certificate.issued", Effect.UNSAFE, deadline, latencyTarget, 0));
   }
 }
--- a/testbed/src/main/java/gorseladder/testbed/process/ChildProcess.java
+++ b/testbed/src/main/java/gorseladder/testbed/process/ChildProcess.java
@@ -22,7 +22,7 @@
       + "{ read line <&3; kill -9 $child 2>/dev/null; } & reader=$!; "
       + "wait $child 2>/dev/null; code=$?; kill $reader 2>/dev/null; echo $code";
 
-  private static final long END_SECONDS = 10;
+  private static final long END_TIMEOUT_SECONDS = 10;
 
   private final Process shell;
   private final ProcessHandle child;
@@ -95,7 +95,7 @@
   public void close() {
     try {
       shell.getOutputStream().close();
-      if (!shell.waitFor(END_SECONDS, TimeUnit.SECONDS)) {
+      if (!shell.waitFor(END_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
         child.destroyForcibly();
         shell.destroyForcibly();
       }
--- a/testbed/src/main/java/gorseladder/testbed/process/RunLine.java
+++ b/testbed/src/main/java/gorseladder/testbed/process/RunLine.java
@@ -15,13 +15,14 @@
   private static final Path LAUNCHER_BUILD = Path.of("app/src/main/c/build.sh");
   private static final String JAR_COMMAND = "-jar " + JAR + " node";
   /** The archive fits the jar alone; with one that does not fit the machine's own is not used either. */
-  private static final String ARCHIVE = "-XX:SharedArchiveFile=app/target/node.jsa ";
+  private static final String ARCHIVE_OPTION = "-XX:SharedArchiveFile=app/target/node.jsa ";
 
   /** What the jar's manifest opens ({@code Add-Opens}); a class path has no manifest. */
-  private static final String OPENS = "--add-opens java.base/jdk.internal.misc=ALL-UNNAMED ";
+  private static final String ADD_OPENS_OPTION =
+      "--add-opens java.base/jdk.internal.misc=ALL-UNNAMED ";
 
   private static final String MAIN = "gorseladder.node.NodeMain";
-  private static final Pattern RUN = Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE);
+  private static final Pattern RUN_PATTERN = Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE);
 
   private RunLine() {}
 
@@ -36,7 +37,7 @@
         .toAbsolutePath()
         .normalize()
         .equals(root.resolve(JAR).toAbsolutePath().normalize());
-    return fromJar ? line(root) : onClassPath(root, own);
+    return fromJar ? readRunLine(root) : onClassPath(root, own);
   }
 
   /**
@@ -45,7 +46,7 @@
    * @throws IOException where there is no deploy file or no such line in it
    */
   public static String ofJar(Path root) throws IOException {
-    return line(root);
+    return readRunLine(root);
   }
 
   /** The same with classes put before the program's own. */
@@ -85,12 +86,14 @@
   }
 
   private static String onClassPath(Path root, String path) throws IOException {
-    return line(root).replace(ARCHIVE, "").replace(JAR_COMMAND, OPENS + "-cp " + path + " " + MAIN);
+    return readRunLine(root)
+        .replace(ARCHIVE_OPTION, "")
+        .replace(JAR_COMMAND, ADD_OPENS_OPTION + "-cp " + path + " " + MAIN);
   }
 
-  private static String line(Path root) throws IOException {
+  private static String readRunLine(Path root) throws IOException {
     Path file = root.resolve(DEPLOY_FILE);
-    Matcher run = RUN.matcher(Files.readString(file));
+    Matcher run = RUN_PATTERN.matcher(Files.readString(file));
     if (!run.find() || !run.group(1).contains(JAR_COMMAND)) {
       throw new IOException(file + ": no run line with '" + JAR_COMMAND + "'");
     }
--- a/testbed/src/main/java/gorseladder/testbed/rehearsal/CallBatch.java
+++ b/testbed/src/main/java/gorseladder/testbed/rehearsal/CallBatch.java
@@ -11,7 +11,7 @@
 /** Calls sent one after the other over as many connections as they need, whose answers are awaited together. */
 final class CallBatch implements AutoCloseable {
   /** Below the bound of the platform, so that none is turned away for it. */
-  private static final int A_CONNECTION = 16;
+  private static final int CALLS_PER_CONNECTION = 16;
 
   private final InetSocketAddress dispatcher;
   private final List<FastCgiClient> connections = new ArrayList<>();
@@ -22,15 +22,15 @@
   }
 
   /** The connection for the next call. */
-  private FastCgiClient next() throws IOException {
-    if (sent % A_CONNECTION == 0) {
+  private FastCgiClient nextConnection() throws IOException {
+    if (sent % CALLS_PER_CONNECTION == 0) {
       connections.add(new FastCgiClient(dispatcher));
     }
     return connections.get(connections.size() - 1);
   }
 
-  private int number(int call) {
-    return call % A_CONNECTION + 1;
+  private int requestId(int call) {
+    return call % CALLS_PER_CONNECTION + 1;
   }
 
   void send(Map<String, String> params) throws IOException {
@@ -38,14 +38,14 @@
   }
 
   void sendBody(Map<String, String> params, byte[] body) throws IOException {
-    next().send(number(sent), params, body);
+    nextConnection().send(requestId(sent), params, body);
     sent++;
   }
 
   void sendAndAbort(Map<String, String> params) throws IOException {
-    FastCgiClient connection = next();
-    connection.send(number(sent), params, new byte[100]);
-    connection.write(RecordWriter.abort(number(sent)));
+    FastCgiClient connection = nextConnection();
+    connection.send(requestId(sent), params, new byte[100]);
+    connection.write(RecordWriter.abort(requestId(sent)));
     sent++;
   }
 
@@ -53,8 +53,8 @@
   int unanswered(long millis) throws InterruptedException {
     int missing = 0;
     for (int call = 0; call < sent; call++) {
-      FastCgiClient connection = connections.get(call / A_CONNECTION);
-      missing += connection.await(number(call), millis) == null ? 1 : 0;
+      FastCgiClient connection = connections.get(call / CALLS_PER_CONNECTION);
+      missing += connection.await(requestId(call), millis) == null ? 1 : 0;
     }
     return missing;
   }
--- a/testbed/src/main/java/gorseladder/testbed/rehearsal/DayConfig.java
+++ b/testbed/src/main/java/gorseladder/testbed/rehearsal/DayConfig.java
@@ -32,11 +32,13 @@
    * @param own where the dispatcher hears the other one
    * @param other where the other one hears
    */
-  static String text(int changeLog, List<String> known, int own, InetSocketAddress other) {
+  static String text(
+      int changeLogPort, List<String> known, int ownPeerPort, InetSocketAddress otherPeer) {
     return "{\"name\":\"n0\",\"seed\":\"5c0ffee\",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":512}"
-        + ",\"peer_listen\":\"127.0.0.1:" + own + "\",\"peers\":[\"127.0.0.1:" + own
-        + "\",\"127.0.0.1:" + other.getPort() + "\"],\"peers_all\":\"127.0.0.1:" + other.getPort()
-        + "\",\"changelog\":\"127.0.0.1:" + changeLog + "\",\"known\":{\"seq\":" + known.size()
+        + ",\"peer_listen\":\"127.0.0.1:" + ownPeerPort + "\",\"peers\":[\"127.0.0.1:" + ownPeerPort
+        + "\",\"127.0.0.1:" + otherPeer.getPort() + "\"],\"peers_all\":\"127.0.0.1:"
+        + otherPeer.getPort()
+        + "\",\"changelog\":\"127.0.0.1:" + changeLogPort + "\",\"known\":{\"seq\":" + known.size()
         + ",\"results\":[" + String.join(",", known) + "]},\"settings\":"
         + SETTINGS.formatted(String.join(
             ",",
--- a/testbed/src/main/java/gorseladder/testbed/rehearsal/DispatcherDay.java
+++ b/testbed/src/main/java/gorseladder/testbed/rehearsal/DispatcherDay.java
@@ -34,23 +34,23 @@
  */
 public final class DispatcherDay implements AutoCloseable {
   /** The most that anything expected may take; a busy machine is no trouble. */
-  private static final long PATIENCE = 20_000;
+  private static final long TIMEOUT_MILLIS = 20_000;
   /** The exit code of a dispatcher that was stopped in order. */
-  private static final int STOPPED = 0;
+  private static final int EXIT_STOPPED = 0;
 
   private static final int CALLS = 60;
   private static final int FUNCTIONS = 5;
   private static final List<String> CLASSES = List.of("safe", "unsafe", "keyed", "celled");
 
   private final Path directory;
-  private final Map<String, Reaction> atFirst = new ConcurrentHashMap<>();
-  private final Map<String, Reaction> always = new ConcurrentHashMap<>();
-  private final Set<String> late = ConcurrentHashMap.newKeySet();
+  private final Map<String, Reaction> firstReactions = new ConcurrentHashMap<>();
+  private final Map<String, Reaction> reactions = new ConcurrentHashMap<>();
+  private final Set<String> lateAnswers = ConcurrentHashMap.newKeySet();
   private final List<String> events = new ArrayList<>();
   private final List<PlatformRunner> runners = new ArrayList<>();
   private final List<FastCgiClient> clients = new ArrayList<>();
   private final List<String> problems = new ArrayList<>();
-  private final DatagramSocket other;
+  private final DatagramSocket otherDispatcher;
   private final InetSocketAddress listen;
   private final int peerPort;
   private PlatformChangeLog log;
@@ -65,7 +65,7 @@
   public DispatcherDay(Path directory) throws IOException {
     this.directory = directory;
     InetAddress loopback = InetAddress.getLoopbackAddress();
-    other = new DatagramSocket(0, loopback);
+    otherDispatcher = new DatagramSocket(0, loopback);
     try (ServerSocket free = new ServerSocket(0, 1, loopback);
         DatagramSocket freePeer = new DatagramSocket(0, loopback)) {
       listen = (InetSocketAddress) free.getLocalSocketAddress();
@@ -73,14 +73,14 @@
     }
     for (String uid : List.of("r1", "r2", "r3")) {
       runners.add(new PlatformRunner(this::react));
-      listed(uid, runners.get(runners.size() - 1).address(), "active");
+      addListEvent(uid, runners.get(runners.size() - 1).address(), "active");
     }
     // Nobody listens there.
     try (ServerSocket closed = new ServerSocket(0, 1, loopback)) {
-      listed("closed", (InetSocketAddress) closed.getLocalSocketAddress(), "active");
+      addListEvent("closed", (InetSocketAddress) closed.getLocalSocketAddress(), "active");
     }
     log = new PlatformChangeLog(events);
-    configure(DayConfig.text(log.address().getPort(), events, peerPort, address(other)));
+    configure(DayConfig.text(log.address().getPort(), events, peerPort, address(otherDispatcher)));
   }
 
   private static InetSocketAddress address(DatagramSocket socket) {
@@ -106,37 +106,37 @@
   /**
    * Waits until the dispatcher is live, plays every scene and stops it.
    *
-   * @param over told the name of each scene when it is over, {@code ready} first
+   * @param sceneEnded receives the name of each scene when it ends, {@code ready} first
    */
-  public void play(ChildProcess dispatcher, Consumer<String> over)
+  public void play(ChildProcess dispatcher, Consumer<String> sceneEnded)
       throws IOException, InterruptedException {
-    expect("live", () -> !dispatcher.isAlive() || isLive());
+    awaitCondition("live", () -> !dispatcher.isAlive() || isLive());
     if (!dispatcher.isAlive()) {
       problems.add("the dispatcher ended at its start");
       return;
     }
-    over.accept("ready");
-    served();
-    over.accept("served");
-    failed();
-    over.accept("refused, failed, second attempts, clients that leave");
-    unusable();
-    over.accept("requests that cannot be used");
-    peers();
-    over.accept("peers");
-    listChanges();
-    over.accept("list changes");
+    sceneEnded.accept("ready");
+    playServed();
+    sceneEnded.accept("served");
+    playFailed();
+    sceneEnded.accept("refused, failed, second attempts, clients that leave");
+    playUnusable();
+    sceneEnded.accept("requests that cannot be used");
+    playPeers();
+    sceneEnded.accept("peers");
+    playListChanges();
+    sceneEnded.accept("list changes");
     dispatcher.signal("STOP");
     Thread.sleep(600);
     dispatcher.signal("CONT");
     Thread.sleep(300);
-    over.accept("a pause of the process");
-    reconfiguration(dispatcher);
-    over.accept("reconfiguration");
-    served();
-    over.accept("served again");
-    stop(dispatcher);
-    over.accept("stop");
+    sceneEnded.accept("a pause of the process");
+    playReconfiguration(dispatcher);
+    sceneEnded.accept("reconfiguration");
+    playServed();
+    sceneEnded.accept("served again");
+    playStop(dispatcher);
+    sceneEnded.accept("stop");
   }
 
   private boolean isLive() {
@@ -151,11 +151,11 @@
   // ---- calls
 
   private Reaction react(Arrival arrival) {
-    if (late.remove(arrival.id())) {
+    if (lateAnswers.remove(arrival.id())) {
       sleep(DayConfig.DEADLINE_MILLIS + 100);
     }
-    Reaction first = atFirst.remove(arrival.id());
-    return first != null ? first : always.getOrDefault(arrival.id(), Reaction.SERVE);
+    Reaction first = firstReactions.remove(arrival.id());
+    return first != null ? first : reactions.getOrDefault(arrival.id(), Reaction.SERVE);
   }
 
   private static void sleep(long millis) {
@@ -166,7 +166,7 @@
     }
   }
 
-  private void served() throws IOException, InterruptedException {
+  private void playServed() throws IOException, InterruptedException {
     try (CallBatch calls = new CallBatch(listen)) {
       for (int i = 0; i < CALLS; i++) {
         calls.send(params(i));
@@ -201,33 +201,33 @@
   }
 
   /** Runners that refuse, fail, say nothing, break off or talk nonsense, once or always; clients that leave. */
-  private void failed() throws IOException, InterruptedException {
+  private void playFailed() throws IOException, InterruptedException {
     try (CallBatch calls = new CallBatch(listen);
         CallBatch leaving = new CallBatch(listen);
         FastCgiClient silent = new FastCgiClient(listen);
-        FastCgiClient half = new FastCgiClient(listen)) {
-      half.write(UnusableRequests.half(params("safe", 1)));
+        FastCgiClient partial = new FastCgiClient(listen)) {
+      partial.write(UnusableRequests.partial(params("safe", 1)));
       for (Reaction reaction : Reaction.values()) {
         for (String requestClass : CLASSES) {
           Map<String, String> once = params(requestClass, 1);
-          atFirst.put(id(once), reaction);
+          firstReactions.put(id(once), reaction);
           calls.send(once);
           Map<String, String> each = params(requestClass, FUNCTIONS + reaction.ordinal());
-          always.put(id(each), reaction);
+          reactions.put(id(each), reaction);
           calls.send(each);
         }
       }
       Map<String, String> withdrawn = params("safe", 2);
-      always.put(id(withdrawn), Reaction.SILENT);
+      reactions.put(id(withdrawn), Reaction.SILENT);
       leaving.sendAndAbort(withdrawn);
       Map<String, String> left = params("unsafe", 3);
-      always.put(id(left), Reaction.SILENT);
+      reactions.put(id(left), Reaction.SILENT);
       leaving.send(left);
       Thread.sleep(200);
       leaving.close();
       expectAnswers(calls);
-      expect("an end of the half request", () -> answered(half));
-      expect("an end of the silent connection", () -> ended(silent));
+      awaitCondition("an end of the half request", () -> answered(partial));
+      awaitCondition("an end of the silent connection", () -> ended(silent));
     }
   }
 
@@ -249,7 +249,7 @@
     }
   }
 
-  private void unusable() throws IOException, InterruptedException {
+  private void playUnusable() throws IOException, InterruptedException {
     try (CallBatch calls = new CallBatch(listen)) {
       for (Map<String, String> params : UnusableRequests.of(params("safe", 1))) {
         calls.send(params);
@@ -257,16 +257,16 @@
       calls.sendBody(params("safe", 1), UnusableRequests.LARGE_BODY);
       expectAnswers(calls);
     }
-    for (byte[] bytes : UnusableRequests.bytes(params("safe", 1))) {
+    for (byte[] bytes : UnusableRequests.connectionStarts(params("safe", 1))) {
       FastCgiClient client = new FastCgiClient(listen);
       clients.add(client);
       client.write(bytes);
     }
     try (FastCgiClient crowd = new FastCgiClient(listen)) {
       clients.add(crowd);
-      for (int i = 1; i <= UnusableRequests.MOST_OPEN + 2; i++) {
+      for (int i = 1; i <= UnusableRequests.MAX_OPEN_REQUESTS + 2; i++) {
         Map<String, String> params = params("safe", 4);
-        always.put(id(params), Reaction.SILENT);
+        reactions.put(id(params), Reaction.SILENT);
         crowd.send(i, params, new byte[1]);
       }
       Thread.sleep(100);
@@ -274,7 +274,7 @@
   }
 
   private void expectAnswers(CallBatch calls) throws InterruptedException {
-    int missing = calls.unanswered(PATIENCE);
+    int missing = calls.unanswered(TIMEOUT_MILLIS);
     if (missing > 0) {
       problems.add(missing + " calls had no answer");
     }
@@ -282,12 +282,12 @@
 
   // ---- what the dispatcher is told
 
-  private void peers() throws IOException, InterruptedException {
+  private void playPeers() throws IOException, InterruptedException {
     for (String text : List.of("sick r1", "sick nobody", "nonsense")) {
       byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
       DatagramPacket packet =
           new DatagramPacket(bytes, bytes.length, InetAddress.getLoopbackAddress(), peerPort);
-      other.send(packet);
+      otherDispatcher.send(packet);
       try (DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
         stranger.send(packet);
       }
@@ -295,11 +295,11 @@
     Thread.sleep(50);
   }
 
-  private void listed(String uid, InetSocketAddress at, String state) {
-    listed(uid, at, state, false, 0);
+  private void addListEvent(String uid, InetSocketAddress at, String state) {
+    addListEvent(uid, at, state, false, 0);
   }
 
-  private void listed(
+  private void addListEvent(
       String uid, InetSocketAddress at, String state, boolean all, long bootMillis) {
     String event = PlatformChangeLog.event(
         events.size() + 1L, all || events.isEmpty(), uid, at, state, bootMillis);
@@ -311,26 +311,27 @@
   }
 
   /** A runner that drains, goes and comes back elsewhere, a new one, half an event, a silence, a new whole list. */
-  private void listChanges() throws IOException, InterruptedException {
+  private void playListChanges() throws IOException, InterruptedException {
     InetSocketAddress second = runners.get(1).address();
-    listed("r2", second, "leaving");
-    listed("r3", runners.get(2).address(), "left");
-    listed("r4", second, "active", false, System.currentTimeMillis() - 500);
+    addListEvent("r2", second, "leaving");
+    addListEvent("r3", runners.get(2).address(), "left");
+    addListEvent("r4", second, "active", false, System.currentTimeMillis() - 500);
     runners.add(new PlatformRunner(this::react));
-    listed("r3", runners.get(3).address(), "active");
-    served();
+    addListEvent("r3", runners.get(3).address(), "active");
+    playServed();
     int asked = log.requestedFrom().size();
     log.breakConnection();
     log.add("{\"seq\":" + (events.size() + 1) + ",\"fleet\":{\"rev\":1,\"all\":false,\"targets\":"
         + "[{\"uid\":\"odd\",\"endpoint\":\"nowhere\",\"state\":\"active\"}]}}");
-    expect("the change log is asked again", () -> log.requestedFrom().size() > asked);
+    awaitCondition("the change log is asked again", () -> log.requestedFrom().size() > asked);
     log.sendStaleHeartbeats();
     Thread.sleep(300);
     int askedBefore = log.requestedFrom().size();
     log.stopSending();
-    expect("a silent change log is asked again", () -> log.requestedFrom().size() > askedBefore);
-    listed("r1", runners.get(0).address(), "active", true, 0);
-    listed("r3", runners.get(3).address(), "active");
+    awaitCondition(
+        "a silent change log is asked again", () -> log.requestedFrom().size() > askedBefore);
+    addListEvent("r1", runners.get(0).address(), "active", true, 0);
+    addListEvent("r3", runners.get(3).address(), "active");
     Thread.sleep(200);
   }
 
@@ -341,45 +342,46 @@
   }
 
   /** A configuration that cannot be read, and one that names another change log. */
-  private void reconfiguration(ChildProcess dispatcher) throws IOException, InterruptedException {
+  private void playReconfiguration(ChildProcess dispatcher)
+      throws IOException, InterruptedException {
     configure("{");
     dispatcher.signal("HUP");
     Thread.sleep(400);
     PlatformChangeLog next = new PlatformChangeLog(events);
     log.close();
     log = next;
-    configure(DayConfig.text(next.address().getPort(), events, peerPort, address(other)));
+    configure(DayConfig.text(next.address().getPort(), events, peerPort, address(otherDispatcher)));
     dispatcher.signal("HUP");
-    expect("the new change log is followed", () -> !next.requestedFrom().isEmpty());
+    awaitCondition("the new change log is followed", () -> !next.requestedFrom().isEmpty());
   }
 
   /** A stop while one call waits for an answer that comes too late, and with one that never gets any. */
-  private void stop(ChildProcess dispatcher) throws IOException, InterruptedException {
+  private void playStop(ChildProcess dispatcher) throws IOException, InterruptedException {
     try (CallBatch calls = new CallBatch(listen)) {
       Map<String, String> slow = params("safe", 1);
-      late.add(id(slow));
+      lateAnswers.add(id(slow));
       calls.send(slow);
       dispatcher.signal("TERM");
       for (int i = 0; i < 5; i++) {
         Thread.sleep(120);
         Map<String, String> held = params(i);
         if (i >= 3) {
-          always.put(id(held), Reaction.SILENT);
+          reactions.put(id(held), Reaction.SILENT);
         }
         calls.send(held);
       }
       expectAnswers(calls);
     }
-    int code = dispatcher.await(PATIENCE);
-    if (code != STOPPED) {
+    int code = dispatcher.await(TIMEOUT_MILLIS);
+    if (code != EXIT_STOPPED) {
       problems.add("the dispatcher ended with " + code);
     }
   }
 
-  private void expect(String what, BooleanSupplier holds) throws InterruptedException {
-    long until = System.nanoTime() + PATIENCE * 1_000_000;
-    while (!holds.getAsBoolean()) {
-      if (System.nanoTime() > until) {
+  private void awaitCondition(String what, BooleanSupplier condition) throws InterruptedException {
+    long deadline = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000;
+    while (!condition.getAsBoolean()) {
+      if (System.nanoTime() > deadline) {
         problems.add("waited in vain: " + what);
         return;
       }
@@ -396,6 +398,6 @@
     for (PlatformRunner runner : runners) {
       runner.close();
     }
-    other.close();
+    otherDispatcher.close();
   }
 }
--- a/testbed/src/main/java/gorseladder/testbed/rehearsal/UnusableRequests.java
+++ b/testbed/src/main/java/gorseladder/testbed/rehearsal/UnusableRequests.java
@@ -10,14 +10,14 @@
 /** Requests that a dispatcher cannot use, made of one that it could. */
 final class UnusableRequests {
   /** Requests that may be open on one connection. */
-  static final int MOST_OPEN = 32;
+  static final int MAX_OPEN_REQUESTS = 32;
   /** Over the bound on bodies. */
   static final byte[] LARGE_BODY = new byte[20_000];
 
-  private static final int HEADER = 8;
-  private static final int ROLE_AT = HEADER + 1;
+  private static final int HEADER_BYTES = 8;
+  private static final int ROLE_OFFSET = HEADER_BYTES + 1;
   private static final byte GET_VALUES = 9;
-  private static final byte UNKNOWN = 77;
+  private static final byte UNKNOWN_TYPE = 77;
 
   private UnusableRequests() {}
 
@@ -44,15 +44,15 @@
   }
 
   /** What a connection of its own begins with, as bytes. */
-  static List<byte[]> bytes(Map<String, String> params) {
+  static List<byte[]> connectionStarts(Map<String, String> params) {
     byte[] request = RecordWriter.request(1, true, params, new byte[1]);
     byte[] role = request.clone();
-    role[ROLE_AT] = 3;
+    role[ROLE_OFFSET] = 3;
     return List.of(
         role,
         management(
             GET_VALUES, RecordWriter.valuesResult(Map.of("FCGI_MAX_CONNS", "", "OTHER", ""))),
-        management(UNKNOWN, RecordWriter.unknownType(1)),
+        management(UNKNOWN_TYPE, RecordWriter.unknownType(1)),
         "GET / HTTP/1.1\r\n\r\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
   }
 
@@ -64,7 +64,7 @@
   }
 
   /** The first part of a request. */
-  static byte[] half(Map<String, String> params) {
+  static byte[] partial(Map<String, String> params) {
     byte[] request = RecordWriter.request(1, true, params, new byte[1]);
     return Arrays.copyOf(request, request.length / 2);
   }
--- a/testbed/src/main/java/gorseladder/testbed/script/DayScript.java
+++ b/testbed/src/main/java/gorseladder/testbed/script/DayScript.java
@@ -68,7 +68,7 @@
   public record Trouble(
       Kind kind, long at, long lasts, double amount, boolean share, double factor) {
     /** How many of so many it hits: at least one. */
-    public int of(int all) {
+    public int affectedCount(int all) {
       return (int) Math.max(1, Math.min(all, Math.round(share ? amount * all : amount)));
     }
   }
--- a/testbed/src/test/java/gorseladder/testbed/BadDaysTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/BadDaysTest.java
@@ -106,7 +106,7 @@
     assertEquals(
         List.of(2, 1),
         DayScript.parse("at 1s hang 15%; at 2s hang 1;").troubles().stream()
-            .map(t -> t.of(12))
+            .map(t -> t.affectedCount(12))
             .toList());
   }
 
--- a/testbed/src/test/java/gorseladder/testbed/HardCasesTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/HardCasesTest.java
@@ -270,7 +270,7 @@
     fleet.list().setBehind(true);
     for (int i = 0; i < 2; i++) {
       fleet.runners().get(i).crash();
-      fleet.list().set(fleet.runners().get(i), Phase.GONE, false, true);
+      fleet.list().setPhase(fleet.runners().get(i), Phase.GONE, false, true);
       fleet.restartEdge(0, 0);
       for (int j = 0; j < 10; j++) {
         assertEquals(
--- a/testbed/src/test/java/gorseladder/testbed/RuleCheckerTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/RuleCheckerTest.java
@@ -155,8 +155,8 @@
     assertEquals(
         List.of(1L, 1L, 2L, 0L),
         all.subList(0, 4).stream().map(RuleChecker.RuleStats::occasions).toList());
-    assertEquals(0.9, all.get(0).closest(), 1e-9);
-    assertEquals((RULES.drainGrace() - 10) / 1000.0, all.get(2).closest(), 1e-9);
+    assertEquals(0.9, all.get(0).smallestMargin(), 1e-9);
+    assertEquals((RULES.drainGrace() - 10) / 1000.0, all.get(2).smallestMargin(), 1e-9);
     assertEquals("rule 4: no occasion, not tested", all.get(3).toString());
   }
 
