--- a/testbed/src/main/java/gorseladder/testbed/Archive.java
+++ b/testbed/src/main/java/gorseladder/testbed/Archive.java
@@ -2,7 +2,10 @@
 
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** The archive that all runners fetch from: slower when crowded, refusing past a limit. Any thread. */
+/**
+ * The simulated archive from which all runners load copies. It slows down when many fetch at once and refuses fetches
+ * over a limit. Thread-safe.
+ */
 public final class Archive {
   private final int fullSpeedFetches;
   private final int maxFetches;
@@ -10,7 +13,12 @@
   private final AtomicInteger begun = new AtomicInteger();
   private volatile double slowdown = 1;
 
-  /** Serves so many fetches at full speed and refuses past a most. */
+  /**
+   * Creates an archive.
+   *
+   * @param fullSpeedFetches concurrent fetches that it serves at full speed
+   * @param maxFetches concurrent fetches beyond which it refuses
+   */
   public Archive(int fullSpeedFetches, int maxFetches) {
     this.fullSpeedFetches = fullSpeedFetches;
     this.maxFetches = maxFetches;
@@ -20,7 +28,7 @@
     slowdown = factor;
   }
 
-  /** Fetches; false where it was refused. */
+  /** Takes as long as a fetch of the given duration at full speed; returns false at once if it is refused. */
   boolean fetch(long micros) throws InterruptedException {
     int concurrent = fetching.incrementAndGet();
     try {
@@ -36,7 +44,7 @@
     }
   }
 
-  /** Fetches begun. */
+  /** Returns the number of fetches that were started. */
   public int fetchCount() {
     return begun.get();
   }
--- a/testbed/src/main/java/gorseladder/testbed/LagMeter.java
+++ b/testbed/src/main/java/gorseladder/testbed/LagMeter.java
@@ -6,22 +6,22 @@
 import java.util.concurrent.ConcurrentSkipListMap;
 
 /**
- * Measures by how much this machine lets threads wait for a processor, as the oversleep of short sleeps, and when. A
- * call passes about ten threads on its way, so a checker that judges times must not blame an edge for what the machine
- * added around that moment. Any thread may ask.
+ * Records when and for how long the machine makes threads wait for a processor, measured as the oversleep of short
+ * sleeps. A call passes through about ten threads, so a checker of times must not blame an edge for a delay that the
+ * machine added around that moment. Queries are thread-safe.
  */
 public final class LagMeter implements AutoCloseable {
   private static final long SLEEP_MILLIS = 2;
   private static final int HANDOVERS_PER_CALL = 10;
-  /** Oversleeps below this are what every sleep has. */
+  /** Every sleep may oversleep by this much; shorter delays are not recorded. */
   private static final long NORMAL_OVERSLEEP_MICROS = 500;
-  /** A moment is judged with what was measured within this time of it, either way. */
+  /** A query covers the delays measured within this time before and after its moment. */
   private static final long WINDOW_MICROS = 250_000;
 
   private final ConcurrentSkipListMap<Long, Long> lags = new ConcurrentSkipListMap<>();
   private volatile boolean closed;
 
-  /** Begins to measure. */
+  /** Starts the measuring thread. */
   public LagMeter() {
     Threads.start("lag", 64 << 10, this::run);
   }
@@ -41,10 +41,13 @@
     }
   }
 
-  /** What the machine may have added to a call around that moment ({@link Clock#micros()}), in microseconds. */
+  /**
+   * Returns the microseconds that the machine may have added to a call around the given time ({@link
+   * Clock#micros()}).
+   */
   public long callLagAt(long at) {
     long maxLag = NORMAL_OVERSLEEP_MICROS;
-    // A long stall is found by its end.
+    // A long stall that began before the window counts if it ended within it.
     for (Map.Entry<Long, Long> e = lags.floorEntry(at + WINDOW_MICROS);
         e != null && e.getKey() + e.getValue() >= at - WINDOW_MICROS;
         e = lags.lowerEntry(e.getKey())) {
--- a/testbed/src/main/java/gorseladder/testbed/ListStandIn.java
+++ b/testbed/src/main/java/gorseladder/testbed/ListStandIn.java
@@ -21,13 +21,13 @@
 import java.util.Map;
 
 /**
- * A stand-in for a Consul agent: the blocking health query of one service. What it knows becomes visible late, and not
- * at all while it is behind. Any thread.
+ * A simulated Consul agent that answers the blocking health query for one service. Changes become visible after a
+ * delay, and not at all while the list is behind. Thread-safe.
  */
 public final class ListStandIn implements Closeable {
   private static final int STACK = 256 << 10;
 
-  /** One entry; {@code born} is wall time in milliseconds, 0 where long ago. */
+  /** A runner of the list; {@code startedAtMillis} is wall-clock time, 0 if it started long ago. */
   private record Entry(StandInRunner runner, Phase phase, long startedAtMillis) {}
 
   private final Map<String, Entry> entries = new LinkedHashMap<>();
@@ -41,7 +41,7 @@
   private boolean behind;
   private boolean closed;
 
-  /** A list whose changes show after so many microseconds. */
+  /** Creates a list whose changes become visible after a delay in microseconds. */
   public ListStandIn(Tap tap, long delay) throws IOException {
     this.tap = tap;
     this.delay = delay;
@@ -49,12 +49,11 @@
         HttpServer.listen(new InetSocketAddress("127.0.0.1", 0), "list", STACK, this::serve);
   }
 
-  /** Where it listens. */
   public String address() {
     return "127.0.0.1:" + server.address().getPort();
   }
 
-  /** A runner's phase changes in truth; shown after the delay, at once where {@code now}. */
+  /** Changes the phase of a runner; visible after the delay, or at once if {@code immediately}. */
   public void setPhase(StandInRunner runner, Phase phase, boolean restarted, boolean immediately) {
     synchronized (this) {
       if (phase == Phase.GONE) {
@@ -80,7 +79,7 @@
     }
   }
 
-  /** Shows nothing new until it is told otherwise; then everything at once. */
+  /** Hides all changes while true; then shows them at once. */
   public void setBehind(boolean isBehind) {
     synchronized (this) {
       behind = isBehind;
@@ -167,7 +166,7 @@
     recordPhases(edge, phases, Clock.micros());
   }
 
-  /** Notes for the checker what this edge was told now that differs from what it was told before. */
+  /** Records for the checker the phases that differ from those that the edge was sent before. */
   private synchronized void recordPhases(int edge, Map<String, Phase> phases, long now) {
     Map<String, Phase> before = lastSent.getOrDefault(edge, Map.of());
     before.keySet().stream()
--- a/testbed/src/main/java/gorseladder/testbed/Play.java
+++ b/testbed/src/main/java/gorseladder/testbed/Play.java
@@ -18,13 +18,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Plays a day's script in a fleet and judges it. */
+/** Plays the script of a day on a fleet and checks the rules. */
 public final class Play {
   private static final Logger LOG = LoggerFactory.getLogger(Play.class);
   private static final int STACK = 512 << 10;
   /**
-   * What may pass between a socket and the tap on an idle machine; {@link LagMeter} adds for one that was busy at the
-   * moment.
+   * Delay allowed between a socket and the tap on an idle machine, in microseconds; {@link LagMeter} adds to it what
+   * a busy machine added at that moment.
    */
   public static final long BASE_SLACK_MICROS = 40_000;
 
@@ -42,7 +42,7 @@
   private volatile double hotKeyShare;
   private volatile double scanShare;
 
-  /** A day about to be played. */
+  /** Prepares a day; {@link #run} plays it. */
   public Play(DayScript script, TestFleet fleet) {
     this.script = script;
     this.fleet = fleet;
@@ -50,7 +50,12 @@
     this.random = new Random(script.count("seed"));
   }
 
-  /** The outcome of a day. */
+  /**
+   * The outcome of a day.
+   *
+   * @param overloadedRunners cold runners that collapsed because they were sent too much work
+   * @param unplayed troubles that could not be played
+   */
   public record Verdict(
       WebhookClients.Totals totals,
       int attempts,
@@ -59,12 +64,12 @@
       int overloadedRunners,
       List<Trouble> unplayed,
       List<RuleStats> ruleStats) {
-    /** True where no rule was broken and every trouble was played. */
+    /** Returns true if no rule was broken, no runner collapsed and every trouble was played. */
     public boolean good() {
       return violations.isEmpty() && overloadedRunners == 0 && unplayed.isEmpty();
     }
 
-    /** Rules of which the day showed nothing. */
+    /** Returns the numbers of the rules that the day did not exercise. */
     public List<Integer> untested() {
       return ruleStats.stream()
           .filter(p -> p.occasions() == 0)
@@ -72,7 +77,7 @@
           .toList();
     }
 
-    /** The table of the day. */
+    /** Prints the figures of the day as a table. */
     public void print(PrintStream out) {
       out.printf(Locale.ROOT, "%-34s %8d%n", "calls", totals.calls.get());
       out.printf(Locale.ROOT, "%-34s %8d%n", "served", totals.served.get());
@@ -101,7 +106,7 @@
     }
   }
 
-  /** Plays the day; progress goes to {@code progress} once a second, null for none. */
+  /** Plays the day; {@code progress}, unless null, receives a line every second. */
   public Verdict run(PrintStream progress) throws InterruptedException {
     LagMeter lag = new LagMeter();
     long start = Clock.micros() + 200_000;
@@ -171,7 +176,7 @@
     int kind = draw < script.number("safe")
         ? 0
         : draw < script.number("safe") + script.number("keyed") ? 1 : 2;
-    // Few functions draw much of the traffic.
+    // Squaring concentrates the traffic on a few functions.
     int rank = (int) (Math.pow(random.nextDouble(), 2) * script.count("functions"));
     String function = "svc/f" + kind + "-" + rank;
     double specialDraw = random.nextDouble();
@@ -310,7 +315,7 @@
     }
   }
 
-  /** A drained runner finishes what it holds, leaves the list and dies. */
+  /** Lets drained runners finish their calls, removes them from the list and stops them. */
   private void removeDrained(List<StandInRunner> affected) throws InterruptedException {
     Thread.sleep(1_500);
     for (StandInRunner r : affected) {
--- a/testbed/src/main/java/gorseladder/testbed/Ports.java
+++ b/testbed/src/main/java/gorseladder/testbed/Ports.java
@@ -8,8 +8,9 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Finds loopback ports for programs that die and come back at the same address. They lie below the range from which
- * systems take the ports of outgoing connections; else such a connection could hold the port when its owner returns.
+ * Finds loopback ports for programs that are restarted at the same address. The ports lie below the range from which
+ * systems choose the ports of outgoing connections; otherwise such a connection could occupy the port when its owner
+ * returns.
  */
 final class Ports {
   private static final int FIRST_PORT = 20_000;
@@ -18,7 +19,7 @@
 
   private Ports() {}
 
-  /** An address whose port is free for TCP and UDP now. */
+  /** Returns an address whose port is currently free for TCP and UDP. */
   static InetSocketAddress free() throws IOException {
     InetAddress loopback = InetAddress.getByName("127.0.0.1");
     for (int i = 0; i < MAX_TRIES; i++) {
--- a/testbed/src/main/java/gorseladder/testbed/RuleChecker.java
+++ b/testbed/src/main/java/gorseladder/testbed/RuleChecker.java
@@ -20,12 +20,12 @@
 import java.util.stream.Collectors;
 
 /**
- * Judges the five rules from a {@link Tap} alone, after the day. Pure; it knows the rules' figures and the classes'
- * repeat window, nothing of an edge. Slack stands for what the machine may have added at the very moment that is
- * judged.
+ * Checks the five routing rules after a day has been played, from the recordings of a {@link Tap} alone. It uses only
+ * the figures of the rules and the repeat window of the request classes, and no state of an edge. Each comparison
+ * with a time bound allows a slack: the delay that the machine itself may have added at that moment.
  */
 public final class RuleChecker {
-  /** One break of a rule. */
+  /** A violation of a rule. */
   public record Violation(int rule, String text) {
     @Override
     public String toString() {
@@ -34,14 +34,14 @@
   }
 
   /**
-   * How a rule was put under pressure.
+   * How often a day exercised a rule, and how close it came to a violation.
    *
-   * @param occasions what there was to judge; a rule without any was not tested by the day
-   * @param slackMillis what the machine may have added, that is how far past its bound something must be to be called a
-   *     break; the 99th percentile of all judgements
-   * @param notJudged what was past its bound by no more than that: neither kept nor broken
-   * @param closest how near the nearest came to breaking, in {@code unit}; below 0 it was past the bound; NaN or the
-   *     largest value where nothing came near a bound
+   * @param occasions situations to which the rule applied; a rule without any was not tested by the day
+   * @param smallestMargin smallest distance to a violation, in {@code unit}; negative where a bound was passed; NaN
+   *     or {@link Double#MAX_VALUE} where nothing was compared with a bound
+   * @param slackMillis 99th percentile, over all comparisons, of the delay that the machine may have added: only what
+   *     exceeds its bound by more than the slack is a violation; negative where nothing was compared
+   * @param notJudged events past their bound by no more than the slack: neither kept nor broken
    */
   public record RuleStats(
       int rule,
@@ -71,10 +71,10 @@
     }
   }
 
-  /** What a day showed: every break, and the pressure on each rule in its order. */
+  /** All violations of a day, and the statistics of each rule in the order of the rules. */
   public record Report(List<Violation> violations, List<RuleStats> ruleStats) {}
 
-  /** An edge that sent to a runner within this time before has it in use. */
+  /** An edge counts as using a runner if it sent a call there within this time before. */
   private static final long IN_USE_MICROS = 1_000_000;
 
   private final Tap tap;
@@ -99,15 +99,15 @@
     }
   }
 
-  /** Every break found. */
+  /** Returns all violations, with the same slack in microseconds at every moment. */
   public static List<Violation> check(Tap tap, Rules rules, long repeatWindow, long slack) {
     return report(tap, rules, repeatWindow, at -> slack).violations();
   }
 
   /**
-   * Every break found, and how each rule was put under pressure.
+   * Returns all violations and the statistics of each rule.
    *
-   * @param slackAt microseconds that the machine may have added to what happened at a moment
+   * @param slackAt microseconds that the machine may have added to an event at the given time
    */
   public static Report report(Tap tap, Rules rules, long repeatWindow, LongUnaryOperator slackAt) {
     RuleChecker checker = new RuleChecker(tap, rules, repeatWindow, slackAt);
@@ -146,7 +146,10 @@
         notJudged[rule]);
   }
 
-  /** True where something at that moment was past its bound by more than the machine may have added. */
+  /**
+   * Returns true if an event is later than its bound by more than the slack; records the slack and counts undecided
+   * events.
+   */
   private boolean exceedsBound(int rule, long at, long bound) {
     long slack = slackAt.applyAsLong(at);
     slackSamples.get(rule).add(slack);
@@ -170,7 +173,7 @@
             && d.to() >= t.sentAt);
   }
 
-  /** What a late try waited for, as far as its client saw it. */
+  /** Describes the steps of a late try as its client saw them. */
   private String describe(Try t) {
     return t.reason + ", patience " + t.clientTimeout / 1000 + " ms, connected after "
         + (t.connectedAt - t.sentAt) / 1000 + " ms, written after "
@@ -186,7 +189,7 @@
     return all.stream().collect(Collectors.groupingBy(by, HashMap::new, Collectors.toList()));
   }
 
-  /** Rule 1: one final answer in time, and nothing sent for a message after it. */
+  /** Rule 1: each try gets exactly one final answer in time, and nothing is sent for a message after it. */
   private void checkFinalAnswers() {
     for (Try t : tap.tries) {
       if (t.unreached || edgeWasDown(t)) {
@@ -229,7 +232,7 @@
     }
   }
 
-  /** Rule 2: no effect twice, and a refusal only where nothing ran. */
+  /** Rule 2: no effect happens twice, and a call is refused only if it never ran. */
   private void checkEffects() {
     Map<String, List<Arrival>> arrivals = group(tap.arrivals, a -> a.message);
     Map<String, List<Try>> tries = group(tap.tries, t -> t.message);
@@ -289,13 +292,13 @@
     }
   }
 
-  /** Rule 3: after the grace of a drain nothing new, call or order. */
+  /** Rule 3: after the grace period of a drain, neither calls nor load orders are sent. */
   private void checkDrains() {
     Map<String, List<PhaseReport>> reports =
         group(tap.phaseReports, t -> t.edge() + " " + t.runner());
     reports.values().forEach(list -> list.sort(Comparator.comparingLong(PhaseReport::at)));
     for (PhaseReport report : tap.phaseReports) {
-      // An edge that had just sent there would have sent on: that is what the word had to stop.
+      // An edge that has just used the runner would send more: the report has to stop it.
       if (report.phase() != Phase.RUNNING
           && tap.arrivals.stream()
               .anyMatch(a -> a.edge == report.edge()
@@ -343,7 +346,10 @@
     }
   }
 
-  /** Rule 4: in no window does a cold runner get more than the multiple of what it can do then. */
+  /**
+   * Rule 4: in no window is a cold runner sent more than the permitted multiple of the work that it can do at its
+   * warm-up level.
+   */
   private void checkColdRunners() {
     Map<String, List<Arrival>> arrivals = group(tap.arrivals, a -> a.runner);
     for (Start start : tap.starts) {
@@ -374,7 +380,10 @@
     }
   }
 
-  /** Rule 5: load orders within the ration; calls are counted from a little before the window, for the tap's slack. */
+  /**
+   * Rule 5: load orders stay within the ration. Calls are counted from slightly before the window, because of the
+   * slack of the recorded times.
+   */
   private void checkLoadOrders() {
     if (rules.loadWindow() == 0) {
       return;
--- a/testbed/src/main/java/gorseladder/testbed/ScarceThreads.java
+++ b/testbed/src/main/java/gorseladder/testbed/ScarceThreads.java
@@ -3,14 +3,14 @@
 import java.util.concurrent.ThreadFactory;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Threads of a machine that has no new ones while it is told so. Any thread. */
+/** A thread factory that can simulate a machine without free threads. Thread-safe. */
 public final class ScarceThreads implements ThreadFactory {
   private static final int STACK = 128 << 10;
 
   private final AtomicInteger next = new AtomicInteger();
   private volatile boolean exhausted;
 
-  /** From now on none can be started, or they can again. */
+  /** While true, no thread can be started. */
   public void setExhausted(boolean noThreads) {
     exhausted = noThreads;
   }
@@ -21,7 +21,7 @@
       @Override
       public synchronized void start() {
         if (exhausted) {
-          throw new OutOfMemoryError("no thread is to be had");
+          throw new OutOfMemoryError("no thread is available");
         }
         super.start();
       }
--- a/testbed/src/main/java/gorseladder/testbed/StallingDisk.java
+++ b/testbed/src/main/java/gorseladder/testbed/StallingDisk.java
@@ -8,17 +8,17 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
 
-/** A disk on which writes, or reads, take long while it is told so, and succeed then. Any thread. */
+/** Ledger files whose writes or reads can be delayed; they succeed after the delay. Thread-safe. */
 public final class StallingDisk implements LedgerFiles {
   private long stalledUntil;
   private long readsStalledUntil;
 
-  /** Writes that begin or stand from now on end no earlier than after this time. */
+  /** Delays all writes, also those in progress, until the given time has passed. */
   public synchronized void stallFor(long millis) {
     stalledUntil = Clock.micros() + millis * 1000;
   }
 
-  /** The same for reads. */
+  /** Delays reads that start from now on until the given time has passed. */
   public synchronized void stallReadsFor(long millis) {
     readsStalledUntil = Clock.micros() + millis * 1000;
   }
--- a/testbed/src/main/java/gorseladder/testbed/StandInPlanner.java
+++ b/testbed/src/main/java/gorseladder/testbed/StandInPlanner.java
@@ -23,9 +23,9 @@
 import java.util.TreeSet;
 
 /**
- * A planner gone wrong: at each ask it wants every function held at every worker it ever heard of, also at those that
- * drain, died or just started, all at once and by every edge; now and then its plan is absurd, of an older epoch, or
- * its answer is no answer.
+ * A faulty planner for tests. Its plans hold every function on every worker that it ever heard of, also on those that
+ * drain, have died or have just started, all at once and for each edge. Some of its plans have absurd numbers or an
+ * older epoch, and some of its answers are errors or cannot be parsed.
  */
 public final class StandInPlanner implements Closeable {
   private static final long TIMEOUT_MICROS = 60_000_000;
@@ -38,7 +38,7 @@
   private long version;
   private long plans;
 
-  /** A planner that wants these functions everywhere. */
+  /** Creates a planner that places these functions on all workers. */
   public StandInPlanner(List<String> functions, long seed) throws IOException {
     this.functions = List.copyOf(functions);
     this.random = new Random(seed);
@@ -46,12 +46,11 @@
         new InetSocketAddress("127.0.0.1", 0), "stand-in-planner", STACK, this::serve);
   }
 
-  /** Where it listens. */
   public String address() {
     return "127.0.0.1:" + server.address().getPort();
   }
 
-  /** Plans given out. */
+  /** Returns the number of plans sent. */
   public synchronized long planCount() {
     return plans;
   }
--- a/testbed/src/main/java/gorseladder/testbed/StandInRunner.java
+++ b/testbed/src/main/java/gorseladder/testbed/StandInRunner.java
@@ -24,15 +24,21 @@
 import java.util.function.Consumer;
 
 /**
- * A stand-in runner that speaks the Open Inference Protocol v2 over HTTP/1.1 with the model repository extension. It
- * holds copies with lanes in bounded memory, loads them from the shared archive, starts cold, falls over when pushed,
- * drops repeats of keyed calls for a while, honours cancels or not, and can be made to misbehave. Any thread.
+ * A simulated runner that speaks the Open Inference Protocol v2 over HTTP/1.1 with the model repository extension. It
+ * keeps copies with lanes in limited memory, loads them from the shared archive, starts cold, collapses if it is sent
+ * too much while cold, ignores repeats of keyed calls for a while and can inject faults. Thread-safe.
  */
 public final class StandInRunner implements Closeable {
   private static final int STACK = 256 << 10;
   private static final long SLICE_MILLIS = 5;
 
-  /** What a runner is like; times in microseconds. */
+  /**
+   * Settings of a runner; times in microseconds.
+   *
+   * @param cores calls that run at full speed at the same time
+   * @param maxHeldCalls calls that it accepts at the same time, waiting ones included
+   * @param stopsCancelledWork true to stop the work of a call when its connection is closed
+   */
   public record Settings(
       String zone,
       int cell,
@@ -48,7 +54,7 @@
       long repeatWindow,
       Rules rules) {}
 
-  /** Misbehaviour that a script turns on and off. */
+  /** Faults that a script turns on and off. */
   public static final class Faults {
     volatile boolean hang;
     volatile boolean errors;
@@ -59,7 +65,7 @@
     volatile boolean freezesReport;
     volatile double slowdown = 1;
     volatile long handshakeDelay;
-    /** The function whose answers announce so many bytes, and never send the last one. */
+    /** The function whose answers announce {@link #endlessAnswerBytes} and omit the last byte. */
     volatile String endlessFunction;
 
     volatile int endlessAnswerBytes;
@@ -75,7 +81,7 @@
     long lastUsed;
   }
 
-  /** Shared by the runners of a group: what each key answered, and until when it is remembered. */
+  /** The idempotency keys that were used, each with its expiry; shared by the runners of a group. */
   public static final class IdempotencyKeys {
     private record KeyEntry(long expiresAt, byte[] result) {}
 
@@ -111,7 +117,10 @@
   private long windowStart;
   private String lastReport;
 
-  /** Starts a runner on a free loopback port, warm; {@code log} hears a line for each infer request that began. */
+  /**
+   * Starts a warm runner on a free loopback port; {@code log} receives an entry for each inference request that
+   * starts.
+   */
   public StandInRunner(
       Settings settings,
       Archive archive,
@@ -132,7 +141,7 @@
     this.startedAt = Clock.micros();
   }
 
-  /** Its name in the list: address and port. */
+  /** Returns the name of the runner in the worker list: its address and port. */
   public String id() {
     return "127.0.0.1:" + address.getPort();
   }
@@ -145,12 +154,12 @@
     return faults;
   }
 
-  /** True once more was sent to it while cold than it bears. */
+  /** Returns true once the runner has collapsed because it was sent too much work while cold. */
   public synchronized boolean isOverloaded() {
     return overloaded;
   }
 
-  /** Dies at once: connections are reset and everything loaded is lost. */
+  /** Crashes the runner: its connections are reset and its copies are lost. */
   public void crash() {
     HttpServer oldServer;
     synchronized (this) {
@@ -167,7 +176,7 @@
     }
   }
 
-  /** Starts again at the same address, cold and empty. */
+  /** Restarts the runner at the same address, cold and without copies. */
   public void restart() throws IOException {
     HttpServer newServer = HttpServer.listen(address, "runner", STACK, this::serve);
     synchronized (this) {
@@ -193,8 +202,8 @@
       expectedIncarnation = incarnation;
     }
     try {
-      // A connection that is slow to be served holds bytes that came meanwhile: they count from
-      // its beginning.
+      // After a slow handshake the first request may have waited unread, so it counts as arrived
+      // when the connection was opened.
       long openedAt = Clock.micros();
       long handshakeDelay = faults.handshakeDelay;
       Thread.sleep(handshakeDelay / 1000);
@@ -300,7 +309,7 @@
     }
   }
 
-  /** A cold runner that is sent too much in a window falls over and stays down. */
+  /** Counts work that a cold runner is sent within a window; too much makes it collapse for good. */
   private synchronized void countColdWork(Tap.Arrival arrival) {
     Rules rules = settings.rules();
     long age = arrival.at - startedAt;
@@ -425,7 +434,7 @@
     return respond(c, arrival, 200, copyStatus, concurrency, message);
   }
 
-  /** Sends all but the last byte of a long answer, and waits until the other side has had enough. */
+  /** Sends an answer without its last byte and waits until the client closes the connection. */
   private void answerWithoutEnd(HttpConnection c, int expectedIncarnation)
       throws IOException, InterruptedException {
     c.write(HeadWriter.response(200).headFor(new byte[faults.endlessAnswerBytes]));
@@ -435,7 +444,10 @@
     }
   }
 
-  /** Works in slices, so that a cancel or a death ends it; true where it was done. */
+  /**
+   * Does the work of a call in slices, so that a cancellation or a crash interrupts it; returns true if it was
+   * completed.
+   */
   private boolean doWork(HttpConnection c, int expectedIncarnation) throws InterruptedException {
     double left;
     synchronized (this) {
@@ -504,7 +516,7 @@
     copy.lastUsed = now;
   }
 
-  /** Unloads idle copies of other functions, least lately used first, until there is room. */
+  /** Unloads idle copies of other functions, least recently used first, until there is room. */
   private boolean makeRoom(String model, double memoryMb) {
     double used = copies.values().stream()
         .mapToDouble(c -> (c.loaded + c.loading) * c.memoryMb)
@@ -524,7 +536,7 @@
     return true;
   }
 
-  /** Loads a copy whose place was taken by {@code loading}. */
+  /** Loads a copy that {@code loading} already counts; returns false if it failed. */
   private boolean load(String model, int expectedIncarnation) throws InterruptedException {
     boolean fetched = archive.fetch(settings.loadTime() * 2 / 3);
     Thread.sleep(settings.loadTime() / 3000);
@@ -541,7 +553,7 @@
     return fetched;
   }
 
-  /** Waits for a free lane; false where none can come any more or the caller left. */
+  /** Waits for a free lane; returns false if none can become free or the caller closed the connection. */
   private boolean awaitLane(HttpConnection c, String model, int expectedIncarnation)
       throws InterruptedException {
     synchronized (this) {
--- a/testbed/src/main/java/gorseladder/testbed/Tap.java
+++ b/testbed/src/main/java/gorseladder/testbed/Tap.java
@@ -6,13 +6,15 @@
 import java.util.List;
 
 /**
- * What passed on the sockets, seen at the clients, the runners and the list, never at an edge. Times are microseconds
- * of this process's clock. Any thread.
+ * Records the traffic on the sockets as seen by the clients, the runners and the worker list, never by an edge. Times
+ * are microseconds of the clock of this process. Thread-safe.
  */
 public final class Tap {
-  /** One try of a client: a request on a socket and what came back. */
+  /** One try of a client: a request on a connection and the answers to it. */
   public static final class Try {
-    /** The system repeats the first packet of a connection after so long, where a listener's queue was full. */
+    /**
+     * The delay after which TCP sends the first packet of a connection again if the queue of the listener was full.
+     */
     private static final long SYN_RETRY_MICROS = 1_000_000;
 
     public final String message;
@@ -20,12 +22,14 @@
     public final Effect effect;
     public final long sentAt;
     public final long clientTimeout;
-    /** Answers that came; 0 status where the connection broke or could not be opened. */
+    /** Status codes of the answers that arrived. */
     public final List<Integer> statuses = new ArrayList<>();
 
     public boolean retryAfter;
     public long answeredAt;
-    /** When its connection stood and when its bytes were handed to the system; 0 where it did not come to that. */
+    /**
+     * When the connection was established and when the request was written to the socket; 0 if that did not happen.
+     */
     public long connectedAt;
 
     public long writtenAt;
@@ -42,9 +46,9 @@
     }
 
     /**
-     * From when its time counts: a request's time counts from its last byte, and what its client takes until its
-     * connection stands is its own. A connect that takes as long as the system's first repeat may have met a full queue
-     * of the edge; then its time counts from the beginning.
+     * Returns the time from which the timeout of the client counts. A request counts from its last byte, and the time
+     * that the client needs to connect is its own. A connect that takes as long as the first retransmission may have
+     * met a full queue at the edge; then the time counts from the beginning.
      */
     long countsFrom() {
       boolean ownTime = connectedAt > 0 && connectedAt - sentAt < SYN_RETRY_MICROS;
@@ -52,7 +56,7 @@
     }
   }
 
-  /** One infer request that arrived at a runner. */
+  /** An inference request that arrived at a runner. */
   public static final class Arrival {
     public final String message;
     public final String runner;
@@ -77,13 +81,13 @@
   /** A load order that arrived at a runner. */
   public record Order(String runner, int edge, String function, int copies, long at) {}
 
-  /** The list's word to one edge. */
+  /** A phase of a runner as the worker list reported it to an edge. */
   public record PhaseReport(int edge, String runner, Phase phase, long at) {}
 
-  /** A start of a runner, from cold. */
+  /** A cold start of a runner. */
   public record Start(String runner, long at, double capacity) {}
 
-  /** A time in which an edge was down or being killed. */
+  /** A period during which an edge was down or was being stopped. */
   public record Outage(int edge, long from, long to) {}
 
   final List<Try> tries = new ArrayList<>();
--- a/testbed/src/main/java/gorseladder/testbed/TestFleet.java
+++ b/testbed/src/main/java/gorseladder/testbed/TestFleet.java
@@ -29,19 +29,22 @@
 import java.util.function.Consumer;
 
 /**
- * Edges, stand-in runners, archive and list on loopback. Edges run in processes of their own, or in this one for tests.
+ * Runs edges, stand-in runners, an archive and a worker list on loopback. Edges run in separate processes, or in this
+ * process for tests.
  */
 public final class TestFleet implements Closeable {
-  /** The path of every fleet's endpoint. */
+  /** The path of the webhook endpoint. */
   public static final String PATH = "/hooks/portal";
 
   public static final long LATENCY_TARGET_MICROS = 1_000_000;
   public static final long DEADLINE_MICROS = 3_000_000;
   public static final long REPEAT_WINDOW_MICROS = 8_000_000;
-  /** Microseconds that an idle copy stays, as the edges are told. */
+  /** The keep-alive time of idle copies in the settings of the edges. */
   public static final long KEEP_ALIVE_MICROS = 8_000_000;
 
-  /** Names a property with the class path of edge processes, where it is not this process's own. */
+  /**
+   * The system property with the class path for edge processes; by default they use the class path of this process.
+   */
   public static final String CLASS_PATH = "gorseladder.fleet.classpath";
 
   private static final long START_TIMEOUT_MILLIS = 30_000;
@@ -62,7 +65,7 @@
   private final List<EdgeSlot> edges = new ArrayList<>();
   private final Rules rules;
 
-  /** One edge's place: its ports and settings stay, its process comes and goes. */
+  /** An edge with fixed ports and settings, whose process or instance may be restarted. */
   private final class EdgeSlot {
     private final int number;
     private final InetSocketAddress address;
@@ -144,8 +147,8 @@
 
     void stop() throws InterruptedException {
       if (process != null) {
-        // By its handle: Process.destroy would also close the standard input, which tells the
-        // edge that its parent ended.
+        // Process.destroy would also close the standard input, which tells the edge that its
+        // parent ended.
         process.toHandle().destroy();
         if (!process.waitFor(15, TimeUnit.SECONDS)) {
           process.destroyForcibly();
@@ -164,15 +167,15 @@
         log.newLine();
       }
     } catch (IOException e) {
-      // The process ended.
+      // The process has ended.
     }
   }
 
   /**
-   * Builds a fleet by a script's settings and starts it.
+   * Creates a fleet from the settings of a script and starts it.
    *
-   * @param processes true for edges in processes of their own, which can be killed outright
-   * @param runnerLog hears a line for each infer request that began at a runner
+   * @param separateProcesses true to run each edge in its own process, which can be killed
+   * @param runnerLog receives an entry for each inference request that starts at a runner
    */
   public TestFleet(
       DayScript script,
@@ -183,7 +186,7 @@
     this(script, directory, separateProcesses, runnerLog, List.of());
   }
 
-  /** As above, with words before each edge's command, for example a pin to processors. */
+  /** Creates a fleet; {@code commandPrefix} precedes the command of each edge, for example to pin it to processors. */
   public TestFleet(
       DayScript script,
       Path directory,
@@ -194,7 +197,7 @@
     this(script, directory, separateProcesses, runnerLog, commandPrefix, "");
   }
 
-  /** As above, with more settings for each edge, for example a planner. */
+  /** Creates a fleet; {@code extraSettings} is appended to the settings of each edge, for example a planner. */
   public TestFleet(
       DayScript script,
       Path directory,
@@ -326,9 +329,7 @@
         + extraSettings;
   }
 
-  /**
-   * Processor time that the process of an edge has used so far, in microseconds; 0 where it has no process of its own.
-   */
+  /** Returns the processor time used by the process of an edge, in microseconds; 0 if it has no process of its own. */
   public long edgeProcessorMicros(int number) {
     Process process = edges.get(number).process;
     return process == null
@@ -356,17 +357,17 @@
     return list;
   }
 
-  /** Where edges in this process keep their ledgers. */
+  /** Returns the files on which edges in this process keep their ledgers. */
   public StallingDisk disk() {
     return disk;
   }
 
-  /** Threads that serve connections of clients at edges in this process. */
+  /** Returns the factory of the threads that serve client connections of edges in this process. */
   public ScarceThreads clientThreads() {
     return clientThreads;
   }
 
-  /** Threads that carry attempts of edges in this process. */
+  /** Returns the factory of the threads that run attempts of edges in this process. */
   public ScarceThreads attemptThreads() {
     return attemptThreads;
   }
@@ -375,34 +376,33 @@
     return archive;
   }
 
-  /** How many edges there are, running or not. */
+  /** Returns the number of edges, running or not. */
   public int edgeCount() {
     return edges.size();
   }
 
-  /** Where an edge takes webhooks. */
+  /** Returns the address on which an edge accepts webhooks. */
   public InetSocketAddress edgeAddress(int number) {
     return edges.get(number).address;
   }
 
-  /** An edge in this process, for tests that look inside. */
+  /** Returns an edge that runs in this process, for tests of its internal state. */
   public Edge edgeInProcess(int number) {
     return edges.get(number).edge;
   }
 
-  /** The settings file of an edge. */
   public Path settingsFile(int number) {
     return edges.get(number).settings;
   }
 
-  /** Clients for this fleet. */
+  /** Returns new clients for the edges of this fleet. */
   public WebhookClients clients() {
     return new WebhookClients(PATH, Secret.parse(secret), this::edgeAddress, tap);
   }
 
   /**
-   * Kills an edge outright and starts it again after so many milliseconds. One restart of an edge at a time: on a busy
-   * machine a day's next restart once killed the process that the one before it still waited for.
+   * Kills an edge and starts it again after a pause. Restarts of an edge run one at a time: on a busy machine, a
+   * second restart could otherwise kill the process that the first one still waits for.
    */
   public void restartEdge(int number, long downMillis) throws IOException, InterruptedException {
     EdgeSlot slot = edges.get(number);
@@ -416,7 +416,7 @@
     }
   }
 
-  /** Starts again every edge whose process was ended from outside. */
+  /** Restarts the edges whose processes were ended from outside. */
   public void restartEnded() throws IOException {
     for (EdgeSlot slot : edges) {
       if (slot.process != null && !slot.process.isAlive()) {
@@ -426,17 +426,17 @@
     }
   }
 
-  /** The process of an edge, for tests that kill it at a moment of their own. */
+  /** Returns the process of an edge, for tests that kill it themselves. */
   public Process edgeProcess(int number) {
     return edges.get(number).process;
   }
 
-  /** Stops an edge in order; its calls are answered first. */
+  /** Stops an edge in order; its calls in progress are answered first. */
   public void stopEdge(int number) throws InterruptedException {
     edges.get(number).stop();
   }
 
-  /** The ready line of {@code up}. */
+  /** Returns the line that the command {@code up} prints when the fleet is ready. */
   public String readyLine(File runnerLog) {
     Map<String, Object> types = new java.util.LinkedHashMap<>();
     types.put("safe", "hours.read");
--- a/testbed/src/main/java/gorseladder/testbed/WebhookClients.java
+++ b/testbed/src/main/java/gorseladder/testbed/WebhookClients.java
@@ -30,23 +30,23 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Webhook clients: an open loop of signed calls at the times they were meant for, each on a thread of its own, with the
- * retries that its class allows. Latency counts from the intended time to the served answer. Any thread.
+ * Sends signed webhook calls in an open loop: each call starts at its intended time on its own thread and makes the
+ * retries that its class allows. Latency counts from the intended time to the served answer. Thread-safe.
  */
 public final class WebhookClients {
   private static final int STACK = 256 << 10;
   private static final long CONNECT_TIMEOUT_MILLIS = 1_000;
-  /** After a final answer the connection is watched this long for a second one. */
+  /** After a final answer the connection is watched for this long, to detect a second answer. */
   private static final long DUPLICATE_WATCH_MICROS = 2_000;
 
-  /** A client that judges waits this much longer than its patience, to tell a late answer from none. */
+  /** Clients wait this much longer than the timeout of a request, to tell a late answer from a missing one. */
   private static final long NO_ANSWER_MARGIN_MICROS = 6_000_000;
 
-  /** How a class of calls behaves; times in microseconds. */
+  /** A kind of call: its event type and the properties of its request class; times in microseconds. */
   public record Kind(
       String type, Effect effect, long deadline, long latencyTarget, long repeatWindow) {}
 
-  /** What came of all calls. */
+  /** Outcomes of all calls. */
   public static final class Totals {
     public final AtomicInteger calls = new AtomicInteger();
     public final AtomicInteger served = new AtomicInteger();
@@ -65,7 +65,7 @@
       latency.recordValue(Math.min(60_000_000L, Math.max(1, micros)));
     }
 
-    /** Milliseconds at a percentile of served calls. */
+    /** Returns a percentile of the latency of served calls, in milliseconds. */
     public synchronized double latencyMillis(double percentile) {
       return latency.getValueAtPercentile(percentile) / 1000.0;
     }
@@ -80,7 +80,7 @@
   private final Map<InetSocketAddress, ArrayDeque<HttpConnection>> idle = new LinkedHashMap<>();
   volatile boolean retryAbuse;
 
-  /** Clients that send to a path signed with a secret; {@code edges} gives the address of an edge's number. */
+  /** Creates clients for an endpoint path; {@code edges} maps the number of an edge to its address. */
   public WebhookClients(String path, Secret secret, IntFunction<InetSocketAddress> edges, Tap tap) {
     this.path = path;
     this.secret = secret;
@@ -92,7 +92,7 @@
     return totals;
   }
 
-  /** Starts a call that was meant for this time. */
+  /** Starts a call; its latency counts from {@code intendedAt}. */
   public void call(
       String message,
       int edge,
@@ -105,7 +105,7 @@
     threads.execute(() -> run(message, edge, kind, function, hints, intendedAt, new Random(seed)));
   }
 
-  /** Waits until every call has ended. */
+  /** Waits until all calls have ended; no further calls are accepted. */
   public boolean finish(long millis) throws InterruptedException {
     threads.shutdown();
     return threads.awaitTermination(millis, TimeUnit.MILLISECONDS);
@@ -182,18 +182,17 @@
     return switch (kind.effect()) {
       case SAFE -> true;
       case KEYED -> Clock.micros() + kind.deadline() < firstAt + kind.repeatWindow();
-      // A broken connection says nothing: its edge must know by its ledger whether the call may
-      // have run.
+      // A broken connection does not tell whether the call ran: the edge must know from its
+      // ledger.
       case UNSAFE -> last.unreached || last.retryAfter || last.broken;
     };
   }
 
-  /** One try; also what tests use to send exactly one request. */
+  /** Sends one request, without retries, and waits for its answer. */
   public Tap.Try attempt(
       String message, int edge, Kind kind, byte[] body, long timestamp, long clientTimeout) {
     InetSocketAddress to = edges.apply(edge);
-    // Signed before its time begins to count: what this process takes for that is none of the
-    // edge's.
+    // The request is signed before its time counts, because signing is not the work of the edge.
     HeadWriter w = HeadWriter.request("POST", path, "edge")
         .field("Content-Type", "application/json")
         .field(Delivery.ID, message)
@@ -267,19 +266,19 @@
     }
   }
 
-  /** The payload of a call, for tests. */
+  /** Returns the payload of a call without hints, for tests. */
   public byte[] payload(Kind kind, String function) {
     return body(kind, function, Map.of());
   }
 
-  /** Reasons by count, in their order. */
+  /** Formats the reasons and their counts in the order of the map. */
   public static String formatReasons(Map<String, Integer> reasons) {
     return String.join(
         ", ",
         reasons.entrySet().stream().map(e -> e.getKey() + " " + e.getValue()).toList());
   }
 
-  /** The kinds of call that every fleet takes, by their event types. */
+  /** Returns the kinds of call that each fleet accepts: safe, keyed and unsafe. */
   public static List<Kind> kinds(long latencyTarget, long deadline, long repeatWindow) {
     return List.of(
         new Kind("hours.read", Effect.SAFE, deadline, latencyTarget, 0),
--- a/testbed/src/main/java/gorseladder/testbed/platform/FastCgiClient.java
+++ b/testbed/src/main/java/gorseladder/testbed/platform/FastCgiClient.java
@@ -14,8 +14,8 @@
 import java.util.Map;
 
 /**
- * One connection of a web server to a dispatcher. Answers are gathered by a thread of their own; each request number is
- * used once. Any thread.
+ * A connection of a simulated web server to a dispatcher. A separate thread reads the answers; each request id is
+ * used once, unless its answer is forgotten. Thread-safe.
  */
 public final class FastCgiClient implements Closeable {
   private static final int STDOUT = 6;
@@ -23,12 +23,12 @@
   private static final String LIVENESS_PATH = "/status/live";
 
   /**
-   * A whole answer; {@code status} is 0 where it had no response, {@code protocol} the protocol status.
+   * A complete answer; {@code status} is 0 if it had no response, {@code protocol} is the FastCGI protocol status.
    *
-   * @param at when its end was read, {@link System#nanoTime()}
+   * @param at when its end was read, as {@link System#nanoTime()}
    */
   public record Answer(int status, Map<String, String> fields, byte[] body, int protocol, long at) {
-    /** True where it says that trying again is harmless. */
+    /** Returns true if the answer says that a retry is harmless. */
     public boolean refused() {
       return status == 429 || status == 503 || protocol == 2;
     }
@@ -40,7 +40,6 @@
   private int duplicateAnswers;
   private boolean ended;
 
-  /** Connects. */
   public FastCgiClient(InetSocketAddress to) throws IOException {
     socket = new Socket(to.getAddress(), to.getPort());
     socket.setTcpNoDelay(true);
@@ -49,7 +48,7 @@
     reader.start();
   }
 
-  /** True where a dispatcher can be reached and says within so long that it is live. */
+  /** Returns true if a dispatcher can be reached and reports within the given time that it is live. */
   public static boolean isLive(InetSocketAddress dispatcher, long millis)
       throws InterruptedException {
     try (FastCgiClient client = new FastCgiClient(dispatcher)) {
@@ -62,7 +61,7 @@
     }
   }
 
-  /** The parameters of a request that can be used. */
+  /** Returns the parameters of a valid request. */
   public static Map<String, String> params(
       String requestClass, String id, String function, long timeoutMillis) {
     Map<String, String> params = new LinkedHashMap<>();
@@ -75,12 +74,12 @@
     return params;
   }
 
-  /** Sends a whole request. */
+  /** Sends a complete request. */
   public void send(int number, Map<String, String> params, byte[] body) throws IOException {
     write(RecordWriter.request(number, true, params, body));
   }
 
-  /** Sends bytes as they are. */
+  /** Sends raw bytes. */
   public synchronized void write(byte[] bytes) throws IOException {
     socket.getOutputStream().write(bytes);
   }
@@ -139,7 +138,7 @@
         at);
   }
 
-  /** Waits for the answer to a request; null where none came by then or the connection ended. */
+  /** Waits for the answer to a request; returns null if none arrived in time or the connection ended. */
   public synchronized Answer await(int number, long millis) throws InterruptedException {
     long until = System.nanoTime() + millis * 1_000_000;
     while (!answers.containsKey(number) && !ended && System.nanoTime() < until) {
@@ -148,7 +147,7 @@
     return answers.get(number);
   }
 
-  /** Waits for the end of the connection; false where it still stands then. */
+  /** Waits for the connection to end; returns false if it is still open after the given time. */
   public synchronized boolean awaitEnd(long millis) throws InterruptedException {
     long until = System.nanoTime() + millis * 1_000_000;
     while (!ended && System.nanoTime() < until) {
@@ -157,12 +156,12 @@
     return ended;
   }
 
-  /** Drops the answer to a request, so that its number may be used again. */
+  /** Discards the answer to a request, so that its id can be used again. */
   public synchronized void forget(int number) {
     answers.remove(number);
   }
 
-  /** Second answers to one request. */
+  /** Returns the number of additional answers to requests that were already answered. */
   public synchronized int duplicateAnswers() {
     return duplicateAnswers;
   }
--- a/testbed/src/main/java/gorseladder/testbed/platform/PlatformChangeLog.java
+++ b/testbed/src/main/java/gorseladder/testbed/platform/PlatformChangeLog.java
@@ -14,13 +14,13 @@
 import java.util.List;
 
 /**
- * A change log that can break off in the middle of an event, fall silent, write events twice or leave some out. Any
- * thread.
+ * A simulated change log that can break off in the middle of an event, stop sending, send stale heartbeats or repeat
+ * events. Thread-safe.
  */
 public final class PlatformChangeLog implements Closeable {
   private static final int HEARTBEAT_MILLIS = 200;
 
-  /** What the present connection is told. */
+  /** What the current connection is sent. */
   private enum Mode {
     ALL,
     NOTHING,
@@ -35,12 +35,12 @@
   private Mode mode = Mode.ALL;
   private int repeats;
 
-  /** A log on a free port of the loopback, sharing its events with others that take its place. */
+  /** Creates a log on a free loopback port. The list of events is shared with other logs that take its place. */
   public PlatformChangeLog(List<String> events) throws IOException {
     this(events, 0);
   }
 
-  /** A log on that port of the loopback. */
+  /** Creates a log on the given loopback port. */
   public PlatformChangeLog(List<String> events, int port) throws IOException {
     this.events = events;
     server = new ServerSocket(port, 10, InetAddress.getLoopbackAddress());
@@ -49,18 +49,17 @@
     thread.start();
   }
 
-  /** Where it listens. */
   public InetSocketAddress address() {
     return (InetSocketAddress) server.getLocalSocketAddress();
   }
 
-  /** One event; the first has the number 1. */
+  /** Formats an event; the first one has the number 1. */
   public static String event(
       long seq, boolean all, String uid, InetSocketAddress at, String state) {
     return event(seq, all, uid, at, state, 0);
   }
 
-  /** One event about a runner with a late start, in Unix milliseconds; 0 for long ago. */
+  /** Formats an event about a runner that started at the given Unix time in milliseconds; 0 for long ago. */
   public static String event(
       long seq, boolean all, String uid, InetSocketAddress at, String state, long bootMillis) {
     return "{\"seq\":" + seq + ",\"fleet\":{\"rev\":" + seq + ",\"all\":" + all
@@ -83,7 +82,7 @@
         thread.start();
       }
     } catch (IOException e) {
-      // Closed.
+      // The log was closed.
     }
   }
 
@@ -111,7 +110,7 @@
                 case OLD_BEATS -> "0\n";
               });
         }
-        // Outside the lock: a slow reader holds up no other.
+        // Written outside the lock, so that a slow reader does not block others.
         synchronized (socket) {
           out.write(text.toString().getBytes(StandardCharsets.US_ASCII));
         }
@@ -122,37 +121,36 @@
         }
       }
     } catch (IOException | InterruptedException e) {
-      // Closed by either side.
+      // The connection was closed by either side.
     }
   }
 
-  /** Adds an event. */
   public synchronized void add(String event) {
     events.add(event);
     notifyAll();
   }
 
-  /** Stops telling on the present connection, which stays open; a new one is told again. */
+  /** Stops sending on the current connection, which stays open; new connections are served. */
   public synchronized void stopSending() {
     mode = Mode.NOTHING;
   }
 
-  /** Has bytes trickle on the present connection that never make a line. */
+  /** Sends single bytes on the current connection that never complete a line. */
   public synchronized void sendIncompleteLine() {
     mode = Mode.BYTES;
   }
 
-  /** Has the present connection told beats alone, with a number long passed. */
+  /** Sends only heartbeats with an outdated event number on the current connection. */
   public synchronized void sendStaleHeartbeats() {
     mode = Mode.OLD_BEATS;
   }
 
-  /** Writes every event so many times more from now on. */
+  /** Sends each event {@code more} additional times from now on. */
   public synchronized void repeatEvents(int more) {
     repeats = more;
   }
 
-  /** Breaks the present connection off inside an event. */
+  /** Closes the current connection in the middle of an event. */
   public synchronized void breakConnection() throws IOException {
     if (current != null) {
       synchronized (current) {
@@ -162,7 +160,7 @@
     }
   }
 
-  /** The numbers that readers asked from, so far. */
+  /** Returns the event numbers from which readers asked to be sent events. */
   public synchronized List<Long> requestedFrom() {
     return List.copyOf(requestedFrom);
   }
--- a/testbed/src/main/java/gorseladder/testbed/platform/PlatformConfig.java
+++ b/testbed/src/main/java/gorseladder/testbed/platform/PlatformConfig.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 
-/** A dispatcher's configuration file, as the platform lays it down, for a dispatcher between stand-ins. */
+/** The configuration file that the platform provides to a dispatcher, for a dispatcher among simulated peers. */
 public final class PlatformConfig {
   private static final String SETTINGS = """
       {"ordinal":0,"balancers":1,"zone":"z","tickMs":2,
@@ -17,9 +17,9 @@
   private PlatformConfig() {}
 
   /**
-   * The text of the file.
+   * Returns the text of the file.
    *
-   * @param event the first event of the change log, which is known at the start
+   * @param event the first event of the change log, already known at the start
    * @param deadlineMillis the deadline of both classes, {@code safe} and {@code unsafe}
    */
   public static String text(InetSocketAddress changeLog, String event, long deadlineMillis) {
@@ -27,11 +27,11 @@
   }
 
   /**
-   * The text of the file, with limits.
+   * Returns the text of the file with the given limits.
    *
-   * @param event the first event of the change log, which is known at the start
+   * @param event the first event of the change log, already known at the start
    * @param deadlineMillis the deadline of both classes
-   * @param sockets descriptors that the dispatcher may open
+   * @param sockets maximum number of descriptors that the dispatcher may open
    */
   public static String text(
       InetSocketAddress changeLog,
--- a/testbed/src/main/java/gorseladder/testbed/platform/PlatformRunner.java
+++ b/testbed/src/main/java/gorseladder/testbed/platform/PlatformRunner.java
@@ -21,11 +21,11 @@
 import java.util.stream.Collectors;
 
 /**
- * A runner that speaks the platform's lines and does with each request what its script says. It writes down what
- * arrived whole, and when. Any thread.
+ * A simulated runner of the line protocol of the platform. A script decides the reaction to each request; complete
+ * requests are recorded with their time. Thread-safe.
  */
 public final class PlatformRunner implements Closeable {
-  /** What is done with a request. */
+  /** The reaction to a request. */
   public enum Reaction {
     SERVE,
     REFUSE,
@@ -40,10 +40,10 @@
     AHEAD
   }
 
-  /** A request that arrived whole; {@code at} is {@link System#nanoTime()}. */
+  /** A complete request; {@code at} is {@link System#nanoTime()}. */
   public record Arrival(
       String id, Map<String, String> fields, String body, int connection, long at) {
-    /** Its class. */
+    /** Returns the request class. */
     public String requestClass() {
       return fields.get("profile");
     }
@@ -60,7 +60,7 @@
   private int cancellations;
   private int connections;
 
-  /** Listens on a free port of the loopback. */
+  /** Creates a runner on a free loopback port. */
   public PlatformRunner(Function<Arrival, Reaction> script) throws IOException {
     this(script, 200);
     start(this::accept);
@@ -71,12 +71,15 @@
     server = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
   }
 
-  /** A runner whose connections come up late: none before {@link #comeUp}, and then within about a second. */
+  /**
+   * Creates a runner whose backlog is full: it accepts no connection before {@link #acceptConnections}, and
+   * connections are established within about a second after that.
+   */
   public static PlatformRunner withFullBacklog(Function<Arrival, Reaction> script)
       throws IOException {
     PlatformRunner runner = new PlatformRunner(script, 1);
     try {
-      // Once its queue of connections is full the system answers no further one.
+      // Once the backlog is full, the system does not answer further connection attempts.
       while (true) {
         Socket filler = new Socket();
         runner.backlogFillers.add(filler);
@@ -87,7 +90,7 @@
     }
   }
 
-  /** Lets the connections of a late runner come up. */
+  /** Frees the backlog of a runner created by {@link #withFullBacklog} and starts to accept connections. */
   public void acceptConnections() throws IOException {
     for (Socket filler : backlogFillers) {
       filler.close();
@@ -101,12 +104,11 @@
     thread.start();
   }
 
-  /** Each request that is served takes so long from now on, one after the other; 0, as at first, for no time. */
+  /** Sets the time that each served request takes, one after the other; initially 0. */
   public void setWorkMillis(int millis) {
     workMillis = millis;
   }
 
-  /** Where it listens. */
   public InetSocketAddress address() {
     return (InetSocketAddress) server.getLocalSocketAddress();
   }
@@ -123,7 +125,7 @@
         start(() -> serve(socket, number));
       }
     } catch (IOException e) {
-      // Closed.
+      // The runner was closed.
     }
   }
 
@@ -150,7 +152,7 @@
         }
       }
     } catch (IOException e) {
-      // Closed by either side.
+      // The connection was closed by either side.
     } finally {
       open.remove(socket);
     }
@@ -171,7 +173,7 @@
     out.write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** What a runner makes of a request: no other body may be answered as served. */
+  /** Returns the only result that a runner may return for a request. */
   public static String result(String id, String body) {
     return "made of " + id + " " + body;
   }
@@ -233,27 +235,27 @@
     }
   }
 
-  /** What arrived whole so far. */
+  /** Returns the complete requests received so far. */
   public synchronized List<Arrival> arrivals() {
     return List.copyOf(arrivals);
   }
 
-  /** Orders to load so far. */
+  /** Returns the functions of the load orders received so far. */
   public synchronized List<String> orders() {
     return List.copyOf(orders);
   }
 
-  /** Requests given up by the dispatcher so far. */
+  /** Returns the number of requests that the dispatcher cancelled. */
   public synchronized int cancellations() {
     return cancellations;
   }
 
-  /** Connections taken so far. */
+  /** Returns the number of accepted connections. */
   public synchronized int connections() {
     return connections;
   }
 
-  /** Resets every connection, as the end of a process does. */
+  /** Resets all connections, as the system does when a process ends. */
   public void resetAll() throws IOException {
     for (Socket socket : open) {
       socket.setSoLinger(true, 0);
--- a/testbed/src/main/java/gorseladder/testbed/process/ChildProcess.java
+++ b/testbed/src/main/java/gorseladder/testbed/process/ChildProcess.java
@@ -9,14 +9,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A process that ends when this one does, in whatever way: a shell holds a pipe to this process and ends its child when
- * the pipe closes. Any thread.
+ * A child process that ends whenever this process ends: a shell holds a pipe to this process and kills its child when
+ * the pipe closes. Thread-safe.
  */
 public final class ChildProcess implements AutoCloseable {
   /**
-   * The shell keeps the pipe as descriptor 3; the command runs without it. Its standard output joins its standard error
-   * in the log: a Java machine that cannot start says so there, and a pipe that nobody reads would stop it once it is
-   * full.
+   * The shell keeps the pipe as descriptor 3 and runs the command without it. Standard output of the command goes to
+   * its standard error in the log: a Java machine that fails to start writes its message to standard output, and an
+   * unread pipe would block it once full.
    */
   private static final String GUARD = "exec 3<&0; %s 3<&- </dev/null >&2 & child=$!; echo $child; "
       + "{ read line <&3; kill -9 $child 2>/dev/null; } & reader=$!; "
@@ -29,16 +29,16 @@
   private int exitCode;
 
   /**
-   * Starts a command of the shell.
+   * Runs a shell command.
    *
-   * @throws IOException where the shell cannot be started or does not name its child
+   * @throws IOException if the shell cannot be started or does not print the process id of its child
    */
   public ChildProcess(String command, Path directory, Map<String, String> environment, File log)
       throws IOException {
     ProcessBuilder builder = new ProcessBuilder("sh", "-c", GUARD.formatted("{ " + command + "; }"))
         .directory(directory.toFile())
         .redirectError(log);
-    // An option of this process's own is none of the child's.
+    // Java options of this process are not meant for the child.
     builder.environment().remove("JAVA_TOOL_OPTIONS");
     builder.environment().putAll(environment);
     shell = builder.start();
@@ -50,33 +50,32 @@
         .orElseThrow(() -> new IOException("ended at once"));
   }
 
-  /** Its number. */
   public long pid() {
     return child.pid();
   }
 
-  /** True until it has ended. */
   public boolean isAlive() {
     return child.isAlive();
   }
 
-  /** Processor time so far; empty where the process has ended. */
+  /** Returns the processor time used so far; empty if the process has ended. */
   public Optional<Duration> processorTime() {
     return child.info().totalCpuDuration();
   }
 
   /**
-   * Sends it a signal by its short name, as {@code TERM}.
+   * Sends a signal, named as in {@code TERM}.
    *
-   * @throws IOException where that cannot be done
+   * @throws IOException if the command cannot be run
    */
   public void signal(String name) throws IOException, InterruptedException {
-    // The shell's own command: not every machine has it as a program.
+    // Uses the kill command built into the shell: not every machine has it as a program.
     new ProcessBuilder("sh", "-c", "kill -" + name + " " + pid()).start().waitFor();
   }
 
   /**
-   * Waits for its end: its exit code (128 and more where a signal ended it), or -1 where it runs on after that time.
+   * Waits for the process to end. Returns its exit code, which is 128 or more if a signal ended it, or -1 if it still
+   * runs after the given time.
    */
   public int await(long millis) throws IOException, InterruptedException {
     if (!shell.waitFor(millis, TimeUnit.MILLISECONDS)) {
@@ -90,7 +89,7 @@
     return exitCode;
   }
 
-  /** Ends the process at once. */
+  /** Kills the process. */
   @Override
   public void close() {
     try {
--- a/testbed/src/main/java/gorseladder/testbed/process/PlantedClass.java
+++ b/testbed/src/main/java/gorseladder/testbed/process/PlantedClass.java
@@ -10,19 +10,19 @@
 import javax.tools.ToolProvider;
 
 /**
- * Plants a fault: compiles one class of the program with a small change into a folder, to be put before the program's
- * own.
+ * Compiles one class of the program with a deliberate fault into a folder that is put before the class path of the
+ * program.
  */
 public final class PlantedClass {
   private PlantedClass() {}
 
   /**
-   * Compiles a source with one text replaced.
+   * Compiles a source file with one text replaced.
    *
-   * @param find a text that stands exactly once in the source
-   * @param into an empty folder; the class goes below {@code classes} in it
-   * @return the folder of classes
-   * @throws IOException where the text does not stand once, or the changed source does not compile
+   * @param find a text that occurs exactly once in the source
+   * @param into an empty folder; classes are written to its subfolder {@code classes}
+   * @return the folder with the classes
+   * @throws IOException if the text does not occur exactly once, or the changed source does not compile
    */
   public static Path compile(Path source, String find, String replace, Path into)
       throws IOException {
--- a/testbed/src/main/java/gorseladder/testbed/process/RunLine.java
+++ b/testbed/src/main/java/gorseladder/testbed/process/RunLine.java
@@ -7,17 +7,20 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The command by which the deploy file starts a dispatcher. */
+/** The command line with which the deploy file starts a dispatcher. */
 public final class RunLine {
   private static final Path DEPLOY_FILE = Path.of("deploy/balancer.toml");
   private static final Path JAR = Path.of("app/target/gorseladder.jar");
   private static final Path LAUNCHER = Path.of("app/target/gorseladder-java");
   private static final Path LAUNCHER_BUILD = Path.of("app/src/main/c/build.sh");
   private static final String JAR_COMMAND = "-jar " + JAR + " node";
-  /** The archive fits the jar alone; with one that does not fit the machine's own is not used either. */
+  /**
+   * The class archive fits only the jar; a machine that is given one that does not fit does not use its default one
+   * either.
+   */
   private static final String ARCHIVE_OPTION = "-XX:SharedArchiveFile=app/target/node.jsa ";
 
-  /** What the jar's manifest opens ({@code Add-Opens}); a class path has no manifest. */
+  /** The package that the manifest of the jar opens ({@code Add-Opens}); a class path needs the option. */
   private static final String ADD_OPENS_OPTION =
       "--add-opens java.base/jdk.internal.misc=ALL-UNNAMED ";
 
@@ -27,9 +30,10 @@
   private RunLine() {}
 
   /**
-   * Reads it; a program that does not run from the jar starts dispatchers from its own class path.
+   * Returns the command line for a dispatcher of this program: from the jar, or from the class path of this process
+   * if it does not run from the jar.
    *
-   * @throws IOException where there is no deploy file or no such line in it
+   * @throws IOException if there is no deploy file or no such line in it
    */
   public static String read(Path root) throws IOException {
     String own = System.getProperty("java.class.path");
@@ -41,24 +45,24 @@
   }
 
   /**
-   * Reads it as it stands, for a dispatcher from the jar.
+   * Returns the command line as the deploy file has it, for a dispatcher from the jar.
    *
-   * @throws IOException where there is no deploy file or no such line in it
+   * @throws IOException if there is no deploy file or no such line in it
    */
   public static String ofJar(Path root) throws IOException {
     return readRunLine(root);
   }
 
-  /** The same with classes put before the program's own. */
+  /** Returns the command line with classes put before the class path of this process. */
   public static String read(Path root, Path classes) throws IOException {
     String own = System.getProperty("java.class.path");
     return onClassPath(root, classes + File.pathSeparator + own);
   }
 
   /**
-   * Compiles the program that starts the Java machine, as the deploy file's {@code build} does.
+   * Compiles the launcher of the Java machine, as the {@code build} command of the deploy file does.
    *
-   * @throws IOException where the machine has no compiler that can
+   * @throws IOException if the compiler fails or is missing
    */
   public static Path buildLauncher(Path root, Path folder)
       throws IOException, InterruptedException {
@@ -74,9 +78,9 @@
   }
 
   /**
-   * A run line with another build of the program that starts the Java machine.
+   * Returns the run line with another build of the launcher.
    *
-   * @throws IOException where the line names none
+   * @throws IOException if the run line does not name the launcher
    */
   public static String withLauncher(String runLine, Path launcher) throws IOException {
     if (!runLine.contains(LAUNCHER.toString())) {
--- a/testbed/src/main/java/gorseladder/testbed/rehearsal/CallBatch.java
+++ b/testbed/src/main/java/gorseladder/testbed/rehearsal/CallBatch.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Calls sent one after the other over as many connections as they need, whose answers are awaited together. */
+/** Sends calls over as many connections as needed and awaits their answers together. */
 final class CallBatch implements AutoCloseable {
-  /** Below the bound of the platform, so that none is turned away for it. */
+  /** Below the limit of the platform for open requests on a connection, so that no call is refused for it. */
   private static final int CALLS_PER_CONNECTION = 16;
 
   private final InetSocketAddress dispatcher;
@@ -21,7 +21,7 @@
     this.dispatcher = dispatcher;
   }
 
-  /** The connection for the next call. */
+  /** Returns the connection for the next call. */
   private FastCgiClient nextConnection() throws IOException {
     if (sent % CALLS_PER_CONNECTION == 0) {
       connections.add(new FastCgiClient(dispatcher));
@@ -49,7 +49,7 @@
     sent++;
   }
 
-  /** How many have no answer after so long for each at the most. */
+  /** Returns the number of calls without an answer, after waiting for each at most the given time. */
   int unanswered(long millis) throws InterruptedException {
     int missing = 0;
     for (int call = 0; call < sent; call++) {
--- a/testbed/src/main/java/gorseladder/testbed/rehearsal/DayConfig.java
+++ b/testbed/src/main/java/gorseladder/testbed/rehearsal/DayConfig.java
@@ -3,15 +3,15 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** The configuration of the dispatcher of a {@link DispatcherDay}, as the platform lays it down. */
+/** The configuration that the platform provides to the dispatcher of a {@link DispatcherDay}. */
 final class DayConfig {
-  /** The longest that a client waits, in milliseconds. */
+  /** The longest timeout of a client, in milliseconds. */
   static final int DEADLINE_MILLIS = 1_200;
 
   private static final String PROFILE = """
       {"name":"%s","effect":"%s","group":"%s","goalTimeMs":300,"giveUpMs":%d,"repeatWindowMs":%d}""";
 
-  /** Workers do not load by themselves, so that the dispatcher has copies loaded; there are two dispatchers. */
+  /** Workers do not load on a miss, so the dispatcher orders loads; there are two dispatchers. */
   private static final String SETTINGS = """
       {"ordinal":0,"balancers":2,"zone":"z","tickMs":2,
        "familyInfo":{"keepAliveMs":9000,"ifCold":"refuse","marksCold":true,"notesPeersInHand":true,
@@ -25,12 +25,12 @@
   private DayConfig() {}
 
   /**
-   * The text of the file.
+   * Returns the text of the file.
    *
-   * @param changeLog the port of the change log on loopback
-   * @param known the events of the change log so far, from number 1 on
-   * @param own where the dispatcher hears the other one
-   * @param other where the other one hears
+   * @param changeLogPort the loopback port of the change log
+   * @param known the events of the change log so far, starting with number 1
+   * @param ownPeerPort the port on which the dispatcher receives messages of the other one
+   * @param otherPeer the address of the other dispatcher
    */
   static String text(
       int changeLogPort, List<String> known, int ownPeerPort, InetSocketAddress otherPeer) {
--- a/testbed/src/main/java/gorseladder/testbed/rehearsal/DispatcherDay.java
+++ b/testbed/src/main/java/gorseladder/testbed/rehearsal/DispatcherDay.java
@@ -25,17 +25,18 @@
 import java.util.function.Consumer;
 
 /**
- * A short day of one dispatcher between stand-ins, a scene for each kind of thing that can happen to it: calls served,
- * refused and failed, second attempts, clients that leave, requests that cannot be used, the other dispatcher, changes
- * of the list, a pause of the process, a new configuration, a stop with a call held. About eight seconds; what is
- * expected of the dispatcher is an answer to every call and an end in order.
+ * Plays a short day of one dispatcher among stand-ins, with a scene for each kind of event: calls that are served,
+ * refused or fail, second attempts, clients that leave, unusable requests, messages of the other dispatcher, changes
+ * of the worker list, a pause of the process, a new configuration, and a stop with a call held. It takes about eight
+ * seconds. The dispatcher is expected to answer every call and to exit in order.
  *
- * <p>For one thread. The dispatcher is a process of its own, whose {@link #environment} names this day's addresses.
+ * <p>Not thread-safe. The dispatcher is a separate process, whose {@link #environment} names the addresses of this
+ * day.
  */
 public final class DispatcherDay implements AutoCloseable {
-  /** The most that anything expected may take; a busy machine is no trouble. */
+  /** Timeout of every expectation; long enough for a busy machine. */
   private static final long TIMEOUT_MILLIS = 20_000;
-  /** The exit code of a dispatcher that was stopped in order. */
+  /** The exit code of a dispatcher that stopped in order. */
   private static final int EXIT_STOPPED = 0;
 
   private static final int CALLS = 60;
@@ -57,10 +58,10 @@
   private int lastId;
 
   /**
-   * Sets the stand-ins up; the dispatcher may be started after that.
+   * Starts the stand-ins; the dispatcher can be started afterwards.
    *
-   * @param directory an empty one, for the configuration file
-   * @throws IOException where loopback has no port
+   * @param directory an empty folder for the configuration file
+   * @throws IOException if no loopback port is available
    */
   public DispatcherDay(Path directory) throws IOException {
     this.directory = directory;
@@ -75,7 +76,7 @@
       runners.add(new PlatformRunner(this::react));
       addListEvent(uid, runners.get(runners.size() - 1).address(), "active");
     }
-    // Nobody listens there.
+    // A port on which no process listens.
     try (ServerSocket closed = new ServerSocket(0, 1, loopback)) {
       addListEvent("closed", (InetSocketAddress) closed.getLocalSocketAddress(), "active");
     }
@@ -87,7 +88,7 @@
     return (InetSocketAddress) socket.getLocalSocketAddress();
   }
 
-  /** What the dispatcher's process is told. */
+  /** Returns the environment variables for the process of the dispatcher. */
   public Map<String, String> environment() {
     return Map.of(
         "ROUTER_NAME",
@@ -98,13 +99,13 @@
         directory.resolve("config.json").toString());
   }
 
-  /** What went otherwise than expected so far; empty where nothing did. */
+  /** Returns the deviations from what is expected so far; empty if there are none. */
   public List<String> problems() {
     return List.copyOf(problems);
   }
 
   /**
-   * Waits until the dispatcher is live, plays every scene and stops it.
+   * Waits until the dispatcher is live, plays all scenes and stops it.
    *
    * @param sceneEnded receives the name of each scene when it ends, {@code ready} first
    */
@@ -200,7 +201,10 @@
     return params.get("HTTP_X_REQUEST_ID");
   }
 
-  /** Runners that refuse, fail, say nothing, break off or talk nonsense, once or always; clients that leave. */
+  /**
+   * Plays runners that refuse, fail, do not answer, break the connection or send invalid data, once or always, and
+   * clients that leave.
+   */
   private void playFailed() throws IOException, InterruptedException {
     try (CallBatch calls = new CallBatch(listen);
         CallBatch leaving = new CallBatch(listen);
@@ -226,8 +230,8 @@
       Thread.sleep(200);
       leaving.close();
       expectAnswers(calls);
-      awaitCondition("an end of the half request", () -> answered(partial));
-      awaitCondition("an end of the silent connection", () -> ended(silent));
+      awaitCondition("the end of the partial request", () -> answered(partial));
+      awaitCondition("the end of the silent connection", () -> ended(silent));
     }
   }
 
@@ -280,7 +284,7 @@
     }
   }
 
-  // ---- what the dispatcher is told
+  // ---- messages to the dispatcher
 
   private void playPeers() throws IOException, InterruptedException {
     for (String text : List.of("sick r1", "sick nobody", "nonsense")) {
@@ -310,7 +314,10 @@
     }
   }
 
-  /** A runner that drains, goes and comes back elsewhere, a new one, half an event, a silence, a new whole list. */
+  /**
+   * Plays a runner that drains, leaves and returns at another address, a new runner, an incomplete event, a silent
+   * change log and a new complete list.
+   */
   private void playListChanges() throws IOException, InterruptedException {
     InetSocketAddress second = runners.get(1).address();
     addListEvent("r2", second, "leaving");
@@ -341,7 +348,7 @@
     Files.move(next, directory.resolve("config.json"), StandardCopyOption.REPLACE_EXISTING);
   }
 
-  /** A configuration that cannot be read, and one that names another change log. */
+  /** Plays a configuration that cannot be parsed, and one that names another change log. */
   private void playReconfiguration(ChildProcess dispatcher)
       throws IOException, InterruptedException {
     configure("{");
@@ -355,7 +362,7 @@
     awaitCondition("the new change log is followed", () -> !next.requestedFrom().isEmpty());
   }
 
-  /** A stop while one call waits for an answer that comes too late, and with one that never gets any. */
+  /** Plays a stop while one call waits for an answer that comes too late and others never get one. */
   private void playStop(ChildProcess dispatcher) throws IOException, InterruptedException {
     try (CallBatch calls = new CallBatch(listen)) {
       Map<String, String> slow = params("safe", 1);
--- a/testbed/src/main/java/gorseladder/testbed/rehearsal/UnusableRequests.java
+++ b/testbed/src/main/java/gorseladder/testbed/rehearsal/UnusableRequests.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** Requests that a dispatcher cannot use, made of one that it could. */
+/** Requests that a dispatcher cannot use, derived from a valid one. */
 final class UnusableRequests {
-  /** Requests that may be open on one connection. */
+  /** The maximum number of open requests on one connection. */
   static final int MAX_OPEN_REQUESTS = 32;
-  /** Over the bound on bodies. */
+  /** A body above the size limit. */
   static final byte[] LARGE_BODY = new byte[20_000];
 
   private static final int HEADER_BYTES = 8;
@@ -21,7 +21,7 @@
 
   private UnusableRequests() {}
 
-  /** Parameters with one of them wrong. */
+  /** Returns variants of the parameters with one invalid entry each. */
   static List<Map<String, String>> of(Map<String, String> params) {
     List<Map<String, String>> all = new ArrayList<>();
     for (String name : params.keySet()) {
@@ -43,7 +43,7 @@
     return other;
   }
 
-  /** What a connection of its own begins with, as bytes. */
+  /** Returns byte sequences to start a connection with, none of which is a usable request. */
   static List<byte[]> connectionStarts(Map<String, String> params) {
     byte[] request = RecordWriter.request(1, true, params, new byte[1]);
     byte[] role = request.clone();
@@ -56,14 +56,14 @@
         "GET / HTTP/1.1\r\n\r\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
   }
 
-  /** A management record of that type with the content of another one. */
+  /** Returns a management record of the given type with the content of another record. */
   private static byte[] management(byte type, byte[] record) {
     byte[] changed = record.clone();
     changed[1] = type;
     return changed;
   }
 
-  /** The first part of a request. */
+  /** Returns the first half of a request. */
   static byte[] partial(Map<String, String> params) {
     byte[] request = RecordWriter.request(1, true, params, new byte[1]);
     return Arrays.copyOf(request, request.length / 2);
--- a/testbed/src/main/java/gorseladder/testbed/script/DayScript.java
+++ b/testbed/src/main/java/gorseladder/testbed/script/DayScript.java
@@ -14,66 +14,68 @@
 import org.antlr.v4.runtime.Recognizer;
 import org.antlr.v4.runtime.tree.TerminalNode;
 
-/** A day read from its script. Immutable; times are microseconds from the start of the day. */
+/**
+ * A parsed script of a day: its settings and troubles. Immutable; times are microseconds from the start of the day.
+ */
 public final class DayScript {
-  /** What can go wrong. */
+  /** The kinds of trouble. */
   public enum Kind {
-    /** Calls come this many times as often. */
+    /** Calls arrive at a multiple of the rate. */
     BURST,
-    /** Runners read calls and do not answer until it ends; the work runs then. */
+    /** Runners read calls and do not answer until the trouble ends; then they do the work. */
     HANG,
-    /** Runners die, are gone from the list and come back cold after the time. */
+    /** Runners crash, are removed from the list and return cold at the end. */
     CRASH,
-    /** Runners fall silent, list and all, and come back cold after the time. */
+    /** Runners stop answering but stay on the list, and return cold at the end. */
     VANISH,
-    /** Runners work this many times slower. */
+    /** Runners work slower by the factor. */
     SLOW,
-    /** Runners answer errors at once. */
+    /** Runners answer with errors at once. */
     FAST_ERRORS,
-    /** Runners turn most calls away as full. */
+    /** Runners refuse most calls as full. */
     THROTTLE,
-    /** Clients repeat at once and often. */
+    /** Clients retry at once and often. */
     RETRY_ABUSE,
-    /** The list tells nothing new until it ends. */
+    /** The list shows no changes until the end. */
     LIST_BEHIND,
-    /** Edges are killed, one after the other, and started again. */
+    /** Edges are killed and restarted, one after the other. */
     RESTART_EDGES,
-    /** Load reports are as old as the time when it began. */
+    /** Load reports stay as they were at the start of the trouble. */
     REPORT_LATE,
-    /** One function draws the share of all calls. */
+    /** One function receives the given share of all calls. */
     HOT_KEY,
-    /** The share of calls names functions wanted only once. */
+    /** The given share of the calls names functions that are used only once. */
     SCAN,
-    /** Another program slows runners on and off. */
+    /** Another program slows runners down, on and off. */
     NEIGHBOUR,
-    /** Runners get slower and slower, then die and come back cold. */
+    /** Runners become slower and slower, then crash and return cold. */
     AGEING,
-    /** New connections are served late. */
+    /** New connections are served after a delay. */
     SLOW_HANDSHAKE,
-    /** Runners drain, then are gone, then come back cold. */
+    /** Runners drain, leave the list and return cold. */
     DRAIN,
-    /** Runners reset the connection in the middle of the answer. */
+    /** Runners reset the connection in the middle of an answer. */
     RESET,
-    /** Runners close a kept connection as a call arrives on it. */
+    /** Runners close a reused connection when a call arrives on it. */
     STALE,
-    /** The archive serves this many times slower. */
+    /** The archive is slower by the factor. */
     ARCHIVE_SLOW
   }
 
   /**
-   * One trouble.
+   * A trouble of the day.
    *
-   * @param amount a count, or a share where {@code share}
+   * @param amount number of runners or edges affected, or a share if {@code share}
    */
   public record Trouble(
       Kind kind, long at, long lasts, double amount, boolean share, double factor) {
-    /** How many of so many it hits: at least one. */
+    /** Returns how many of {@code all} are affected: at least one. */
     public int affectedCount(int all) {
       return (int) Math.max(1, Math.min(all, Math.round(share ? amount * all : amount)));
     }
   }
 
-  /** A script that cannot be read; the text names line and column. */
+  /** Thrown for a script that cannot be parsed; the message starts with line and column. */
   public static final class BadScript extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -82,7 +84,7 @@
     }
   }
 
-  /** Settings with their defaults: day and warm-up in microseconds, counts, calls a second, shares. */
+  /** Default values of the settings: times in microseconds, counts, calls per second, and shares. */
   private static final Map<String, Double> DEFAULTS = Map.ofEntries(
       Map.entry("day", 20e6),
       Map.entry("seed", 1.0),
@@ -107,7 +109,11 @@
 
   private DayScript() {}
 
-  /** Reads a script. */
+  /**
+   * Parses a script.
+   *
+   * @throws BadScript at the first error
+   */
   public static DayScript parse(String text) throws BadScript {
     List<BadScript> errors = new ArrayList<>();
     BaseErrorListener listener = new BaseErrorListener() {
@@ -189,17 +195,17 @@
     troubles.add(new Trouble(kind, at, lasts, amount, share, factor));
   }
 
-  /** A setting as a number. */
+  /** Returns the value of a setting. */
   public double number(String name) {
     return settings.get(name);
   }
 
-  /** A setting as a whole number. */
+  /** Returns the value of a setting, rounded to an integer. */
   public int count(String name) {
     return (int) Math.round(settings.get(name));
   }
 
-  /** The troubles by their time. */
+  /** Returns the troubles in order of their start. */
   public List<Trouble> troubles() {
     return List.copyOf(troubles);
   }
