--- a/edge/src/main/java/gorseladder/edge/core/AdmissionCheck.java
+++ b/edge/src/main/java/gorseladder/edge/core/AdmissionCheck.java
@@ -7,62 +7,72 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Where calls ask {@link Admission} whether they may enter, before their signature and the ledger cost anything. Any
- * thread. Refusals are counted and told in one line a few seconds apart: a line each would cost more than the refusals.
+ * Asks {@link Admission} whether a call may enter, before its signature check or the ledger cost anything. Refusals are
+ * counted and logged in one line every few seconds, since a line for each would cost more than the refusal itself.
+ *
+ * <p>Thread safe.
  */
 public final class AdmissionCheck {
   private static final Logger LOG = LoggerFactory.getLogger(AdmissionCheck.class);
-  private static final long TELL_EVERY = 5_000_000;
+  private static final long WARNING_INTERVAL_MICROS = 5_000_000;
 
-  /** Null where no call is ever refused here. */
+  /** Null if every call is admitted. */
   private final Admission admission;
 
-  private long ids;
-  private long toldAt;
-  private long toldRefusals;
+  private long lastId;
+  private long lastWarningAt;
+  private long refusalsAtLastWarning;
 
-  /** A check that asks; null for one that admits every call. */
+  /**
+   * Creates a check.
+   *
+   * @param admission decides; null to admit every call
+   */
   public AdmissionCheck(Admission admission) {
     this.admission = admission;
-    this.toldAt = Clock.micros() - TELL_EVERY;
+    this.lastWarningAt = Clock.micros() - WARNING_INTERVAL_MICROS;
   }
 
-  /** A call inside, until it is sent for the first time or has ended. */
+  /** An admitted call, until it is first sent or has ended. */
   public final class Pass {
     private final long id;
     private final String tenant;
     private final long waited;
-    private final boolean remembered;
+    private final boolean known;
     private boolean open = true;
 
-    private Pass(long id, String tenant, long waited, boolean remembered) {
+    private Pass(long id, String tenant, long waited, boolean known) {
       this.id = id;
       this.tenant = tenant;
       this.waited = waited;
-      this.remembered = remembered;
+      this.known = known;
     }
 
-    /** Asks again now that the class is known; false where the call is refused after all and is not inside any more. */
-    public boolean mayStay(long message, double worth, long aim) {
-      if (admission == null || remembered) {
+    /**
+     * Repeats the admission decision once the call's class is known.
+     *
+     * @return false if the call is refused; it then no longer counts as admitted
+     */
+    public boolean mayStay(long message, double worth, long latencyTarget) {
+      if (admission == null || known) {
         return true;
       }
       synchronized (AdmissionCheck.this) {
-        boolean may = ask(new Arrival(message, tenant, worth, aim, waited));
-        if (!may) {
+        boolean allowed = mayEnter(new Arrival(message, tenant, worth, latencyTarget, waited));
+        if (!allowed) {
           end(false);
         }
-        return may;
+        return allowed;
       }
     }
 
-    /** The call left for a runner. */
+    /** The call was sent to a runner. */
     void sent() {
       end(true);
     }
 
-    /** The call ended, or was no call. */
-    public void gone() {
+    /** The call ended, or its request turned out not to be a call. */
+    public void ended() {
       end(false);
     }
 
@@ -81,48 +91,48 @@
   }
 
   /**
-   * Lets a call in or refuses it.
+   * Admits or refuses a call.
    *
-   * @param waited microseconds that it waited to be read
-   * @param remembered true where something is remembered of the message: such a call is never refused here, since an
-   *     earlier delivery of it may have run
-   * @param longestAim the longest aim of the classes it may be of, in microseconds
-   * @return null where it is refused
+   * @param maxLatencyTarget the highest latency target of the classes that the call may belong to, in microseconds
+   * @param waited microseconds that the request waited to be read
+   * @param known true if the ledger knows the message; such a call is never refused here, since an earlier delivery of
+   *     it may have run
+   * @return null if the call is refused
    */
   public synchronized Pass enter(
-      long message, String tenant, long longestAim, long waited, boolean remembered) {
-    Pass pass = new Pass(++ids, tenant, waited, remembered);
+      long message, String tenant, long maxLatencyTarget, long waited, boolean known) {
+    Pass pass = new Pass(++lastId, tenant, waited, known);
     if (admission == null) {
       return pass;
     }
-    if (!remembered && !ask(new Arrival(message, tenant, 1, longestAim, waited))) {
+    if (!known && !mayEnter(new Arrival(message, tenant, 1, maxLatencyTarget, waited))) {
       return null;
     }
     admission.entered(pass.id, tenant, Clock.micros() - waited);
     return pass;
   }
 
-  private boolean ask(Arrival call) {
+  private boolean mayEnter(Arrival arrival) {
     long now = Clock.micros();
-    boolean may = admission.mayEnter(call, now);
-    if (!may && now >= toldAt + TELL_EVERY) {
+    boolean allowed = admission.mayEnter(arrival, now);
+    if (!allowed && now >= lastWarningAt + WARNING_INTERVAL_MICROS) {
       LOG.warn(
           "overloaded: {} calls refused since the last such line, {} wait to be sent",
-          admission.refusals() - toldRefusals,
+          admission.refusals() - refusalsAtLastWarning,
           admission.waiting());
-      toldAt = now;
-      toldRefusals = admission.refusals();
+      lastWarningAt = now;
+      refusalsAtLastWarning = admission.refusals();
     }
-    return may;
+    return allowed;
   }
 
-  /** Whole seconds for a refused client to wait. */
+  /** Returns the whole seconds that a refused client should wait. */
   public synchronized int retryAfter() {
     return admission.retryAfter();
   }
 
-  /** Microseconds for which a refusal is held back before it is told, as things are now. */
-  public synchronized long holdRefusal() {
+  /** Returns the microseconds by which a refusal is delayed at present. */
+  public synchronized long refusalDelay() {
     return admission.refusalDelay();
   }
 }
--- a/edge/src/main/java/gorseladder/edge/front/WebhookFront.java
+++ b/edge/src/main/java/gorseladder/edge/front/WebhookFront.java
@@ -38,29 +38,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes signed webhooks over HTTP/1.1 (Standard Webhooks specification; RFC 9112) and answers with the runner's result
- * or problem details (RFC 9457). A thread a connection: it reads a request, waits for its answer, writes it and reads
- * the next, so pipelined requests are answered in their order. It decides nothing about workers.
+ * Accepts signed webhooks over HTTP/1.1 (Standard Webhooks specification; RFC 9112) and answers with the runner's
+ * result or problem details (RFC 9457). Each connection has a thread that reads a request, waits for its answer, writes
+ * it and reads the next request, so pipelined requests are answered in order. The front makes no decisions about
+ * workers.
  */
 public final class WebhookFront {
   private static final Logger LOG = LoggerFactory.getLogger(WebhookFront.class);
-  /**
-   * How often a waiting thread looks whether its client has left, in microseconds: no attempt may begin 0.1 s after
-   * that.
-   */
-  private static final long LOOK = 50_000;
+  /** How often a waiting thread checks whether its client has left: no attempt may start more than 0.1 s after that. */
+  private static final long CLIENT_CHECK_MICROS = 50_000;
 
-  /** What is kept of a client's patience for handing over its answer, in microseconds. */
-  private static final long LAST_WRITE = 5_000;
-  /** How often a thread that holds a refusal back looks whether it still should. */
-  private static final long HOLD_MILLIS = 100;
+  /** The part of a client's timeout that is reserved for writing its answer. */
+  private static final long WRITE_RESERVE_MICROS = 5_000;
+  /** How often a thread that delays a refusal checks whether it still should. */
+  private static final long DELAY_STEP_MILLIS = 100;
 
-  private static final long SPREAD = 0x9E3779B97F4A7C15L;
-  private static final long LINGER = 300_000;
-  private static final byte[] CONTINUE =
+  private static final long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
+  private static final long LINGER_MICROS = 300_000;
+  private static final byte[] CONTINUE_RESPONSE =
       "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-  private static final String NO_MEMORY = "as much memory as there is for messages is held";
-  private static final Pattern WAIT =
+  private static final String NO_MEMORY_DETAIL = "as much memory as there is for messages is held";
+  private static final Pattern PREFER_WAIT =
       Pattern.compile("(?:^|[,;\\s])wait=\"?([0-9]{1,6})\"?(?:$|[,;\\s])");
 
   private final WebhookSettings settings;
@@ -68,58 +66,58 @@
   private final Core<TakenCall> core;
   private final AdmissionCheck admission;
   private final AnswerWriter answers;
-  private final StallDetector pauses;
+  private final StallDetector stallDetector;
   private final CallLog log;
   private final AtomicInteger inProgress = new AtomicInteger();
   private final TurnQueue turnQueue;
-  private final IdleConnections idle = new IdleConnections();
-  private final UnfinishedRequests unfinished;
-  private final ThreadReclaimer sharer = new ThreadReclaimer(idle);
+  private final IdleConnections idleConnections = new IdleConnections();
+  private final UnfinishedRequests unfinishedRequests;
+  private final ThreadReclaimer threadReclaimer = new ThreadReclaimer(idleConnections);
   private volatile boolean stopping;
 
   /**
-   * A front that hands calls to the intake.
+   * Creates a front.
    *
-   * @param unfinished bounds the memory of requests
+   * @param unfinishedRequests bounds the memory of requests
    */
   public WebhookFront(
       WebhookSettings settings,
-      UnfinishedRequests unfinished,
+      UnfinishedRequests unfinishedRequests,
       AdmissionCheck admission,
       Intake intake,
       Core<TakenCall> core,
       Watchdog watchdog,
-      StallDetector pauses,
+      StallDetector stallDetector,
       CallLog log) {
     this.settings = settings;
-    this.unfinished = unfinished;
+    this.unfinishedRequests = unfinishedRequests;
     this.admission = admission;
     this.intake = intake;
     this.core = core;
-    this.answers = new AnswerWriter(watchdog, settings.answerWrite());
-    this.pauses = pauses;
+    this.answers = new AnswerWriter(watchdog, settings.answerWriteTimeout());
+    this.stallDetector = stallDetector;
     this.log = log;
     this.turnQueue = new TurnQueue(Runtime.getRuntime().availableProcessors());
   }
 
   /**
-   * Begins to listen.
+   * Starts to listen.
    *
-   * @param threads a connection has one of them
+   * @param threads one for each connection
    */
   public HttpServer listen(InetSocketAddress at, ThreadCache threads) throws IOException {
-    Accepted accepted = new Accepted();
-    HttpServer server = HttpServer.listen(at, "webhook", settings.stackBytes(), threads, accepted);
-    accepted.serves(server);
+    ConnectionHandler handler = new ConnectionHandler();
+    HttpServer server = HttpServer.listen(at, "webhook", settings.stackBytes(), threads, handler);
+    handler.setServer(server);
     return server;
   }
 
-  /** Connections as the listener hands them over; each waits until the listener is known here. */
-  private final class Accepted implements HttpServer.Handler {
+  /** Serves the connections of the listener; each waits until {@link #setServer} was called. */
+  private final class ConnectionHandler implements HttpServer.Handler {
     private final CountDownLatch ready = new CountDownLatch(1);
     private volatile HttpServer server;
 
-    void serves(HttpServer listening) {
+    void setServer(HttpServer listening) {
       server = listening;
       ready.countDown();
     }
@@ -136,30 +134,30 @@
       } catch (InterruptedException e) {
         return;
       }
-      // It may have come in a pause that ended just before it was accepted.
-      WebhookFront.this.serve(channel, server, pauses.earliestArrival(earliest));
+      // It may have arrived during a stall of this process that ended just before the accept.
+      WebhookFront.this.serve(channel, server, stallDetector.earliestArrival(earliest));
     }
 
     @Override
     public void reclaimThread(long waited) {
-      sharer.reclaim(waited);
+      threadReclaimer.reclaim(waited);
     }
   }
 
-  /** Answers no further request on connections that are open; what was taken is still answered. */
+  /** Serves no further requests on open connections; accepted calls are still answered. */
   public void stop() {
     stopping = true;
   }
 
-  /** Requests of which a byte has arrived and whose answer is not wholly written. */
+  /** Returns the number of requests of which a byte has arrived and whose answer is not fully written. */
   public int inProgress() {
     return inProgress.get();
   }
 
   private void serve(SocketChannel channel, HttpServer server, long earliest) throws IOException {
     HttpConnection c = new HttpConnection(channel, settings.limits());
-    c.arrivals(new ArrivalTimes(pauses::earliestArrival, earliest));
-    if (!settings.allowed().contains(c.peer().getAddress())) {
+    c.arrivals(new ArrivalTimes(stallDetector::earliestArrival, earliest));
+    if (!settings.allowedNetworks().contains(c.peer().getAddress())) {
       reject(c, Reason.FORBIDDEN_NETWORK, Reason.FORBIDDEN_NETWORK.text);
       return;
     }
@@ -168,19 +166,19 @@
       return;
     }
     TurnQueue.Turn turn = turnQueue.new Turn();
-    // Whoever has bytes to read and judge needs a turn, and has none while it waits for bytes,
-    // a record, an answer or a slow client.
-    c.aroundWaits(turn::give, turn::take);
+    // A thread needs a turn to read and check bytes; it has none while it waits for bytes, a
+    // record, an answer or a slow client.
+    c.aroundWaits(turn::release, turn::acquire);
     try {
       boolean more = true;
       while (more) {
         more = request(c, turn);
       }
     } catch (BadMessage e) {
-      turn.give();
+      turn.release();
       reject(c, reason(e), e.getMessage());
     } finally {
-      turn.give();
+      turn.release();
     }
   }
 
@@ -195,70 +193,70 @@
     };
   }
 
-  /** Answers a request that cannot be read further, and closes so that the client still gets the answer. */
+  /** Answers a request that cannot be read further, and closes so that the client still receives the answer. */
   private void reject(HttpConnection c, Reason reason, String detail) throws IOException {
     c.aroundWaits(() -> {}, () -> {});
     log.rejected(c.peer(), reason, detail);
     answers.write(c, FinalAnswer.of(reason), detail, false);
-    c.closeGracefully(Clock.micros() + LINGER);
+    c.closeGracefully(Clock.micros() + LINGER_MICROS);
   }
 
-  /** One request and its answer; false where the connection carries no further one. */
+  /** Serves one request; returns false if the connection carries no further one. */
   private boolean request(HttpConnection c, TurnQueue.Turn turn) throws IOException, BadMessage {
-    turn.forgetWaits();
+    turn.resetWaited();
     if (!awaitRequest(c)) {
       return false;
     }
     inProgress.incrementAndGet();
-    MessageMemory memory = unfinished.begin();
+    MessageMemory memory = unfinishedRequests.begin();
     try {
       return exchange(c, turn, memory);
     } finally {
-      unfinished.finish(memory);
+      unfinishedRequests.finish(memory);
       memory.end();
       inProgress.decrementAndGet();
     }
   }
 
-  /** Waits for the first byte of a request; false where none comes, or the connection was chosen to end. */
+  /** Waits for the first byte of a request; returns false if none comes or the connection was chosen to be closed. */
   private boolean awaitRequest(HttpConnection c) throws IOException {
-    boolean came = false;
-    idle.waits(c);
+    boolean arrived = false;
+    idleConnections.add(c);
     try {
-      came = c.awaitMessage(Clock.micros() + settings.idle());
+      arrived = c.awaitMessage(Clock.micros() + settings.idleTimeout());
     } catch (SocketTimeoutException e) {
-      LOG.debug("{} asked nothing for long", c.peer());
+      LOG.debug("{} sent no request within the idle timeout", c.peer());
     } finally {
-      came &= idle.resumes(c);
+      arrived &= idleConnections.remove(c);
     }
-    return came;
+    return arrived;
   }
 
   private boolean exchange(HttpConnection c, TurnQueue.Turn turn, MessageMemory memory)
       throws IOException, BadMessage {
-    // Its client has waited since it came: behind another one, in a pause of this process, for a
-    // turn.
+    // The client has waited since the request arrived: behind another request, during a stall of
+    // this process, or for a turn.
     long arrivedAt = c.earliestArrival();
-    long until = Clock.micros() + settings.arrival();
+    long deadline = Clock.micros() + settings.arrivalTimeout();
     Head head;
     byte[] body;
     try {
       c.takeMemoryFrom(memory);
       memory.take(HttpConnection.BUFFER_BYTES);
-      head = c.readRequest(until);
+      head = c.readRequest(deadline);
       BodyParser parser = BodyParser.forRequest(head, settings.limits());
-      expectation(c, head, parser);
-      body = c.readBody(parser, until);
-      if (!unfinished.finish(memory)) {
+      answerExpect(c, head, parser);
+      body = c.readBody(parser, deadline);
+      if (!unfinishedRequests.finish(memory)) {
         memory.requireNotEnded();
       }
     } catch (SocketTimeoutException e) {
-      turn.give();
+      turn.release();
       reject(c, Reason.SLOW_SENDER, Reason.SLOW_SENDER.text);
       return false;
     } catch (NoRoomException e) {
-      turn.give();
-      reject(c, Reason.BUSY, NO_MEMORY);
+      turn.release();
+      reject(c, Reason.BUSY, NO_MEMORY_DETAIL);
       return false;
     }
     boolean keep = head.keepsConnection() && !stopping;
@@ -271,33 +269,33 @@
     }
   }
 
-  /** Holds a refusal back for as long as admission says, but no longer than its client waits. */
-  private void hold(long until) {
+  /** Delays a refusal for as long as the admission says, but not past the client's timeout. */
+  private void delayRefusal(long deadline) {
     long since = Clock.micros();
-    long last = until - LAST_WRITE - HOLD_MILLIS * 1_000;
+    long last = deadline - WRITE_RESERVE_MICROS - DELAY_STEP_MILLIS * 1_000;
     try {
       while (!stopping
           && Clock.micros() < last
-          && Clock.micros() - since < admission.holdRefusal()) {
-        Thread.sleep(HOLD_MILLIS);
+          && Clock.micros() - since < admission.refusalDelay()) {
+        Thread.sleep(DELAY_STEP_MILLIS);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private static void expectation(HttpConnection c, Head head, BodyParser body)
+  private static void answerExpect(HttpConnection c, Head head, BodyParser body)
       throws IOException, BadMessage {
     String expect = head.get("expect");
     if (expect != null && !expect.equalsIgnoreCase("100-continue")) {
       throw new BadMessage(BadMessage.Fault.WRONG_EXPECTATION, Reason.WRONG_EXPECTATION.text);
     }
     if (expect != null && head.minorVersion() >= 1 && !body.done() && !c.hasBufferedBytes()) {
-      c.write(CONTINUE);
+      c.write(CONTINUE_RESPONSE);
     }
   }
 
-  /** One request on its way to its answer. */
+  /** A request that is being answered. */
   private final class Exchange {
     private final HttpConnection c;
     private final TurnQueue.Turn turn;
@@ -307,7 +305,7 @@
     private String message = "";
     private String detail;
     private AdmissionCheck.Pass pass;
-    /** What its client waits for; null where nothing was taken for it. */
+    /** The call that the client waits for; null if none was accepted. */
     private TakenCall call;
 
     Exchange(HttpConnection c, TurnQueue.Turn turn, Head head, byte[] body, RequestTimeline times) {
@@ -318,15 +316,15 @@
       this.times = times;
     }
 
-    /** Finds the answer and writes it; false where the connection carries no further request. */
+    /** Determines the answer and writes it; returns false if the connection carries no further request. */
     boolean run(boolean keep) throws IOException {
       FinalAnswer answer;
       try {
         answer = answer();
       } finally {
-        turn.give();
+        turn.release();
         if (pass != null) {
-          pass.gone();
+          pass.ended();
         }
       }
       if (answer.reason() == Reason.GONE) {
@@ -334,54 +332,54 @@
         return false;
       }
       if (answer.reason() == Reason.OVERLOADED) {
-        hold(times.until());
+        delayRefusal(times.deadline());
       }
       answers.write(c, answer, detail, keep);
       times.mark(Step.WRITTEN);
-      log.written(message, answer.reason(), times);
+      log.answerWritten(message, answer.reason(), times);
       return keep;
     }
 
-    /** The answer is read no more. */
+    /** Releases the answer, which is no longer read. */
     void end() {
       if (call != null) {
-        call.readerLeft();
+        call.readerDone();
       }
     }
 
-    private FinalAnswer no(Reason reason, String why) {
+    private FinalAnswer reject(Reason reason, String why) {
       detail = why == null ? reason.text : why;
       log.rejected(c.peer(), reason, detail);
       return FinalAnswer.of(reason);
     }
 
     FinalAnswer answer() {
-      times.patience(patience(head));
+      times.clientTimeout(clientTimeout(head));
       if (stopping) {
-        return no(Reason.STOPPING, null);
+        return reject(Reason.STOPPING, null);
       }
       Endpoint endpoint = settings.endpoints().get(head.path());
       if (endpoint == null) {
-        return no(Reason.UNKNOWN_PATH, null);
+        return reject(Reason.UNKNOWN_PATH, null);
       }
       if (!head.method().equals("POST")) {
-        return no(Reason.WRONG_METHOD, null);
+        return reject(Reason.WRONG_METHOD, null);
       }
       Delivery delivery;
       try {
         delivery = Delivery.of(
             head.get(Delivery.ID), head.get(Delivery.TIMESTAMP), head.get(Delivery.SIGNATURE));
       } catch (IllegalArgumentException e) {
-        return no(Reason.BAD_SIGNATURE, e.getMessage());
+        return reject(Reason.BAD_SIGNATURE, e.getMessage());
       }
       message = endpoint.path() + " " + delivery.id();
       times.mark(Step.READ);
-      // Before the signature is checked: whoever is refused here costs little, and nothing of
-      // theirs is believed.
+      // Admission comes before the signature check, so that a refusal is cheap. Nothing in the
+      // request is trusted yet.
       pass = admission.enter(
-          key(message, delivery),
+          messageKey(message, delivery),
           endpoint.tenant(),
-          endpoint.longestAim(),
+          endpoint.maxLatencyTarget(),
           turn.waited(),
           intake.remembers(message));
       if (pass == null) {
@@ -389,20 +387,20 @@
       }
       long wallSeconds = Clock.wallMicros() / 1_000_000;
       Delivery.Check check =
-          delivery.check(body, endpoint.secrets(), wallSeconds, endpoint.tolerance());
+          delivery.check(body, endpoint.secrets(), wallSeconds, endpoint.toleranceSeconds());
       if (check != Delivery.Check.GOOD) {
-        return no(
+        return reject(
             check == Delivery.Check.STALE ? Reason.STALE_TIMESTAMP : Reason.BAD_SIGNATURE, null);
       }
       try {
         return route(endpoint, delivery, Payload.parse(body));
       } catch (IllegalArgumentException e) {
-        return no(Reason.BAD_PAYLOAD, e.getMessage());
+        return reject(Reason.BAD_PAYLOAD, e.getMessage());
       }
     }
 
     private FinalAnswer overloaded() {
-      log.counted(Reason.OVERLOADED);
+      log.countRefusal(Reason.OVERLOADED);
       detail = Reason.OVERLOADED.text;
       return new FinalAnswer(Reason.OVERLOADED, null, admission.retryAfter() * 1_000_000L);
     }
@@ -412,30 +410,31 @@
       String function =
           payload.function() != null || route == null ? payload.function() : route.function();
       if (route == null || function == null || function.isEmpty()) {
-        return no(Reason.UNKNOWN_TYPE, route == null ? null : "the payload names no function");
+        return reject(Reason.UNKNOWN_TYPE, route == null ? null : "the payload names no function");
       }
       RequestClass requestClass = route.requestClass();
-      boolean stays = pass.mayStay(
-          key(message, delivery),
-          requestClass.worth() / settings.topWorth(),
+      boolean admitted = pass.mayStay(
+          messageKey(message, delivery),
+          requestClass.worth() / settings.maxWorth(),
           requestClass.latencyTarget());
-      // Another delivery of the message may have been taken meanwhile.
-      if (!stays && !intake.remembers(message)) {
+      // Another delivery of the message may have been accepted meanwhile.
+      if (!admitted && !intake.remembers(message)) {
         return overloaded();
       }
-      // Remembered past the last moment at which the same time stamp could pass again, with the
+      // The signed request is kept until its time stamp can no longer pass the check, plus the
       // tolerance as slack.
-      long keepRequest = intake
+      long requestKeepUntil = intake
           .clock()
           .fromWallClock(
-              (delivery.timestamp() + 2 * endpoint.tolerance()) * 1_000_000, Clock.wallMicros());
-      times.patience(Math.min(requestClass.deadline(), times.patience()));
-      turn.give();
+              (delivery.timestamp() + 2 * endpoint.toleranceSeconds()) * 1_000_000,
+              Clock.wallMicros());
+      times.clientTimeout(Math.min(requestClass.deadline(), times.clientTimeout()));
+      turn.release();
       times.mark(Step.ADMITTED);
-      Intake.Result result = intake.take(new Intake.Delivery(
+      Intake.Result result = intake.handle(new Intake.Delivery(
           message,
           Intake.requestKey(message, delivery.timestamp(), body),
-          keepRequest,
+          requestKeepUntil,
           requestClass,
           endpoint.tenant(),
           function,
@@ -444,13 +443,14 @@
           payload.lanes() > 0 ? payload.lanes() : route.lanes(),
           payload.loadMillis() * 1000,
           times.arrivedAt(),
-          times.patience(),
+          times.clientTimeout(),
           pass));
       times.mark(Step.TAKEN);
       call = result.call();
       if (call == null) {
         detail = result.answer().reason().text;
-        log.answered(message, result.answer().reason(), Clock.micros() - times.arrivedAt());
+        log.answeredFromLedger(
+            message, result.answer().reason(), Clock.micros() - times.arrivedAt());
         return result.answer();
       }
       FinalAnswer answer = await(result.joined());
@@ -458,18 +458,18 @@
       return answer;
     }
 
-    private long key(String message, Delivery delivery) {
-      return message.hashCode() * SPREAD ^ delivery.id().hashCode();
+    private long messageKey(String message, Delivery delivery) {
+      return message.hashCode() * HASH_MULTIPLIER ^ delivery.id().hashCode();
     }
 
     private FinalAnswer await(boolean joined) {
-      long until = times.until();
+      long deadline = times.deadline();
       try {
-        for (long now = Clock.micros(); now < until; now = Clock.micros()) {
-          FinalAnswer answer = call.await(Math.min(until, now + LOOK));
+        for (long now = Clock.micros(); now < deadline; now = Clock.micros()) {
+          FinalAnswer answer = call.await(Math.min(deadline, now + CLIENT_CHECK_MICROS));
           if (answer != null) {
             times.mark(Step.ENDED);
-            intake.awaitRecord(call, until - LAST_WRITE);
+            intake.awaitRecord(call, deadline - WRITE_RESERVE_MICROS);
             times.mark(Step.RECORDED);
             boolean ownerLeft = answer.reason() == Reason.GONE;
             return ownerLeft ? new FinalAnswer(Reason.FAILED_OVERDUE, null, 0) : answer;
@@ -493,10 +493,10 @@
     }
   }
 
-  /** The client's patience by {@code Prefer: wait=} (RFC 7240 section 4.3), in microseconds. */
-  private static long patience(Head head) {
+  /** Returns the client's timeout from {@code Prefer: wait=} (RFC 7240 section 4.3), in microseconds. */
+  private static long clientTimeout(Head head) {
     for (String prefer : head.all("prefer")) {
-      Matcher m = WAIT.matcher(prefer);
+      Matcher m = PREFER_WAIT.matcher(prefer);
       if (m.find() && Long.parseLong(m.group(1)) > 0) {
         return Long.parseLong(m.group(1)) * 1_000_000;
       }
--- a/node/src/main/java/gorseladder/node/Node.java
+++ b/node/src/main/java/gorseladder/node/Node.java
@@ -8,7 +8,7 @@
 import gorseladder.core.ThreadReclaimer;
 import gorseladder.node.changelog.ChangeLogFollower;
 import gorseladder.node.front.FastCgiFront;
-import gorseladder.node.peers.TierLink;
+import gorseladder.node.peers.PeerLink;
 import gorseladder.node.runners.RunnerLinks;
 import gorseladder.rules.Rule;
 import gorseladder.runtime.Clock;
@@ -25,128 +25,131 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One dispatcher of the platform: front, core, runner links, change log and peers, put together and taken apart. */
+/** One dispatcher of the platform: starts, connects and stops front, core, runner links, change log and peers. */
 public final class Node implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Node.class);
-  private static final int STACK = 128 << 10;
-  /** Threads for connections, of clients and to runners, that stand ready from the start. */
-  private static final int READY_THREADS = 16;
+  private static final int STACK_BYTES = 128 << 10;
+  /** Threads for connections of clients and to runners that exist from the start. */
+  private static final int MIN_IDLE_THREADS = 16;
 
-  private static final long CHECK_EVERY = 200_000;
-  /** A pause of the process, in microseconds, that may have made answers late and is worth a line. */
-  private static final long PAUSE = 150_000;
-  /** After SIGTERM new connections and requests still come for 0.6 s at the most; a margin on top. */
-  private static final long STOP_TAKING = 900_000;
+  private static final long CHECK_INTERVAL_MICROS = 200_000;
+  /** A stall of the process that may have delayed answers and is logged. */
+  private static final long REPORTED_STALL_MICROS = 150_000;
+  /** After SIGTERM new connections and requests arrive for up to 0.6 s; this adds a margin. */
+  private static final long ACCEPT_AFTER_STOP_MICROS = 900_000;
   /**
-   * The longest deadline counts as so much at the most when SIGKILL is timed, and comes no sooner than {@link #KILLED}.
+   * SIGKILL comes no sooner than the longest deadline, of which at most this counts, plus {@link #KILL_GRACE_MICROS}
+   * after SIGTERM.
    */
-  private static final long LONGEST_COUNTED = 3_000_000;
+  private static final long MAX_COUNTED_DEADLINE_MICROS = 3_000_000;
 
-  private static final long KILLED = 700_000;
-  /** So long before SIGKILL what is still held gets its final answer. */
-  private static final long ANSWER_BEFORE_KILL = 400_000;
+  private static final long KILL_GRACE_MICROS = 700_000;
+  /** Time before SIGKILL at which all calls still held get their final answer. */
+  private static final long ANSWER_BEFORE_KILL_MICROS = 400_000;
   /**
-   * So long before SIGKILL it ends where clients are owed nothing and only have not closed. Guards against an end of
-   * the process that takes longer than usual, as on a busy machine.
+   * Time before SIGKILL at which the process exits if no client waits for an answer and some have just not closed their
+   * connections. Leaves time for an exit that takes longer than usual, as on a busy machine.
    */
-  private static final long LEAVE_BEFORE_KILL = 300_000;
-  /** So long before SIGKILL it ends though clients are owed something: what is left is not answered in time. */
-  private static final long LAST_BEFORE_KILL = 50_000;
+  private static final long EXIT_BEFORE_KILL_MICROS = 300_000;
+  /** Time before SIGKILL at which the process exits even if clients wait; their answers would be too late. */
+  private static final long LATEST_EXIT_BEFORE_KILL_MICROS = 50_000;
 
-  private static final long LOOK_AGAIN = 5_000;
-  /** Seconds between two lines of what it holds; 0, as usual, for none. */
-  private static final long SUMMARY_EVERY = Long.getLong("gorseladder.node.summary", 0);
+  private static final long DRAIN_POLL_MICROS = 5_000;
+  /** Seconds between two summaries in the log; 0, the default, for none. */
+  private static final long SUMMARY_INTERVAL_SECONDS = Long.getLong("gorseladder.node.summary", 0);
 
   private final NodeConfig config;
   private final Watchdog watchdog;
   private final CallPath path;
   private final Writers writers;
-  private final StallDetector pauses;
+  private final StallDetector stallDetector;
   private final ThreadCache connectionThreads;
   private final RuleLog rules = new RuleLog();
   private final RunnerLinks links;
   private final Core<NodeCall> core;
   private final ChangeLogFollower changeLog;
   private final FastCgiFront front;
-  private final TierLink peers;
-  private long longestLag;
+  private final PeerLink peers;
+  private long maxLagMicros;
   private long summaryAt;
   private volatile boolean closed;
-  private volatile Supplier<String> tellsMore = () -> "none";
-  /** News of the list told to the core; the thread's that follows the change log. */
-  private long newsTold;
-  /** The list as it was known at the start. */
-  private volatile WorkerListUpdate startList;
+  private volatile Supplier<String> configurationSummary = () -> "none";
+  /** Number of worker list updates passed to the core; used by the thread that follows the change log. */
+  private long listUpdateCount;
+  /** The worker list as it was known at the start. */
+  private volatile WorkerListUpdate initialList;
 
   /**
    * Starts a dispatcher; it is live when this returns.
    *
-   * @throws IOException where an address cannot be listened on; the text says which
+   * @throws IOException if it cannot listen at an address; the message names the address
    */
   public Node(NodeConfig config) throws IOException {
     this.config = config;
-    watchdog = new Watchdog("watchdog", STACK);
-    pauses = new StallDetector(watchdog);
-    connectionThreads = new ThreadCache("connection", READY_THREADS, STACK);
-    path = new CallPath(config, watchdog, pauses, rules, connectionThreads, this::tellPeers);
+    watchdog = new Watchdog("watchdog", STACK_BYTES);
+    stallDetector = new StallDetector(watchdog);
+    connectionThreads = new ThreadCache("connection", MIN_IDLE_THREADS, STACK_BYTES);
+    path =
+        new CallPath(config, watchdog, stallDetector, rules, connectionThreads, this::sendToPeers);
     writers = path.writers();
     links = path.links();
     core = path.core();
     front = path.front();
     changeLog =
-        new ChangeLogFollower(config.changeLog(), config.seed(), new ChangeLogFollower.Hearer() {
+        new ChangeLogFollower(config.changeLog(), config.seed(), new ChangeLogFollower.Listener() {
           @Override
-          public void runner(WorkerEntry entry, InetSocketAddress address, long at) {
-            links.told(entry, address, newsTold + 1, at);
+          public void runnerChanged(WorkerEntry entry, InetSocketAddress address, long at) {
+            links.runnerReported(entry, address, listUpdateCount + 1, at);
           }
 
           @Override
-          public void list(WorkerListUpdate workers) {
-            newsTold++;
-            startList = newsTold == 1 ? workers : startList;
+          public void listChanged(WorkerListUpdate workers) {
+            listUpdateCount++;
+            initialList = listUpdateCount == 1 ? workers : initialList;
             core.workerListChanged(workers);
           }
         });
-    boolean mayTell = config.router().limits().peers()
+    boolean hasPeers = config.routerSettings().limits().peers()
         && config.peerListen() != null
         && config.peersAll() != null;
-    peers = mayTell
+    peers = hasPeers
         ? Retry.whileTransient(
             LocalShortage::is,
-            () -> new TierLink(
+            () -> new PeerLink(
                 config.peerListen(),
                 config.peers(),
                 config.peersAll(),
-                config.router().ordinal(),
-                STACK,
+                config.routerSettings().ordinal(),
+                STACK_BYTES,
                 core::peerMessage))
         : null;
-    changeLog.start(config.knownSeq(), config.known(), STACK);
-    int warmedUpBy =
-        WarmUp.run(config, startList, watchdog, pauses, connectionThreads, WarmUp.MOST);
-    ThreadReclaimer sharer = new ThreadReclaimer(front::idle, links::idle);
-    links.shareThreadsBy(sharer);
+    changeLog.start(config.knownSeq(), config.knownEvents(), STACK_BYTES);
+    int warmUpCalls = WarmUp.run(
+        config, initialList, watchdog, stallDetector, connectionThreads, WarmUp.MAX_MICROS);
+    ThreadReclaimer threadReclaimer =
+        new ThreadReclaimer(front::idleConnections, links::idleConnections);
+    links.setThreadReclaimer(threadReclaimer);
     Retry.whileTransient(LocalShortage::is, () -> {
-      front.listen(config.listen(), STACK, connectionThreads, sharer);
+      front.listen(config.listen(), STACK_BYTES, connectionThreads, threadReclaimer);
       return front;
     });
-    LOG.info("{} is live after {} calls of warm-up; {}", config.name(), warmedUpBy, summary());
-    checkLater();
+    LOG.info("{} is live after {} calls of warm-up; {}", config.name(), warmUpCalls, summary());
+    scheduleCheck();
   }
 
-  private void tellPeers(String text) {
+  private void sendToPeers(String text) {
     if (peers != null) {
-      peers.tell(text);
+      peers.send(text);
     }
   }
 
-  private void checkLater() {
-    long due = Clock.micros() + CHECK_EVERY;
-    watchdog.after(CHECK_EVERY, () -> {
+  private void scheduleCheck() {
+    long dueAt = Clock.micros() + CHECK_INTERVAL_MICROS;
+    watchdog.after(CHECK_INTERVAL_MICROS, () -> {
       if (!closed) {
-        long lag = Clock.micros() - due;
-        longestLag = Math.max(longestLag, lag);
-        if (lag > PAUSE) {
+        long lag = Clock.micros() - dueAt;
+        maxLagMicros = Math.max(maxLagMicros, lag);
+        if (lag > REPORTED_STALL_MICROS) {
           LOG.warn(
               "{} stood still for {} ms, calls waited {} us for the core; {}",
               config.name(),
@@ -156,120 +159,125 @@
         }
         logSummary();
         writers.growIfBlocked();
-        links.check();
-        front.check();
-        changeLog.noteSilence();
-        checkLater();
+        links.cleanUp();
+        front.checkTimeouts();
+        changeLog.warnIfSilent();
+        scheduleCheck();
       }
     });
   }
 
-  /** Where it was told to, says what it holds now and then, with its own pauses since the last time. */
+  /** Logs a summary at the configured interval, with the longest stall since the last one. */
   private void logSummary() {
-    if (SUMMARY_EVERY > 0 && Clock.micros() >= summaryAt) {
-      summaryAt = Clock.micros() + SUMMARY_EVERY * 1_000_000;
+    if (SUMMARY_INTERVAL_SECONDS > 0 && Clock.micros() >= summaryAt) {
+      summaryAt = Clock.micros() + SUMMARY_INTERVAL_SECONDS * 1_000_000;
       LOG.info(
           "{}; longest wait for the core {} us, longest pause {} us; {}",
           config.name(),
           core.takeMaxWaitMicros(),
-          longestLag,
+          maxLagMicros,
           summary());
-      longestLag = 0;
+      maxLagMicros = 0;
     }
   }
 
-  /** Where clients connect. */
+  /** The address to which clients connect. */
   public InetSocketAddress address() {
     return front.address();
   }
 
-  /** The configuration was replaced: follows the change log where it is now. */
-  public void changeLogAt(InetSocketAddress address) {
+  /** Follows the change log at this address from now on, after a change of the configuration. */
+  public void followChangeLogAt(InetSocketAddress address) {
     changeLog.moveTo(address);
   }
 
-  /** Where the change log is followed. */
-  public InetSocketAddress changeLogAt() {
+  /** The address at which the change log is followed. */
+  public InetSocketAddress changeLogAddress() {
     return changeLog.address();
   }
 
-  /** True while the change log tells something. */
-  public boolean changeLogHeard() {
-    return changeLog.isHeard();
+  /** Whether the change log currently sends events. */
+  public boolean isChangeLogHeard() {
+    return changeLog.isReceiving();
   }
 
-  /** Has something more told in the line of {@link #summary}. */
-  public void tellWith(Supplier<String> more) {
-    tellsMore = more;
+  /** Sets the source of the text about the configuration in {@link #summary}. */
+  public void setConfigurationSummary(Supplier<String> summary) {
+    configurationSummary = summary;
   }
 
-  /** True where no call is held and no attempt is out. */
-  public boolean idle() {
-    return front.held() == 0 && links.callsOut() == 0;
+  /** Whether no call is held and no attempt is in progress. */
+  public boolean isIdle() {
+    return front.heldCallCount() == 0 && links.callsInFlight() == 0;
   }
 
-  /** Calls with an attempt out, also one that still waits for its connection. */
-  public int callsOut() {
-    return links.callsOut();
+  /** Number of calls with an attempt in progress, including those that wait for a connection. */
+  public int callsInFlight() {
+    return links.callsInFlight();
   }
 
-  /** Runners that links are kept to. */
+  /** The runners to which links exist. */
   public Set<String> runners() {
     return links.runners();
   }
 
-  /** Clients' connections that are open. */
+  /** Number of open client connections. */
   public int connections() {
     return front.connections();
   }
 
-  /** What it holds, believes and counted, for the log. */
+  /** The state and the counts of all components, for the log. */
   public String summary() {
     return "front: " + front.summary() + "; links: " + links.summary() + "; change log: "
-        + changeLog.summary() + "; configuration: " + tellsMore.get() + "; pauses "
-        + pauses.stalls() + "; vain starts of threads " + connectionThreads.failedStarts()
+        + changeLog.summary() + "; configuration: " + configurationSummary.get() + "; pauses "
+        + stallDetector.stalls() + "; vain starts of threads " + connectionThreads.failedStarts()
         + "; rules broken " + rules.counts();
   }
 
-  /** How often a rule was broken as far as this dispatcher can see; empty where none was. */
-  public Map<Rule, Long> rulesBroken() {
+  /** How often each rule was broken, as far as this dispatcher can detect it; empty if none was. */
+  public Map<Rule, Long> brokenRules() {
     return rules.counts();
   }
 
   /**
-   * Stops in order. It goes on taking until no new calls can come, accepts what the system holds and closes the
-   * listener; then each connection is half-closed as soon as nothing is asked on it. What is still held a moment before
-   * SIGKILL may come gets its final answer there and then. Returns when all connections have ended, or soon after that
-   * moment: at once where nothing is owed any more.
+   * Stops gracefully. The dispatcher accepts requests until no new ones can arrive, accepts the connections that the
+   * system has queued and closes the listener; then each connection is half-closed as soon as it has no open request.
+   * Shortly before SIGKILL may come, all calls still held get their final answer. Returns when all connections have
+   * ended, or soon after those answers: at once if no client waits for one any more.
    */
   public void stop() throws InterruptedException {
-    long begun = Clock.micros();
-    long longest =
-        config.router().classes().stream().mapToLong(c -> c.deadline()).max().orElse(0);
-    long kill = begun + Math.min(longest, LONGEST_COUNTED) + KILLED;
-    long givesUp = kill - ANSWER_BEFORE_KILL;
-    sleepUntil(Math.min(begun + STOP_TAKING, givesUp));
+    long start = Clock.micros();
+    long maxDeadline = config.routerSettings().classes().stream()
+        .mapToLong(c -> c.deadline())
+        .max()
+        .orElse(0);
+    long killAt = start + Math.min(maxDeadline, MAX_COUNTED_DEADLINE_MICROS) + KILL_GRACE_MICROS;
+    long refuseAt = killAt - ANSWER_BEFORE_KILL_MICROS;
+    sleepUntil(Math.min(start + ACCEPT_AFTER_STOP_MICROS, refuseAt));
     front.stopAccepting();
-    boolean givenUp = false;
+    boolean refused = false;
     while (!front.drain()) {
-      // Looked at first: after a pause of the process it may be later than any of the bounds, and
-      // what is held is still to be answered.
-      if (!givenUp && Clock.micros() >= givesUp) {
-        givenUp = true;
+      // Checked first: after a stall of the process all of these times may have passed, and the
+      // calls
+      // that are held must still be answered.
+      if (!refused && Clock.micros() >= refuseAt) {
+        refused = true;
         core.refuseAll();
-      } else if (Clock.micros() >= kill - (front.owes() ? LAST_BEFORE_KILL : LEAVE_BEFORE_KILL)) {
+      } else if (Clock.micros()
+          >= killAt
+              - (front.owesAnswers() ? LATEST_EXIT_BEFORE_KILL_MICROS : EXIT_BEFORE_KILL_MICROS)) {
         break;
       }
-      sleepUntil(Clock.micros() + LOOK_AGAIN);
+      sleepUntil(Clock.micros() + DRAIN_POLL_MICROS);
     }
-    LOG.info("{} stops after {} ms; {}", config.name(), (Clock.micros() - begun) / 1000, summary());
+    LOG.info("{} stops after {} ms; {}", config.name(), (Clock.micros() - start) / 1000, summary());
     close();
   }
 
-  private static void sleepUntil(long at) throws InterruptedException {
-    long left = at - Clock.micros();
-    if (left > 0) {
-      Thread.sleep(left / 1000, (int) (left % 1000) * 1000);
+  private static void sleepUntil(long time) throws InterruptedException {
+    long remaining = time - Clock.micros();
+    if (remaining > 0) {
+      Thread.sleep(remaining / 1000, (int) (remaining % 1000) * 1000);
     }
   }
 
@@ -284,7 +292,7 @@
       peers.close();
     }
     changeLog.close();
-    pauses.stop();
+    stallDetector.stop();
     watchdog.close();
     connectionThreads.close();
     LOG.debug("{} is closed", config.name());
--- a/node/src/test/java/gorseladder/node/front/FrontConnectionTest.java
+++ b/node/src/test/java/gorseladder/node/front/FrontConnectionTest.java
@@ -40,16 +40,16 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A request and the end of its connection at one moment: the thread that reads is started, or held, by the test. */
+/** Races between a request and the end of its connection: the tests start or block the reading thread themselves. */
 class FrontConnectionTest {
   private static final long SECOND = 1_000_000;
 
   private final AtomicInteger sent = new AtomicInteger();
   private final AtomicLong arrivedAt = new AtomicLong();
-  private final AtomicInteger pauses = new AtomicInteger();
-  private Runnable atRead = () -> {};
-  private volatile Runnable atWrite = () -> {};
-  private volatile Runnable atSend = () -> {};
+  private final AtomicInteger idleCount = new AtomicInteger();
+  private Runnable onRead = () -> {};
+  private volatile Runnable beforeWrite = () -> {};
+  private volatile Runnable onSend = () -> {};
   private final Watchdog watchdog = new Watchdog("watchdog", 128 << 10);
   private final RuleLog rules = new RuleLog();
   private Core<NodeCall> core;
@@ -82,7 +82,7 @@
           @Override
           public void send(NodeCall call, int attempt, String worker, long timeout) {
             sent.incrementAndGet();
-            atSend.run();
+            onSend.run();
           }
 
           @Override
@@ -99,7 +99,7 @@
 
           @Override
           public void beforeIdle() {
-            pauses.incrementAndGet();
+            idleCount.incrementAndGet();
           }
         },
         100,
@@ -111,13 +111,13 @@
     RequestReader reader = new RequestReader(settings);
     front = new FastCgiFront(
         (params, body, at) -> {
-          atRead.run();
+          onRead.run();
           arrivedAt.set(at);
           return reader.read(params, body, at);
         },
         core,
         task -> {
-          atWrite.run();
+          beforeWrite.run();
           task.run();
         },
         10,
@@ -144,8 +144,8 @@
     assertEquals(Map.of(), rules.counts(), "rules broken");
   }
 
-  /** Writes a whole request and waits until the system holds it, unread. */
-  private void ask() throws IOException {
+  /** Sends a complete request and waits until the system holds it unread. */
+  private void sendUnreadRequest() throws IOException {
     client
         .getOutputStream()
         .write(RecordWriter.request(1, true, Map.of("SCRIPT_NAME", "/status/live"), new byte[0]));
@@ -154,19 +154,19 @@
     }
   }
 
-  private void readAll() {
+  private void startReading() {
     Thread thread = new Thread(() -> {
       try {
         connection.run();
       } catch (IOException e) {
-        // The client reads the end.
+        // The client sees the end of the connection.
       }
     });
     thread.setDaemon(true);
     thread.start();
   }
 
-  private String answer() throws IOException {
+  private String readAnswer() throws IOException {
     client.setSoTimeout(2_000);
     byte[] bytes = new byte[1_000];
     int count = client.getInputStream().read(bytes);
@@ -174,28 +174,28 @@
   }
 
   /**
-   * Soak seed 973: a deadline was passed on with 224 ms too much. While a connection's thread was busy with one request
-   * (no processor, locks, a full budget) the next came on the same connection; it was read as soon as the thread came
-   * back and counted as new then. In plays with a crowd beside busy processes the log of each read showed bytes that
-   * had waited while the read before was 301, 214 and 189 ms ago, taken as come that moment.
+   * Soak seed 973: a deadline was passed on 224 ms too long. While the thread of a connection was busy with one request
+   * (no processor time, locks, a full budget), the next one arrived on the same connection; it was read as soon as the
+   * thread was free and counted as new then. In runs with many clients beside busy processes, bytes had been unread for
+   * 301, 214 and 189 ms when they were read and counted as just arrived.
    */
   @Test
   void whatComesWhileTheThreadIsBusyCountsFromThen() throws Exception {
-    readAll();
+    startReading();
     CountDownLatch busy = new CountDownLatch(1);
-    CountDownLatch goesOn = new CountDownLatch(1);
-    atRead = () -> {
+    CountDownLatch released = new CountDownLatch(1);
+    onRead = () -> {
       busy.countDown();
-      await(goesOn);
+      await(released);
     };
     client.getOutputStream().write(request(1));
     busy.await();
     long sentAt = Clock.micros();
     client.getOutputStream().write(request(2));
     Thread.sleep(300);
-    atRead = () -> {};
+    onRead = () -> {};
     arrivedAt.set(0);
-    goesOn.countDown();
+    released.countDown();
     long until = Clock.micros() + SECOND;
     while (sent.get() < 2 && Clock.micros() < until) {
       Thread.sleep(1);
@@ -207,26 +207,26 @@
   }
 
   /**
-   * Guards against calls that get their final answer only when the core comes to them: one that was busy for half a
+   * Prevents calls from getting their final answer only when the core considers them: a core that was busy for half a
    * second answered requests with 27 ms left that much too late.
    */
   @Test
   void aCallThatTheCoreHasNotLookedAtByItsTimeIsRefusedThen() throws Exception {
-    CountDownLatch goesOn = new CountDownLatch(1);
-    atSend = () -> await(goesOn);
-    readAll();
+    CountDownLatch released = new CountDownLatch(1);
+    onSend = () -> await(released);
+    startReading();
     client.getOutputStream().write(request(1));
     while (sent.get() < 1) {
       Thread.onSpinWait();
     }
     client.getOutputStream().write(request(2, 30));
-    while (front.held() < 2) {
+    while (front.heldCallCount() < 2) {
       Thread.onSpinWait();
     }
     Thread.sleep(40);
-    front.check();
-    String answer = answer();
-    goesOn.countDown();
+    front.checkTimeouts();
+    String answer = readAnswer();
+    released.countDown();
     assertTrue(answer.contains("Status: 503"), answer);
   }
 
@@ -255,39 +255,40 @@
 
   @Test
   void aLookAtIdlenessSeesWhatTheSystemHoldsUnread() throws Exception {
-    ask();
-    connection.check(Clock.micros() + 60 * SECOND, 2 * SECOND, 6 * SECOND);
-    readAll();
-    assertTrue(answer().contains("Status: 503"), "its thread had not begun");
+    sendUnreadRequest();
+    connection.checkTimeouts(Clock.micros() + 60 * SECOND, 2 * SECOND, 6 * SECOND);
+    startReading();
+    assertTrue(readAnswer().contains("Status: 503"), "its thread had not begun");
   }
 
   @Test
   void roomIsNotMadeByAConnectionWithARequestUnread() throws Exception {
-    ask();
-    assertFalse(connection.closeIfFree());
-    readAll();
-    assertTrue(answer().contains("Status: 503"));
-    // Its thread may still be in the write that the answer came from.
+    sendUnreadRequest();
+    assertFalse(connection.closeIfIdle());
+    startReading();
+    assertTrue(readAnswer().contains("Status: 503"));
+    // Its thread may still be in the write of the answer.
     long until = Clock.micros() + SECOND;
-    boolean closed = connection.closeIfFree();
+    boolean closed = connection.closeIfIdle();
     while (!closed && Clock.micros() < until) {
-      closed = connection.closeIfFree();
+      closed = connection.closeIfIdle();
     }
     assertTrue(closed, "nothing is asked now");
   }
 
   /**
-   * What was unread when the stop began is answered, then the connection is half-closed; what comes after is not taken.
+   * A request that is unread when the stop begins is answered, then the connection is half-closed; later requests are
+   * not accepted.
    */
   @Test
   void aStopAnswersWhatIsUnreadAndTakesNothingAfterTheHalfClose() throws Exception {
-    ask();
+    sendUnreadRequest();
     connection.drain();
-    readAll();
-    assertTrue(answer().contains("Status: 503"));
+    startReading();
+    assertTrue(readAnswer().contains("Status: 503"));
     connection.drain();
-    assertEquals("", answer(), "the end");
-    atRead = sent::incrementAndGet;
+    assertEquals("", readAnswer(), "the end");
+    onRead = sent::incrementAndGet;
     client
         .getOutputStream()
         .write(RecordWriter.request(2, true, Map.of("SCRIPT_NAME", "/svc/safe"), new byte[0]));
@@ -298,11 +299,11 @@
     assertEquals(0, sent.get());
   }
 
-  /** The connection ends after its request was read and before the call has a name there: no attempt is made for it. */
+  /** The connection ends after its request was read and before its call is known to it: no attempt is made. */
   @Test
   void aCallTakenOnAConnectionThatJustEndedIsNotSent() throws Exception {
     CountDownLatch read = new CountDownLatch(1);
-    atRead = () -> {
+    onRead = () -> {
       connection.close();
       read.countDown();
     };
@@ -323,25 +324,27 @@
                 "HTTP_X_FACTS",
                 "memory_mb:10;lanes:1"),
             new byte[3]));
-    readAll();
+    startReading();
     read.await();
     assertTimeoutPreemptively(Duration.ofSeconds(5), () -> {
-      while (front.held() > 0) {
+      while (front.heldCallCount() > 0) {
         Thread.onSpinWait();
       }
-      // By the second time the core has nothing to do it has looked at all that was put before
-      // the first.
-      int before = pauses.get();
+      // When the core is idle for the second time, it has processed all events that were queued
+      // before the first.
+      int before = idleCount.get();
       core.workerListChanged(new WorkerListUpdate(ListKind.DELTA, List.of()));
-      while (pauses.get() < before + 2) {
+      while (idleCount.get() < before + 2) {
         Thread.sleep(1);
       }
     });
     assertEquals(0, sent.get());
   }
 
-  /** Takes so many answers that the system might not take another one at once. */
-  private void answerSoMuchThatAThreadOfThePoolWrites() throws IOException {
+  /**
+   * Reads so many answers that a further answer might not fit the send buffer and is written by a thread of the pool.
+   */
+  private void fillSendBuffer() throws IOException {
     int records = 600;
     byte[] unknown = new byte[8];
     unknown[0] = 1;
@@ -354,50 +357,51 @@
   }
 
   /**
-   * Guards against refusals that are ready and wait for the turn of another thread: with little processor that took
-   * hundreds of milliseconds. No thread of the pool runs here.
+   * Prevents refusals from waiting for another thread, which took hundreds of milliseconds on a busy processor. No
+   * thread of the pool runs in this test.
    */
   @Test
   void aRefusalIsWrittenThoughNoWriterRuns() throws Exception {
-    CountDownLatch never = new CountDownLatch(1);
-    atWrite = () -> {
+    CountDownLatch blocked = new CountDownLatch(1);
+    beforeWrite = () -> {
       try {
-        never.await();
+        blocked.await();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
     };
-    readAll();
+    startReading();
     client
         .getOutputStream()
         .write(RecordWriter.request(1, true, Map.of("SCRIPT_NAME", "/svc/none"), new byte[0]));
     try {
-      String told = answer();
-      assertTrue(told.contains("Status: 404"), told);
+      String answers = readAnswer();
+      assertTrue(answers.contains("Status: 404"), answers);
     } finally {
-      never.countDown();
+      blocked.countDown();
     }
   }
 
   /**
-   * The stop looks while bytes were read and not looked at yet: what they ask is answered before the connection ends.
+   * The stop begins when bytes were read but not parsed yet: the requests in them are answered before the connection
+   * ends.
    */
   @Test
   void whatWasReadIsAnsweredThoughTheStopLooksBeforeItIsLookedAt() throws Exception {
     CountDownLatch reading = new CountDownLatch(1);
-    CountDownLatch looked = new CountDownLatch(1);
-    readAll();
-    answerSoMuchThatAThreadOfThePoolWrites();
-    atWrite = () -> {
+    CountDownLatch released = new CountDownLatch(1);
+    startReading();
+    fillSendBuffer();
+    beforeWrite = () -> {
       reading.countDown();
       try {
-        looked.await();
+        released.await();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
     };
-    // The answer to a management record of no known type holds the thread that reads, with a
-    // request read behind it.
+    // The answer to a management record of unknown type blocks the reading thread; a request behind
+    // the record was read with it.
     byte[] request =
         RecordWriter.request(1, true, Map.of("SCRIPT_NAME", "/status/live"), new byte[0]);
     byte[] both = new byte[8 + request.length];
@@ -410,20 +414,20 @@
       connection.drain();
       Thread.sleep(10);
     }
-    atWrite = () -> {};
-    looked.countDown();
-    String told = answer();
-    String more = told;
-    while (!more.isEmpty() && !told.contains("Status")) {
-      more = answer();
-      told += more;
+    beforeWrite = () -> {};
+    released.countDown();
+    String answers = readAnswer();
+    String next = answers;
+    while (!next.isEmpty() && !answers.contains("Status")) {
+      next = readAnswer();
+      answers += next;
     }
-    assertTrue(told.contains("Status: 503"), "the request that was read got no answer");
+    assertTrue(answers.contains("Status: 503"), "the request that was read got no answer");
   }
 
   /**
-   * What waited for its connection's thread has waited since the connection was accepted: its client's time counts from
-   * there.
+   * Bytes that waited for the thread of their connection may have waited since it was accepted: the time limit of the
+   * client starts there.
    */
   @Test
   void whatWaitedToBeReadArrivedWhenItsConnectionWasAccepted() throws Exception {
@@ -432,13 +436,13 @@
         .getOutputStream()
         .write(RecordWriter.request(1, true, Map.of("SCRIPT_NAME", "/svc/none"), new byte[0]));
     Thread.sleep(300);
-    readAll();
-    assertTrue(answer().contains("Status: 404"));
+    startReading();
+    assertTrue(readAnswer().contains("Status: 404"));
     assertTrue(arrivedAt.get() <= accepted, "counted from when it was read");
     client
         .getOutputStream()
         .write(RecordWriter.request(2, true, Map.of("SCRIPT_NAME", "/svc/none"), new byte[0]));
-    assertTrue(answer().contains("Status: 404"));
+    assertTrue(readAnswer().contains("Status: 404"));
     assertTrue(arrivedAt.get() > accepted + 290_000, "read as it came");
   }
 }
