--- a/testbed/src/main/java/gorseladder/testbed/StandInRunner.java
+++ b/testbed/src/main/java/gorseladder/testbed/StandInRunner.java
@@ -85,14 +85,14 @@
   public static final class IdempotencyKeys {
     private record KeyEntry(long expiresAt, byte[] result) {}
 
-    private final Map<String, KeyEntry> kept = new ConcurrentHashMap<>();
+    private final Map<String, KeyEntry> entries = new ConcurrentHashMap<>();
 
     private synchronized boolean tryStart(String key, long now, long window) {
-      KeyEntry before = kept.get(key);
+      KeyEntry before = entries.get(key);
       if (before != null && before.expiresAt() > now) {
         return false;
       }
-      kept.put(key, new KeyEntry(now + window, null));
+      entries.put(key, new KeyEntry(now + window, null));
       return true;
     }
   }
@@ -214,7 +214,7 @@
         byte[] body = c.readBody(
             BodyParser.forRequest(head, HttpLimits.INTERNAL), Clock.micros() + 10_000_000L);
         if (!alive(expectedIncarnation)
-            || !answer(c, head, body, expectedIncarnation, first, at)
+            || !handleRequest(c, head, body, expectedIncarnation, first, at)
             || !head.keepsConnection()) {
           break;
         }
@@ -225,7 +225,7 @@
     }
   }
 
-  private boolean answer(
+  private boolean handleRequest(
       HttpConnection c, Head head, byte[] body, int expectedIncarnation, boolean first, long at)
       throws IOException, InterruptedException {
     String model = Oip.modelIn(head.path(), "/v2/models/", "/infer");
@@ -301,7 +301,7 @@
       if (faults.throttle && random.nextInt(10) > 0 || faults.draining || isOverloaded()) {
         return respond(c, arrival, 429, null, -1, new byte[0]);
       }
-      return run(c, head, content, model, expectedIncarnation, arrival);
+      return handleCall(c, head, content, model, expectedIncarnation, arrival);
     } finally {
       if (arrival.endedAt == 0) {
         arrival.endedAt = Clock.micros();
@@ -337,7 +337,7 @@
         : rules.initialCapacity() + (1 - rules.initialCapacity()) * age / rules.rampDuration();
   }
 
-  private boolean run(
+  private boolean handleCall(
       HttpConnection c,
       Head head,
       Oip.Content content,
@@ -379,7 +379,8 @@
             && respond(c, arrival, 404, "load-failed", concurrency, new byte[0]);
       }
       try {
-        return work(c, head, content, model, expectedIncarnation, arrival, copyStatus, concurrency);
+        return executeCall(
+            c, head, content, model, expectedIncarnation, arrival, copyStatus, concurrency);
       } finally {
         releaseLane(model, expectedIncarnation);
       }
@@ -393,7 +394,7 @@
     }
   }
 
-  private boolean work(
+  private boolean executeCall(
       HttpConnection c,
       Head head,
       Oip.Content content,
@@ -404,8 +405,8 @@
       int concurrency)
       throws IOException, InterruptedException {
     String key = head.get("idempotency-key");
-    boolean fresh = key == null || keys.tryStart(key, Clock.micros(), settings.repeatWindow());
-    if (fresh) {
+    boolean firstUse = key == null || keys.tryStart(key, Clock.micros(), settings.repeatWindow());
+    if (firstUse) {
       arrival.ran = true;
       Map<String, Object> line = new java.util.LinkedHashMap<>();
       String message = content.id();
@@ -583,15 +584,15 @@
   private boolean handleLoadOrder(
       HttpConnection c, Head head, byte[] body, String model, int expectedIncarnation, long at)
       throws IOException, InterruptedException {
-    int wanted = Oip.copiesIn(body);
-    tap.ordered(new Tap.Order(id(), header(head, Oip.EDGE_ORDINAL, -1), model, wanted, at));
+    int wantedCopies = Oip.copiesIn(body);
+    tap.ordered(new Tap.Order(id(), header(head, Oip.EDGE_ORDINAL, -1), model, wantedCopies, at));
     boolean loads;
     synchronized (this) {
       Copy copy = copies.computeIfAbsent(model, m -> new Copy());
       copy.memoryMb = header(head, Oip.MEMORY_MB, 256);
       copy.lanes = Math.max(copy.lanes, 1);
       dropExpiredCopies(model, copy);
-      boolean missing = copy.loaded + copy.loading < wanted;
+      boolean missing = copy.loaded + copy.loading < wantedCopies;
       if (faults.draining || overloaded || missing && !makeRoom(model, copy.memoryMb)) {
         c.write(HeadWriter.response(503).field(Oip.EXECUTED, "no").with(new byte[0]));
         return true;
@@ -603,7 +604,7 @@
     synchronized (this) {
       while (incarnation == expectedIncarnation
           && copies.get(model).loading > 0
-          && copies.get(model).loaded < wanted) {
+          && copies.get(model).loaded < wantedCopies) {
         wait(20);
       }
     }
--- a/testbed/src/main/java/gorseladder/testbed/WebhookClients.java
+++ b/testbed/src/main/java/gorseladder/testbed/WebhookClients.java
@@ -209,7 +209,7 @@
       t.connectedAt = Clock.micros();
       c.write(request);
       t.writtenAt = Clock.micros();
-      answer(c, t, to);
+      readAnswer(c, t, to);
     } catch (ConnectException e) {
       t.unreached = true;
     } catch (IOException | BadMessage e) {
@@ -222,7 +222,7 @@
     return t;
   }
 
-  private void answer(HttpConnection c, Tap.Try t, InetSocketAddress to)
+  private void readAnswer(HttpConnection c, Tap.Try t, InetSocketAddress to)
       throws IOException, BadMessage {
     long answerBy = t.sentAt + t.clientTimeout + NO_ANSWER_MARGIN_MICROS;
     Head head = c.readResponse(answerBy);
--- a/testbed/src/main/java/gorseladder/testbed/platform/PlatformRunner.java
+++ b/testbed/src/main/java/gorseladder/testbed/platform/PlatformRunner.java
@@ -54,8 +54,8 @@
   private final List<Arrival> arrivals = new ArrayList<>();
   private final List<String> orders = new ArrayList<>();
   private final List<Socket> backlogFillers = new ArrayList<>();
-  private final Set<Socket> open = ConcurrentHashMap.newKeySet();
-  private final Object work = new Object();
+  private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
+  private final Object workLock = new Object();
   private volatile int workMillis;
   private int cancellations;
   private int connections;
@@ -117,7 +117,7 @@
     try {
       while (true) {
         Socket socket = server.accept();
-        open.add(socket);
+        openSockets.add(socket);
         int number;
         synchronized (this) {
           number = connections++;
@@ -154,7 +154,7 @@
     } catch (IOException e) {
       // The connection was closed by either side.
     } finally {
-      open.remove(socket);
+      openSockets.remove(socket);
     }
   }
 
@@ -199,7 +199,7 @@
     String served = id + " ok remark=up " + result.length() + "\r\n" + result + "\r\n";
     switch (script.apply(arrival)) {
       case SERVE -> {
-        work();
+        simulateWork();
         write(out, served);
       }
       case REFUSE -> write(out, id + " refused depth=3 0\r\n\r\n");
@@ -221,11 +221,11 @@
     }
   }
 
-  private void work() throws IOException {
+  private void simulateWork() throws IOException {
     if (workMillis == 0) {
       return;
     }
-    synchronized (work) {
+    synchronized (workLock) {
       try {
         Thread.sleep(workMillis);
       } catch (InterruptedException e) {
@@ -257,7 +257,7 @@
 
   /** Resets all connections, as the system does when a process ends. */
   public void resetAll() throws IOException {
-    for (Socket socket : open) {
+    for (Socket socket : openSockets) {
       socket.setSoLinger(true, 0);
       socket.close();
     }
@@ -266,7 +266,7 @@
   @Override
   public void close() throws IOException {
     server.close();
-    for (Socket socket : open) {
+    for (Socket socket : openSockets) {
       socket.close();
     }
   }
