--- a/testbed/src/main/java/gorseladder/testbed/rehearsal/UnusableRequests.java
+++ b/testbed/src/main/java/gorseladder/testbed/rehearsal/UnusableRequests.java
@@ -7,21 +7,21 @@
 import java.util.List;
 import java.util.Map;
 
-/** Requests that a dispatcher cannot use, made of one that it could. */
+/** Requests that a dispatcher cannot use, derived from a valid one. */
 final class UnusableRequests {
-  /** Requests that may be open on one connection. */
-  static final int MOST_OPEN = 32;
-  /** Over the bound on bodies. */
+  /** The maximum number of open requests on one connection. */
+  static final int MAX_OPEN_REQUESTS = 32;
+  /** A body above the size limit. */
   static final byte[] LARGE_BODY = new byte[20_000];
 
-  private static final int HEADER = 8;
-  private static final int ROLE_AT = HEADER + 1;
+  private static final int HEADER_BYTES = 8;
+  private static final int ROLE_OFFSET = HEADER_BYTES + 1;
   private static final byte GET_VALUES = 9;
-  private static final byte UNKNOWN = 77;
+  private static final byte UNKNOWN_TYPE = 77;
 
   private UnusableRequests() {}
 
-  /** Parameters with one of them wrong. */
+  /** Returns variants of the parameters with one invalid entry each. */
   static List<Map<String, String>> of(Map<String, String> params) {
     List<Map<String, String>> all = new ArrayList<>();
     for (String name : params.keySet()) {
@@ -43,28 +43,28 @@
     return other;
   }
 
-  /** What a connection of its own begins with, as bytes. */
-  static List<byte[]> bytes(Map<String, String> params) {
+  /** Returns byte sequences to start a connection with, none of which is a usable request. */
+  static List<byte[]> connectionStarts(Map<String, String> params) {
     byte[] request = RecordWriter.request(1, true, params, new byte[1]);
     byte[] role = request.clone();
-    role[ROLE_AT] = 3;
+    role[ROLE_OFFSET] = 3;
     return List.of(
         role,
         management(
             GET_VALUES, RecordWriter.valuesResult(Map.of("FCGI_MAX_CONNS", "", "OTHER", ""))),
-        management(UNKNOWN, RecordWriter.unknownType(1)),
+        management(UNKNOWN_TYPE, RecordWriter.unknownType(1)),
         "GET / HTTP/1.1\r\n\r\n".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
   }
 
-  /** A management record of that type with the content of another one. */
+  /** Returns a management record of the given type with the content of another record. */
   private static byte[] management(byte type, byte[] record) {
     byte[] changed = record.clone();
     changed[1] = type;
     return changed;
   }
 
-  /** The first part of a request. */
-  static byte[] half(Map<String, String> params) {
+  /** Returns the first half of a request. */
+  static byte[] partial(Map<String, String> params) {
     byte[] request = RecordWriter.request(1, true, params, new byte[1]);
     return Arrays.copyOf(request, request.length / 2);
   }
