--- a/app/src/main/java/gorseladder/app/SoakCommand.java
+++ b/app/src/main/java/gorseladder/app/SoakCommand.java
@@ -118,7 +118,7 @@
       SoakPlan plan = SoakPlan.draw(seed, processes, seconds * 1_000_000L, troubles);
       try (SoakRun run = new SoakRun(
           plan, root.toAbsolutePath().normalize(), folder.resolve("seed" + seed), command())) {
-        broken += print(run.play()) ? 0 : 1;
+        broken += print(run.execute()) ? 0 : 1;
       }
     }
     System.out.println("logs are in " + folder);
@@ -144,8 +144,8 @@
     for (long seed = first; seed <= last; seed++) {
       EdgeSoak soak =
           new EdgeSoak(seed, seconds * 1_000_000L, folder.resolve("edge" + seed), preload.get());
-      EdgeSoak.Result result = soak.play();
-      good &= result.breaks().isEmpty();
+      EdgeSoak.Result result = soak.execute();
+      good &= result.violations().isEmpty();
       System.out.printf(
           Locale.ROOT,
           "edge seed %d: %d troubles; %d messages, %d ended served, %d not; %d calls failed; %d breaks%n",
@@ -153,11 +153,13 @@
           result.troubles().size(),
           result.messages(),
           result.served(),
-          result.refused(),
-          result.failed(),
-          result.breaks().size());
-      result.breaks().stream().limit(MOST_SHOWN).forEach(text -> System.out.println("  " + text));
-      if (!result.breaks().isEmpty()) {
+          result.unserved(),
+          result.failedCalls(),
+          result.violations().size());
+      result.violations().stream()
+          .limit(MOST_SHOWN)
+          .forEach(text -> System.out.println("  " + text));
+      if (!result.violations().isEmpty()) {
         result.troubles().forEach(text -> System.out.println("    " + text));
       }
     }
@@ -167,7 +169,7 @@
   private int tryOracle(long seed, Path folder) throws IOException, InterruptedException {
     boolean all = true;
     for (PlantedFault fault : faults) {
-      SoakRun.Result result = fault.play(seed, root.toAbsolutePath().normalize(), folder);
+      SoakRun.Result result = fault.runSoak(seed, root.toAbsolutePath().normalize(), folder);
       boolean found = fault.isFound(result);
       all &= found;
       System.out.printf(
@@ -195,8 +197,8 @@
         result.served(),
         result.attempts(),
         result.injected(),
-        result.ownStalls() / 1_000,
-        result.ownStall() / 1_000,
+        result.totalStall() / 1_000,
+        result.longestStall() / 1_000,
         result.heldInTheWrite(),
         result.endsNotJudged(),
         result.troublesFailed(),
--- a/soak/src/main/java/gorseladder/soak/CallClass.java
+++ b/soak/src/main/java/gorseladder/soak/CallClass.java
@@ -7,7 +7,7 @@
   UNSAFE("side_effect");
 
   /** For how long runners drop repeats of a keyed call. */
-  static final long REPEAT_WINDOW = 600_000;
+  static final long REPEAT_WINDOW_MICROS = 600_000;
 
   /** Its effect in the platform's settings. */
   final String effect;
@@ -16,7 +16,7 @@
     this.effect = effect;
   }
 
-  String word() {
+  String label() {
     return name().toLowerCase(java.util.Locale.ROOT);
   }
 }
--- a/soak/src/main/java/gorseladder/soak/ChangeLogs.java
+++ b/soak/src/main/java/gorseladder/soak/ChangeLogs.java
@@ -15,7 +15,7 @@
 final class ChangeLogs implements Closeable {
   private final List<String> events = new ArrayList<>();
   private final PlatformChangeLog log;
-  private final List<Oracle.Told> told = new ArrayList<>();
+  private final List<Oracle.RunnerChange> changes = new ArrayList<>();
   private final Map<Integer, FaultProxy> proxies = new HashMap<>();
   private final List<FaultProxy> replaced = new ArrayList<>();
 
@@ -38,38 +38,38 @@
   }
 
   /** The events so far. */
-  List<String> known() {
+  List<String> knownEvents() {
     synchronized (log) {
       return List.copyOf(events);
     }
   }
 
   /** Tells that a runner has just started. */
-  void started(SoakRunner runner) {
+  void announceStart(SoakRunner runner) {
     add(runner, "active", System.currentTimeMillis(), false);
   }
 
   /** Tells that a runner drains. */
-  void drains(SoakRunner runner) {
+  void announceDrain(SoakRunner runner) {
     add(runner, "leaving", 0, true);
   }
 
   /** Tells that a runner has gone. */
-  void gone(SoakRunner runner) {
+  void announceGone(SoakRunner runner) {
     add(runner, "left", 0, true);
   }
 
-  private void add(SoakRunner runner, String state, long bootMillis, boolean drains) {
+  private void add(SoakRunner runner, String state, long bootMillis, boolean draining) {
     synchronized (log) {
       log.add(event(runner, state, bootMillis));
-      told.add(new Oracle.Told(
-          runner.uid(), runner, Clock.micros(), drains, drains ? 0 : runner.startedAt()));
+      changes.add(new Oracle.RunnerChange(
+          runner.uid(), runner, Clock.micros(), draining, draining ? 0 : runner.startedAt()));
     }
   }
 
-  List<Oracle.Told> told() {
+  List<Oracle.RunnerChange> changes() {
     synchronized (log) {
-      return List.copyOf(told);
+      return List.copyOf(changes);
     }
   }
 
@@ -84,7 +84,7 @@
   }
 
   /** Gives a dispatcher a new way to the log; returns the one before, which still stands. */
-  FaultProxy replace(int dispatcher) throws IOException {
+  FaultProxy replaceProxy(int dispatcher) throws IOException {
     synchronized (log) {
       FaultProxy before = proxies.put(dispatcher, new FaultProxy(log.address()));
       replaced.add(before);
--- a/soak/src/main/java/gorseladder/soak/Crowd.java
+++ b/soak/src/main/java/gorseladder/soak/Crowd.java
@@ -17,20 +17,20 @@
  */
 final class Crowd {
   /** Connections that say nothing: below a third of the descriptors told. */
-  private static final int SILENT = 150;
+  private static final int SILENT_CONNECTIONS = 150;
 
   /** Connections with half requests, and how many on each: together more than a dispatcher's heap. */
-  private static final int HALVES = 100;
+  private static final int PARTIAL_CONNECTIONS = 100;
 
   /** Connections that asked once and stay. */
-  private static final int RESTING = 60;
+  private static final int RESTING_CONNECTIONS = 60;
 
-  private static final int HALVES_EACH = 32;
+  private static final int PARTIAL_REQUESTS_PER_CONNECTION = 32;
   private static final int BODY_BYTES = 15_000;
   private static final int END_RECORD_BYTES = 8;
-  private static final int CONNECT_MILLIS = 300;
+  private static final int CONNECT_TIMEOUT_MILLIS = 300;
 
-  private static final Map<String, String> LIVE = Map.of("SCRIPT_NAME", "/status/live");
+  private static final Map<String, String> LIVENESS_PARAMS = Map.of("SCRIPT_NAME", "/status/live");
 
   /** What a crowd does. */
   enum Kind {
@@ -41,77 +41,77 @@
     RESTING
   }
 
-  private final InetSocketAddress to;
-  private final List<Socket> open = new ArrayList<>();
+  private final InetSocketAddress address;
+  private final List<Socket> sockets = new ArrayList<>();
 
-  Crowd(InetSocketAddress to) {
-    this.to = to;
+  Crowd(InetSocketAddress address) {
+    this.address = address;
   }
 
   /** Comes, stays for so long and leaves; what is turned away is turned away. */
-  void come(Kind kind, long micros) throws InterruptedException {
+  void run(Kind kind, long micros) throws InterruptedException {
     long until = Clock.micros() + micros;
     switch (kind) {
-      case SILENT -> join(SILENT);
+      case SILENT -> connect(SILENT_CONNECTIONS);
       case HALF_REQUESTS -> {
-        join(HALVES);
-        open.forEach(Crowd::sendHalves);
+        connect(PARTIAL_CONNECTIONS);
+        sockets.forEach(Crowd::sendPartialRequests);
       }
       case RESTING -> {
-        join(RESTING);
-        open.forEach(Crowd::askOnce);
+        connect(RESTING_CONNECTIONS);
+        sockets.forEach(Crowd::askIfLive);
       }
       case STORM -> {
         while (Clock.micros() < until) {
-          join(10);
-          leave();
+          connect(10);
+          closeAll();
           Thread.sleep(5);
         }
       }
       default -> throw new IllegalStateException("no such crowd: " + kind);
     }
     Thread.sleep(Math.max(0, until - Clock.micros()) / 1_000);
-    leave();
+    closeAll();
   }
 
-  private void join(int count) {
+  private void connect(int count) {
     try {
       for (int i = 0; i < count; i++) {
         Socket socket = new Socket();
-        open.add(socket);
-        socket.connect(to, CONNECT_MILLIS);
+        sockets.add(socket);
+        socket.connect(address, CONNECT_TIMEOUT_MILLIS);
       }
     } catch (IOException e) {
       // Its dispatcher is not there, or its queue is full: the crowd is smaller.
     }
   }
 
-  private void leave() {
-    for (Socket socket : open) {
+  private void closeAll() {
+    for (Socket socket : sockets) {
       try {
         socket.close();
       } catch (IOException e) {
         // It has ended.
       }
     }
-    open.clear();
+    sockets.clear();
   }
 
   /** Asks whether the dispatcher is live, and leaves the connection open. */
-  static void askOnce(Socket socket) {
+  static void askIfLive(Socket socket) {
     try {
-      socket.getOutputStream().write(RecordWriter.request(1, true, LIVE, new byte[0]));
+      socket.getOutputStream().write(RecordWriter.request(1, true, LIVENESS_PARAMS, new byte[0]));
     } catch (IOException e) {
       // Turned away, as it may be.
     }
   }
 
   /** Sends as many requests as one connection may have open, each without the end of its body. */
-  static void sendHalves(Socket socket) {
+  static void sendPartialRequests(Socket socket) {
     try {
-      for (int number = 1; number <= HALVES_EACH; number++) {
+      for (int number = 1; number <= PARTIAL_REQUESTS_PER_CONNECTION; number++) {
         Map<String, String> params = FastCgiClient.params(
-            CallClass.SAFE.word(), "%016x".formatted(number), "%016x".formatted(0xf000), 1_000);
+            CallClass.SAFE.label(), "%016x".formatted(number), "%016x".formatted(0xf000), 1_000);
         byte[] whole = RecordWriter.request(number, true, params, new byte[BODY_BYTES]);
         // Without the record that ends the body.
         socket.getOutputStream().write(Arrays.copyOf(whole, whole.length - END_RECORD_BYTES));
--- a/soak/src/main/java/gorseladder/soak/FaultProxy.java
+++ b/soak/src/main/java/gorseladder/soak/FaultProxy.java
@@ -23,32 +23,32 @@
  * come up late. Two threads a connection. Any thread.
  */
 final class FaultProxy implements Closeable {
-  private static final int BUFFER = 16_384;
-  private static final int STACK = 128 << 10;
+  private static final int BUFFER_BYTES = 16_384;
+  private static final int STACK_BYTES = 128 << 10;
   private static final int BACKLOG = 256;
   private static final ExecutorService THREADS = Executors.newCachedThreadPool(task -> {
-    Thread thread = new Thread(null, task, "soak", STACK);
+    Thread thread = new Thread(null, task, "soak", STACK_BYTES);
     thread.setDaemon(true);
     return thread;
   });
-  private static final int BLOCKED_MILLIS = 60;
+  private static final int BLOCKER_CONNECT_MILLIS = 60;
   /**
    * Another socket of the loopback may be given a port that is free for a moment; it is tried again for about a second.
    */
-  private static final int MOST_BINDS = 100;
+  private static final int MAX_BIND_RETRIES = 100;
 
   private static final int BIND_PAUSE_MILLIS = 10;
 
   private final InetSocketAddress target;
   private final int port;
-  private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+  private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
   private final List<Evidence.Span> holds = new ArrayList<>();
   private final List<Socket> blockers = new ArrayList<>();
   private volatile ServerSocket server;
   private volatile long holdUntil;
-  private volatile long accepted;
+  private volatile long acceptedCount;
   private volatile long firstAnswerDelay;
-  private volatile long lateSince;
+  private volatile long blockedSince;
   private volatile boolean closed;
 
   /** A proxy on a free port of the loopback. */
@@ -72,8 +72,8 @@
   }
 
   /** Connections accepted so far. */
-  long accepted() {
-    return accepted;
+  long acceptedCount() {
+    return acceptedCount;
   }
 
   /**
@@ -86,7 +86,7 @@
     });
   }
 
-  private static void pause() throws IOException {
+  private static void pauseBeforeBind() throws IOException {
     try {
       Thread.sleep(BIND_PAUSE_MILLIS);
     } catch (InterruptedException e) {
@@ -98,9 +98,9 @@
     start("proxy-accept", () -> {
       try {
         while (true) {
-          Socket near = from.accept();
-          accepted++;
-          join(near);
+          Socket client = from.accept();
+          acceptedCount++;
+          forward(client);
         }
       } catch (IOException e) {
         // Closed.
@@ -108,41 +108,41 @@
     });
   }
 
-  private void join(Socket near) {
-    Socket far = new Socket();
-    open.add(near);
-    open.add(far);
+  private void forward(Socket client) {
+    Socket backend = new Socket();
+    openSockets.add(client);
+    openSockets.add(backend);
     start("proxy-connect", () -> {
       try {
-        far.connect(target);
-        near.setTcpNoDelay(true);
-        far.setTcpNoDelay(true);
-        start("proxy-back", () -> passBack(far, near));
-        pass(near, far);
+        backend.connect(target);
+        client.setTcpNoDelay(true);
+        backend.setTcpNoDelay(true);
+        start("proxy-back", () -> copyAnswers(backend, client));
+        copy(client, backend);
       } catch (IOException e) {
-        reset(near);
-        reset(far);
+        reset(client);
+        reset(backend);
       }
     });
   }
 
   /** Passes answers on, the first one of a connection only after the delay set. */
-  private void passBack(Socket far, Socket near) {
+  private void copyAnswers(Socket backend, Socket client) {
     try {
       Thread.sleep(firstAnswerDelay / 1_000);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    pass(far, near);
+    copy(backend, client);
   }
 
-  private void pass(Socket from, Socket to) {
-    byte[] buffer = new byte[BUFFER];
+  private void copy(Socket from, Socket to) {
+    byte[] buffer = new byte[BUFFER_BYTES];
     try {
       InputStream in = from.getInputStream();
       OutputStream out = to.getOutputStream();
       for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
-        await();
+        awaitHoldEnd();
         out.write(buffer, 0, count);
       }
       to.shutdownOutput();
@@ -151,15 +151,15 @@
       reset(to);
     }
     if (from.isInputShutdown() || to.isClosed()) {
-      forget(from);
+      removeSocket(from);
     }
   }
 
-  private void forget(Socket socket) {
-    open.remove(socket);
+  private void removeSocket(Socket socket) {
+    openSockets.remove(socket);
   }
 
-  private void await() throws IOException {
+  private void awaitHoldEnd() throws IOException {
     try {
       for (long left = holdUntil - Clock.micros(); left > 0; left = holdUntil - Clock.micros()) {
         Thread.sleep(Math.max(1, left / 1_000));
@@ -170,7 +170,7 @@
   }
 
   private void reset(Socket socket) {
-    open.remove(socket);
+    openSockets.remove(socket);
     try {
       socket.setSoLinger(true, 0);
       socket.close();
@@ -194,10 +194,10 @@
   }
 
   /** By how much what passes now may have been held up; more than needed rather than less. */
-  long heldUp(long at) {
+  long maxDelayAt(long at) {
     synchronized (holds) {
       return holds.stream()
-          .filter(span -> at >= span.from() && at <= span.to() + BLOCKED_MILLIS * 1_000L)
+          .filter(span -> at >= span.from() && at <= span.to() + BLOCKER_CONNECT_MILLIS * 1_000L)
           .mapToLong(span -> span.to() - span.from())
           .sum();
     }
@@ -205,42 +205,42 @@
 
   /** Resets every connection. */
   void resetAll() {
-    List.copyOf(open).forEach(this::reset);
+    List.copyOf(openSockets).forEach(this::reset);
   }
 
   /** Refuses new connections. */
-  void refuse() throws IOException {
+  void refuseConnections() throws IOException {
     server.close();
   }
 
   /** Takes new connections again. */
-  void takeAgain() throws IOException {
-    for (int tries = 0; !closed && server.isClosed(); tries++) {
+  void acceptAgain() throws IOException {
+    for (int retries = 0; !closed && server.isClosed(); retries++) {
       try {
         server = listen(port, BACKLOG);
         accept(server);
       } catch (BindException e) {
-        if (tries > MOST_BINDS) {
+        if (retries > MAX_BIND_RETRIES) {
           throw e;
         }
-        pause();
+        pauseBeforeBind();
       }
     }
   }
 
   /** Has new connections come up late: the system leaves them without an answer until {@link #comeUp}. */
-  void comeUpLate() throws IOException {
-    lateSince = Clock.micros();
+  void blockConnections() throws IOException {
+    blockedSince = Clock.micros();
     server.close();
-    for (int tries = 0; server.isClosed(); tries++) {
+    for (int retries = 0; server.isClosed(); retries++) {
       try {
         server = listen(port, 1);
       } catch (BindException e) {
         // Another socket of the loopback was given the port for a moment.
-        if (tries > MOST_BINDS) {
+        if (retries > MAX_BIND_RETRIES) {
           throw e;
         }
-        pause();
+        pauseBeforeBind();
       }
     }
     synchronized (blockers) {
@@ -248,7 +248,7 @@
         while (true) {
           Socket blocker = new Socket();
           blockers.add(blocker);
-          blocker.connect(address(), BLOCKED_MILLIS);
+          blocker.connect(address(), BLOCKER_CONNECT_MILLIS);
         }
       } catch (SocketTimeoutException e) {
         // Its queue is full.
@@ -257,11 +257,11 @@
   }
 
   /** Lets connections that wait come up. */
-  void comeUp() throws IOException {
+  void unblockConnections() throws IOException {
     // The system may have let one connection up, and holds what is written on it until it is
     // accepted here.
     synchronized (holds) {
-      holds.add(new Evidence.Span(lateSince, Clock.micros()));
+      holds.add(new Evidence.Span(blockedSince, Clock.micros()));
     }
     synchronized (blockers) {
       for (Socket blocker : blockers) {
--- a/soak/src/main/java/gorseladder/soak/NewsTroubles.java
+++ b/soak/src/main/java/gorseladder/soak/NewsTroubles.java
@@ -12,44 +12,44 @@
 
 /** Troubles about what a dispatcher is told: new configurations in series, and any news amid a fault of its system. */
 final class NewsTroubles {
-  private static final long MILLI = 1_000;
-  private static final int ALL = 1_000;
-  private static final int MOST_SIGNALS = 6;
-  private static final int LONGEST_GAP_MILLIS = 400;
-  private static final int FAULT_BEFORE_MILLIS = 20;
-  private static final int LEAST_FAULT_MILLIS = 200;
-  private static final int MORE_FAULT_MILLIS = 400;
+  private static final long MICROS_PER_MILLI = 1_000;
+  private static final int EVERY_CALL = 1_000;
+  private static final int MAX_SIGNALS = 6;
+  private static final int MAX_SIGNAL_GAP_MILLIS = 400;
+  private static final int FAULT_LEAD_MILLIS = 20;
+  private static final int MIN_FAULT_MILLIS = 200;
+  private static final int FAULT_SPREAD_MILLIS = 400;
   /** What the change log has to tell counts as told so long after a signal. */
-  private static final long FOLLOWS_WITHIN = 4_000 * MILLI;
+  private static final long FOLLOW_TIMEOUT_MICROS = 4_000 * MICROS_PER_MILLI;
   /** The old address closes what is open so long after the signal. */
-  private static final long OLD_LOG = 1_500 * MILLI;
+  private static final long OLD_ADDRESS_MICROS = 1_500 * MICROS_PER_MILLI;
 
   /** What a system refuses all at once; each fault with its rate and, where it has one, its error. */
   enum SystemFault {
-    NO_THREAD(Map.of(Fault.THREAD_RATE, ALL)),
+    NO_THREAD(Map.of(Fault.THREAD_RATE, EVERY_CALL)),
     NO_DESCRIPTOR(Map.of(
         Fault.OPEN_RATE,
-        ALL,
+        EVERY_CALL,
         Fault.OPEN_ERRNO,
         24,
         Fault.SOCKET_RATE,
-        ALL,
+        EVERY_CALL,
         Fault.SOCKET_ERRNO,
         24,
         Fault.ACCEPT_RATE,
-        ALL,
+        EVERY_CALL,
         Fault.ACCEPT_ERRNO,
         24)),
-    FILE_TABLE_FULL(Map.of(Fault.OPEN_RATE, ALL, Fault.OPEN_ERRNO, 23)),
-    DISK_ERROR(Map.of(Fault.OPEN_RATE, ALL, Fault.OPEN_ERRNO, 5)),
-    NO_ADDRESS(Map.of(Fault.CONNECT_RATE, ALL, Fault.CONNECT_ERRNO, 99)),
+    FILE_TABLE_FULL(Map.of(Fault.OPEN_RATE, EVERY_CALL, Fault.OPEN_ERRNO, 23)),
+    DISK_ERROR(Map.of(Fault.OPEN_RATE, EVERY_CALL, Fault.OPEN_ERRNO, 5)),
+    NO_ADDRESS(Map.of(Fault.CONNECT_RATE, EVERY_CALL, Fault.CONNECT_ERRNO, 99)),
     NO_BUFFERS(Map.of(
         Fault.SOCKET_RATE,
-        ALL,
+        EVERY_CALL,
         Fault.SOCKET_ERRNO,
         105,
         Fault.CONNECT_RATE,
-        ALL,
+        EVERY_CALL,
         Fault.CONNECT_ERRNO,
         105)),
     INTERRUPTED(Map.of(Fault.INTERRUPT_RATE, 300, Fault.SHORT_RATE, 300)),
@@ -89,7 +89,7 @@
   }
 
   /** Brings one piece of news. */
-  interface Bringing {
+  interface Delivery {
     void run() throws IOException, InterruptedException;
   }
 
@@ -104,8 +104,8 @@
   }
 
   /** The news of an event. */
-  static News news(Event event) {
-    return pick(News.values(), event.draw() >> 12);
+  static News newsOf(Event event) {
+    return pick(News.values(), event.randomBits() >> 12);
   }
 
   /**
@@ -114,74 +114,78 @@
    *
    * @return the old address, to be closed later
    */
-  FaultProxy move(SoakDispatcher dispatcher) throws IOException, InterruptedException {
-    FaultProxy old = run.log().replace(dispatcher.number());
-    run.configure(dispatcher);
+  FaultProxy moveChangeLog(SoakDispatcher dispatcher) throws IOException, InterruptedException {
+    FaultProxy old = run.log().replaceProxy(dispatcher.number());
+    run.writeConfig(dispatcher);
     long now = Clock.micros();
     run.evidence()
-        .logTrouble(dispatcher.number(), new Evidence.Span(now - MILLI, now + FOLLOWS_WITHIN));
+        .addLogTrouble(
+            dispatcher.number(),
+            new Evidence.Span(now - MICROS_PER_MILLI, now + FOLLOW_TIMEOUT_MICROS));
     dispatcher.signal("HUP");
-    old.hold(FOLLOWS_WITHIN);
-    old.refuse();
+    old.hold(FOLLOW_TIMEOUT_MICROS);
+    old.refuseConnections();
     return old;
   }
 
   /** SIGHUP upon SIGHUP; the last address must be followed in time. */
-  void signals(SoakDispatcher dispatcher, Event event, int count, int longestGapMillis)
+  void reloadRepeatedly(SoakDispatcher dispatcher, Event event, int count, int maxGapMillis)
       throws IOException, InterruptedException {
-    List<FaultProxy> old = new ArrayList<>();
+    List<FaultProxy> oldProxies = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      old.add(move(dispatcher));
-      Thread.sleep(Math.floorMod(event.draw() >> 5 * i, longestGapMillis));
+      oldProxies.add(moveChangeLog(dispatcher));
+      Thread.sleep(Math.floorMod(event.randomBits() >> 5 * i, maxGapMillis));
     }
-    awaitFollowed(dispatcher, old, Clock.micros());
+    checkFollowed(dispatcher, oldProxies, Clock.micros());
   }
 
   /** The same with a number and gaps drawn from the event. */
-  void signals(SoakDispatcher dispatcher, Event event) throws IOException, InterruptedException {
-    int count = 2 + (int) Math.floorMod(event.draw() >> 40, MOST_SIGNALS - 1L);
-    signals(dispatcher, event, count, LONGEST_GAP_MILLIS);
+  void reloadRepeatedly(SoakDispatcher dispatcher, Event event)
+      throws IOException, InterruptedException {
+    int count = 2 + (int) Math.floorMod(event.randomBits() >> 40, MAX_SIGNALS - 1L);
+    reloadRepeatedly(dispatcher, event, count, MAX_SIGNAL_GAP_MILLIS);
   }
 
-  private void awaitFollowed(SoakDispatcher dispatcher, List<FaultProxy> old, long asked)
+  private void checkFollowed(
+      SoakDispatcher dispatcher, List<FaultProxy> oldProxies, long signalledAt)
       throws IOException, InterruptedException {
-    Thread.sleep(OLD_LOG / MILLI);
-    old.forEach(FaultProxy::resetAll);
-    Thread.sleep((FOLLOWS_WITHIN - OLD_LOG) / MILLI);
-    if (run.log().proxy(dispatcher.number()).accepted() == 0) {
-      run.found(new Finding(
+    Thread.sleep(OLD_ADDRESS_MICROS / MICROS_PER_MILLI);
+    oldProxies.forEach(FaultProxy::resetAll);
+    Thread.sleep((FOLLOW_TIMEOUT_MICROS - OLD_ADDRESS_MICROS) / MICROS_PER_MILLI);
+    if (run.log().proxy(dispatcher.number()).acceptedCount() == 0) {
+      run.addFinding(new Finding(
           SoakRule.FOLLOW,
-          asked,
+          signalledAt,
           dispatcher.number(),
           "did not ask at the last new address within 4 s"));
     }
   }
 
   /** Brings news at the moment at which the dispatcher's system fails, and for a while after it. */
-  void amidFault(SoakDispatcher dispatcher, Event event, Bringing news)
+  void deliverDuringFault(SoakDispatcher dispatcher, Event event, Delivery news)
       throws IOException, InterruptedException {
     Control control = dispatcher.control();
     if (control == null || !dispatcher.isReady()) {
       return;
     }
-    SystemFault fault = pick(SystemFault.values(), event.draw());
+    SystemFault fault = pick(SystemFault.values(), event.randomBits());
     fault.begin(control);
-    long millis = LEAST_FAULT_MILLIS + Math.floorMod(event.draw() >> 24, MORE_FAULT_MILLIS);
+    long millis = MIN_FAULT_MILLIS + Math.floorMod(event.randomBits() >> 24, FAULT_SPREAD_MILLIS);
     FaultProxy.start("fault-ends", () -> {
       try {
-        Thread.sleep(FAULT_BEFORE_MILLIS + millis);
+        Thread.sleep(FAULT_LEAD_MILLIS + millis);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
       fault.end(control);
     });
-    Thread.sleep(FAULT_BEFORE_MILLIS);
+    Thread.sleep(FAULT_LEAD_MILLIS);
     news.run();
   }
 
   /** A new configuration and its signal; the address must be followed in time. */
   void reload(SoakDispatcher dispatcher) throws IOException, InterruptedException {
-    long asked = Clock.micros();
-    awaitFollowed(dispatcher, List.of(move(dispatcher)), asked);
+    long signalledAt = Clock.micros();
+    checkFollowed(dispatcher, List.of(moveChangeLog(dispatcher)), signalledAt);
   }
 }
--- a/soak/src/main/java/gorseladder/soak/Oracle.java
+++ b/soak/src/main/java/gorseladder/soak/Oracle.java
@@ -1,8 +1,8 @@
 package gorseladder.soak;
 
-import gorseladder.soak.Evidence.Arrived;
-import gorseladder.soak.Evidence.Asked;
-import gorseladder.soak.Evidence.Life;
+import gorseladder.soak.Evidence.Attempt;
+import gorseladder.soak.Evidence.ClientRequest;
+import gorseladder.soak.Evidence.ProcessRun;
 import gorseladder.testbed.platform.PlatformRunner;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -18,38 +18,38 @@
  * Pure.
  */
 final class Oracle {
-  private static final long MILLI = 1_000;
+  private static final long MICROS_PER_MILLI = 1_000;
   /** What the platform allows on every limit, and a little for threads of the soak that wait for a processor. */
-  private static final long SLACK = 50 * MILLI;
+  private static final long SLACK_MICROS = 50 * MICROS_PER_MILLI;
 
-  private static final long OWN_SLACK = 30 * MILLI;
-  private static final long ANSWER_SLACK = 500 * MILLI;
-  private static final long GONE_SLACK = 100 * MILLI;
-  private static final long DEADLINE_SLACK = 150 * MILLI;
+  private static final long SOAK_SLACK_MICROS = 30 * MICROS_PER_MILLI;
+  private static final long ANSWER_SLACK_MICROS = 500 * MICROS_PER_MILLI;
+  private static final long CLIENT_GONE_SLACK_MICROS = 100 * MICROS_PER_MILLI;
+  private static final long DEADLINE_SLACK_MICROS = 150 * MICROS_PER_MILLI;
   /** The last steps of a stop come so long before the earliest kill. */
-  private static final long END_TAKES = 500 * MILLI;
+  private static final long EXIT_WINDOW_MICROS = 500 * MICROS_PER_MILLI;
   /** Own stalls in that time past which a process cannot be said to have ended too late. */
-  private static final long NO_PROCESSOR = 100 * MILLI;
+  private static final long MAX_STALLS_AT_EXIT_MICROS = 100 * MICROS_PER_MILLI;
   /** From the begin of sending a signal to its effect, at the most. */
-  private static final long SIGNAL_TAKES = 200 * MILLI;
+  private static final long MAX_SIGNAL_DELAY_MICROS = 200 * MICROS_PER_MILLI;
   /** What the change log has to tell counts as told so long after its trouble began. */
-  private static final long TOLD_LATE = 4_000 * MILLI;
+  private static final long LOG_RECOVERY_MICROS = 4_000 * MICROS_PER_MILLI;
   /** A request that crosses the end of a connection within this time is the client's to repeat. */
-  private static final long CROSSING = 50 * MILLI;
+  private static final long CROSSING_MICROS = 50 * MICROS_PER_MILLI;
 
-  private static final long READY = 30_000 * MILLI;
+  private static final long READY_TIMEOUT_MICROS = 30_000 * MICROS_PER_MILLI;
   /** A start or drain of a runner, as the change log told it. */
-  record Told(String uid, SoakRunner runner, long at, boolean drains, long startedAt) {}
+  record RunnerChange(String uid, SoakRunner runner, long at, boolean draining, long startedAt) {}
 
   private final Evidence evidence;
-  private final List<Told> told;
+  private final List<RunnerChange> changes;
   private final List<Finding> findings = new ArrayList<>();
   private final Set<String> heldInTheWrite = new HashSet<>();
   private int endsNotJudged;
 
-  private Oracle(Evidence evidence, List<Told> told) {
+  private Oracle(Evidence evidence, List<RunnerChange> changes) {
     this.evidence = evidence;
-    this.told = told;
+    this.changes = changes;
   }
 
   /**
@@ -63,89 +63,94 @@
   record Judgement(List<Finding> findings, Set<String> heldInTheWrite, int endsNotJudged) {}
 
   /** Judges. */
-  static Judgement judge(Evidence evidence, List<Told> told) {
-    Oracle oracle = new Oracle(evidence, told);
-    evidence.requests().forEach(oracle::request);
-    evidence.attempts().forEach(oracle::attempt);
-    oracle.slowStarts();
-    evidence.lives().forEach(oracle::life);
+  static Judgement judge(Evidence evidence, List<RunnerChange> changes) {
+    Oracle oracle = new Oracle(evidence, changes);
+    evidence.requests().forEach(oracle::checkRequest);
+    evidence.attempts().forEach(oracle::checkAttempt);
+    oracle.checkSlowStarts();
+    evidence.processRuns().forEach(oracle::checkProcessRun);
     oracle.findings.sort(Comparator.comparingLong(Finding::at));
     return new Judgement(oracle.findings, oracle.heldInTheWrite, oracle.endsNotJudged);
   }
 
-  private void found(SoakRule rule, long at, int dispatcher, String text, Object... values) {
+  private void report(SoakRule rule, long at, int dispatcher, String text, Object... values) {
     findings.add(new Finding(rule, at, dispatcher, text.formatted(values)));
   }
 
   // ---- requests
 
-  private void request(Asked request) {
+  private void checkRequest(ClientRequest request) {
     synchronized (request) {
       if (request.sentAt == 0) {
         return;
       }
-      answer(request);
-      effects(request);
+      checkAnswer(request);
+      checkEffects(request);
     }
   }
 
-  private void answer(Asked r) {
-    long until = r.sentAt + r.timeout;
-    if (r.answers > 1) {
-      found(
+  private void checkAnswer(ClientRequest request) {
+    long until = request.sentAt + request.timeout;
+    if (request.answerCount > 1) {
+      report(
           SoakRule.FINAL_ANSWER,
-          r.answeredAt,
-          r.dispatcher,
+          request.answeredAt,
+          request.dispatcher,
           "request=%s got %d answers",
-          r.id,
-          r.answers);
+          request.id,
+          request.answerCount);
     }
-    if (r.answers > 0) {
-      if (r.status == 200 && !r.answer.equals(PlatformRunner.result(r.id, r.body))) {
-        found(
+    if (request.answerCount > 0) {
+      if (request.status == 200
+          && !request.answer.equals(PlatformRunner.result(request.id, request.body))) {
+        report(
             SoakRule.FINAL_ANSWER,
-            r.answeredAt,
-            r.dispatcher,
+            request.answeredAt,
+            request.dispatcher,
             "request=%s served with '%s'",
-            r.id,
-            r.answer);
+            request.id,
+            request.answer);
       }
-      long paused =
-          evidence.pausedUntil(r.dispatcher, new Evidence.Span(r.sentAt, until + ANSWER_SLACK));
+      long paused = evidence.pausedUntil(
+          request.dispatcher, new Evidence.Span(request.sentAt, until + ANSWER_SLACK_MICROS));
       long latest = Math.max(until, paused)
-          + ANSWER_SLACK
-          + OWN_SLACK
-          + evidence.ownStalls().late(r.sentAt, r.answeredAt);
-      if (r.answeredAt > latest && r.leftAt == 0 && !mayBeKilled(r)) {
-        found(
+          + ANSWER_SLACK_MICROS
+          + SOAK_SLACK_MICROS
+          + evidence.stallMonitor().maxDelay(request.sentAt, request.answeredAt);
+      if (request.answeredAt > latest && request.clientGoneAt == 0 && !wasKilledDuring(request)) {
+        report(
             SoakRule.FINAL_ANSWER,
-            r.answeredAt,
-            r.dispatcher,
+            request.answeredAt,
+            request.dispatcher,
             "request=%s answered %d ms after its time",
-            r.id,
-            (r.answeredAt - until) / MILLI);
+            request.id,
+            (request.answeredAt - until) / MICROS_PER_MILLI);
       }
       return;
     }
-    if (r.leftAt > 0
-        || mayBeKilled(r)
-        || r.cutAt > 0 && evidence.cutByClientSide(r.dispatcher, r.cutAt)) {
+    if (request.clientGoneAt > 0
+        || wasKilledDuring(request)
+        || request.connectionLostAt > 0
+            && evidence.wasClientCut(request.dispatcher, request.connectionLostAt)) {
       return;
     }
-    boolean crossed = r.cutAt > 0
-        && r.connectionInUse
-        && r.cutAt - r.sentAt < CROSSING + evidence.ownStalls().late(r.sentAt, r.cutAt);
-    if (!crossed) {
-      found(
+    boolean endCrossed = request.connectionLostAt > 0
+        && request.onReusedConnection
+        && request.connectionLostAt - request.sentAt
+            < CROSSING_MICROS
+                + evidence.stallMonitor().maxDelay(request.sentAt, request.connectionLostAt);
+    if (!endCrossed) {
+      report(
           SoakRule.FINAL_ANSWER,
           until,
-          r.dispatcher,
+          request.dispatcher,
           "request=%s got no answer, %s; %d attempts",
-          r.id,
-          r.cutAt > 0
-              ? "its connection ended " + (r.cutAt - r.sentAt) / MILLI + " ms after it"
+          request.id,
+          request.connectionLostAt > 0
+              ? "its connection ended "
+                  + (request.connectionLostAt - request.sentAt) / MICROS_PER_MILLI + " ms after it"
               : "its connection stands",
-          evidence.attempts(r.id).size());
+          evidence.attempts(request.id).size());
     }
   }
 
@@ -153,130 +158,139 @@
    * True where its dispatcher was killed by a trouble of the plan while it was open; the kill after a stop excuses
    * nothing.
    */
-  private boolean mayBeKilled(Asked r) {
-    long until = r.sentAt + r.timeout + ANSWER_SLACK;
-    return evidence.lives().stream()
-        .filter(life -> life.dispatcher() == r.dispatcher && life.killed())
-        .anyMatch(life -> r.sentAt <= life.endedAt() + SLACK && life.endedAt() <= until);
+  private boolean wasKilledDuring(ClientRequest request) {
+    long until = request.sentAt + request.timeout + ANSWER_SLACK_MICROS;
+    return evidence.processRuns().stream()
+        .filter(run -> run.dispatcher() == request.dispatcher && run.killed())
+        .anyMatch(run -> request.sentAt <= run.endedAt() + SLACK_MICROS && run.endedAt() <= until);
   }
 
-  private void effects(Asked r) {
-    if (r.callClass == CallClass.SAFE) {
-      overlaps(r);
+  private void checkEffects(ClientRequest request) {
+    if (request.callClass == CallClass.SAFE) {
+      checkOverlaps(request);
       return;
     }
-    overlaps(r);
-    Arrived first = null;
-    for (Arrived attempt : inOrder(r.id)) {
+    checkOverlaps(request);
+    Attempt first = null;
+    for (Attempt attempt : attemptsInOrder(request.id)) {
       if (first != null) {
-        boolean again = r.callClass == CallClass.UNSAFE
-            || attempt.firstByteAt - attempt.heldUp - first.at
-                > CallClass.REPEAT_WINDOW + SLACK + OWN_SLACK;
-        if (again) {
-          found(
+        boolean repeated = request.callClass == CallClass.UNSAFE
+            || attempt.firstByteAt - attempt.maxProxyDelay - first.arrivedAt
+                > CallClass.REPEAT_WINDOW_MICROS + SLACK_MICROS + SOAK_SLACK_MICROS;
+        if (repeated) {
+          report(
               SoakRule.EFFECT_ONCE,
-              attempt.at,
-              r.dispatcher,
+              attempt.arrivedAt,
+              request.dispatcher,
               "request=%s (%s) may have run at %s and was sent again after %d ms to %s",
-              r.id,
-              r.callClass.word(),
+              request.id,
+              request.callClass.label(),
               first.runner.uid(),
-              (attempt.at - first.at) / MILLI,
+              (attempt.arrivedAt - first.arrivedAt) / MICROS_PER_MILLI,
               attempt.runner.uid());
         }
       }
       first = first == null && !attempt.neverRan ? attempt : first;
     }
-    if (r.callClass == CallClass.UNSAFE && r.answers > 0 && r.refused() && first != null) {
-      found(
+    if (request.callClass == CallClass.UNSAFE
+        && request.answerCount > 0
+        && request.refused()
+        && first != null) {
+      report(
           SoakRule.EFFECT_ONCE,
-          r.answeredAt,
-          r.dispatcher,
+          request.answeredAt,
+          request.dispatcher,
           "request=%s was refused as harmless and may have run at %s",
-          r.id,
+          request.id,
           first.runner.uid());
     }
   }
 
-  private List<Arrived> inOrder(String id) {
+  private List<Attempt> attemptsInOrder(String id) {
     return evidence.attempts(id).stream()
-        .sorted(Comparator.comparingLong(attempt -> attempt.at))
+        .sorted(Comparator.comparingLong(attempt -> attempt.arrivedAt))
         .toList();
   }
 
   /** Two attempts out at a time: none may be. */
-  private void overlaps(Asked r) {
-    Arrived before = null;
-    for (Arrived attempt : inOrder(r.id)) {
-      if (before != null) {
-        long ended = before.endedAt == 0 ? Long.MAX_VALUE : before.endedAt;
+  private void checkOverlaps(ClientRequest request) {
+    Attempt previous = null;
+    for (Attempt attempt : attemptsInOrder(request.id)) {
+      if (previous != null) {
+        long ended = previous.endedAt == 0 ? Long.MAX_VALUE : previous.endedAt;
         // The first one's giving up may have been held up on its way.
-        long excused = SLACK
-            + OWN_SLACK
-            + evidence.ownStalls().late(before.at, attempt.at)
-            + before.runner.proxy().heldUp(attempt.at)
-            + before.heldUp;
-        if (ended > attempt.at + excused && before.runner.proxy().heldUp(before.endedAt) == 0) {
-          found(
+        long tolerance = SLACK_MICROS
+            + SOAK_SLACK_MICROS
+            + evidence.stallMonitor().maxDelay(previous.arrivedAt, attempt.arrivedAt)
+            + previous.runner.proxy().maxDelayAt(attempt.arrivedAt)
+            + previous.maxProxyDelay;
+        if (ended > attempt.arrivedAt + tolerance
+            && previous.runner.proxy().maxDelayAt(previous.endedAt) == 0) {
+          report(
               SoakRule.EFFECT_ONCE,
-              attempt.at,
-              r.dispatcher,
+              attempt.arrivedAt,
+              request.dispatcher,
               "request=%s was out at %s (until %s ms later) when it came to %s",
-              r.id,
-              before.runner.uid(),
-              ended == Long.MAX_VALUE ? "never" : Long.toString((ended - attempt.at) / MILLI),
+              request.id,
+              previous.runner.uid(),
+              ended == Long.MAX_VALUE
+                  ? "never"
+                  : Long.toString((ended - attempt.arrivedAt) / MICROS_PER_MILLI),
               attempt.runner.uid());
         }
       }
-      before = attempt;
+      previous = attempt;
     }
   }
 
   // ---- attempts
 
-  private void attempt(Arrived a) {
-    Asked request = evidence.request(a.id);
+  private void checkAttempt(Attempt attempt) {
+    ClientRequest request = evidence.request(attempt.id);
     if (request == null || request.sentAt == 0) {
       return;
     }
-    if (heldInTheWrite(request, a)) {
-      heldInTheWrite.add(a.id);
+    if (isHeldInTheWrite(request, attempt)) {
+      heldInTheWrite.add(attempt.id);
       return;
     }
-    long late = a.heldUp + OWN_SLACK + evidence.ownStalls().late(request.sentAt, a.at);
-    if (request.leftAt > 0 && a.firstByteAt - late > request.leftAt + GONE_SLACK) {
-      found(
+    long maxDelay = attempt.maxProxyDelay
+        + SOAK_SLACK_MICROS
+        + evidence.stallMonitor().maxDelay(request.sentAt, attempt.arrivedAt);
+    if (request.clientGoneAt > 0
+        && attempt.firstByteAt - maxDelay > request.clientGoneAt + CLIENT_GONE_SLACK_MICROS) {
+      report(
           SoakRule.CLIENT_GONE,
-          a.at,
+          attempt.arrivedAt,
           request.dispatcher,
           "request=%s came to %s %d ms after its client left",
-          a.id,
-          a.runner.uid(),
-          (a.firstByteAt - request.leftAt) / MILLI);
+          attempt.id,
+          attempt.runner.uid(),
+          (attempt.firstByteAt - request.clientGoneAt) / MICROS_PER_MILLI);
     }
-    long left = request.sentAt + request.timeout - (a.at - late);
-    if (a.max > Math.max(0, left) + DEADLINE_SLACK) {
-      found(
+    long timeLeft = request.sentAt + request.timeout - (attempt.arrivedAt - maxDelay);
+    if (attempt.timePassed > Math.max(0, timeLeft) + DEADLINE_SLACK_MICROS) {
+      report(
           SoakRule.DEADLINE,
-          a.at,
+          attempt.arrivedAt,
           request.dispatcher,
           "request=%s was passed with %d ms when its client had %d left",
-          a.id,
-          a.max / MILLI,
-          left / MILLI);
+          attempt.id,
+          attempt.timePassed / MICROS_PER_MILLI,
+          timeLeft / MICROS_PER_MILLI);
     }
-    for (Told news : told) {
-      if (news.drains()
-          && news.runner() == a.runner
-          && drainedPast(news, a, request.dispatcher, late)) {
-        found(
+    for (RunnerChange change : changes) {
+      if (change.draining()
+          && change.runner() == attempt.runner
+          && isPastDrainGrace(change, attempt, request.dispatcher, maxDelay)) {
+        report(
             SoakRule.DRAIN,
-            a.at,
+            attempt.arrivedAt,
             request.dispatcher,
             "request=%s came to %s %d ms after its drain was told",
-            a.id,
-            news.uid(),
-            (a.firstByteAt - news.at()) / MILLI);
+            attempt.id,
+            change.uid(),
+            (attempt.firstByteAt - change.at()) / MICROS_PER_MILLI);
       }
     }
   }
@@ -285,123 +299,136 @@
    * True where the attempt came as its dispatcher went on after a pause, with the time that its client had left as the
    * pause began: it had passed the last look by then. One that was let out after the pause has another time on it.
    */
-  private boolean heldInTheWrite(Asked request, Arrived a) {
-    Evidence.Span pause = evidence.pauseBefore(request.dispatcher, a.firstByteAt);
-    if (pause == null || request.sentAt >= pause.from() + SIGNAL_TAKES) {
+  private boolean isHeldInTheWrite(ClientRequest request, Attempt attempt) {
+    Evidence.Span pause = evidence.pauseBefore(request.dispatcher, attempt.firstByteAt);
+    if (pause == null || request.sentAt >= pause.from() + MAX_SIGNAL_DELAY_MICROS) {
       return false;
     }
     // The signal takes effect some time after it was begun to be sent: the request may have come in
     // between.
     long leftThen = request.sentAt + request.timeout - Math.max(pause.from(), request.sentAt);
-    return Math.abs(a.max - leftThen) <= SLACK;
+    return Math.abs(attempt.timePassed - leftThen) <= SLACK_MICROS;
   }
 
   /** True where the attempt came past the drain's grace and before another runner took the address. */
-  private boolean drainedPast(Told drain, Arrived attempt, int dispatcher, long late) {
-    long counts = evidence.toldAt(dispatcher, drain.at(), TOLD_LATE);
-    long next = told.stream()
-        .filter(n -> !n.drains() && n.runner() == drain.runner() && n.at() > drain.at())
-        .mapToLong(n -> n.startedAt() == 0 ? n.at() : Math.min(n.at(), n.startedAt()))
+  private boolean isPastDrainGrace(
+      RunnerChange drain, Attempt attempt, int dispatcher, long maxDelay) {
+    long deliveredBy = evidence.deliveredBy(dispatcher, drain.at(), LOG_RECOVERY_MICROS);
+    long next = changes.stream()
+        .filter(other ->
+            !other.draining() && other.runner() == drain.runner() && other.at() > drain.at())
+        .mapToLong(
+            other -> other.startedAt() == 0 ? other.at() : Math.min(other.at(), other.startedAt()))
         .min()
         .orElse(Long.MAX_VALUE);
-    return attempt.at < next
-        && attempt.firstByteAt - late > counts + SoakConfig.DRAIN_GRACE + SLACK;
+    return attempt.arrivedAt < next
+        && attempt.firstByteAt - maxDelay
+            > deliveredBy + SoakConfig.DRAIN_GRACE_MICROS + SLACK_MICROS;
   }
 
   // ---- slow start
 
-  private void slowStarts() {
-    Map<SoakRunner, List<Arrived>> byRunner = new HashMap<>();
+  private void checkSlowStarts() {
+    Map<SoakRunner, List<Attempt>> byRunner = new HashMap<>();
     evidence
         .attempts()
-        .forEach(a -> byRunner.computeIfAbsent(a.runner, r -> new ArrayList<>()).add(a));
-    for (Told start : told) {
-      if (!start.drains() && start.startedAt() > 0 && !evidence.logTroubled(start.at())) {
-        slowStart(start, byRunner.getOrDefault(start.runner(), List.of()));
+        .forEach(attempt -> byRunner
+            .computeIfAbsent(attempt.runner, runner -> new ArrayList<>())
+            .add(attempt));
+    for (RunnerChange start : changes) {
+      if (!start.draining() && start.startedAt() > 0 && !evidence.isLogTroubled(start.at())) {
+        checkSlowStart(start, byRunner.getOrDefault(start.runner(), List.of()));
       }
     }
   }
 
-  private void slowStart(Told start, List<Arrived> all) {
-    List<Arrived> after = all.stream()
-        .filter(a -> a.at >= start.at() && a.at < start.startedAt() + SoakConfig.COLD_FOR)
-        .sorted(Comparator.comparingLong(a -> a.at))
+  private void checkSlowStart(RunnerChange start, List<Attempt> all) {
+    List<Attempt> after = all.stream()
+        .filter(attempt -> attempt.arrivedAt >= start.at()
+            && attempt.arrivedAt < start.startedAt() + SoakConfig.RAMP_MICROS)
+        .sorted(Comparator.comparingLong(attempt -> attempt.arrivedAt))
         .toList();
     for (int from = 0, to = 0; to < after.size(); to++) {
-      while (after.get(to).at - after.get(from).at > SoakConfig.OVERLOAD_FOR) {
+      while (after.get(to).arrivedAt - after.get(from).arrivedAt
+          > SoakConfig.OVERLOAD_WINDOW_MICROS) {
         from++;
       }
       int sent = to - from + 1;
-      double most = budget(after.get(to).at - start.startedAt());
-      if (sent > most) {
-        found(
+      double limit = maxRequests(after.get(to).arrivedAt - start.startedAt());
+      if (sent > limit) {
+        report(
             SoakRule.SLOW_START,
-            after.get(to).at,
+            after.get(to).arrivedAt,
             -1,
             "%s got %d requests in 1.5 s, %.1f s after its start; its budget is %.0f",
             start.uid(),
             sent,
-            (after.get(to).at - start.startedAt()) / 1e6,
-            most);
+            (after.get(to).arrivedAt - start.startedAt()) / 1e6,
+            limit);
         return;
       }
     }
   }
 
   /** Requests in a window that a runner of that age bears. */
-  private static double budget(long age) {
-    double warmth = SoakConfig.COLD_FROM
-        + (1 - SoakConfig.COLD_FROM) * Math.min(1, age / (double) SoakConfig.COLD_FOR);
-    double n =
-        SoakRunner.PER_SECOND * warmth * SoakConfig.TIP_MULTIPLE * SoakConfig.OVERLOAD_FOR / 1e6;
+  private static double maxRequests(long age) {
+    double capacityFraction = SoakConfig.INITIAL_CAPACITY_FRACTION
+        + (1 - SoakConfig.INITIAL_CAPACITY_FRACTION)
+            * Math.min(1, age / (double) SoakConfig.RAMP_MICROS);
+    double n = SoakRunner.REQUESTS_PER_SECOND
+        * capacityFraction
+        * SoakConfig.OVERLOAD_MULTIPLE
+        * SoakConfig.OVERLOAD_WINDOW_MICROS
+        / 1e6;
     return n < 30 ? n + 3 * Math.sqrt(n) + 3 : n + 2 * Math.sqrt(n) + 2;
   }
 
   // ---- processes
 
-  private void life(Life life) {
-    if (life.readyAt() == 0 || life.readyAt() - life.startedAt() > READY) {
-      found(SoakRule.READY, life.startedAt(), life.dispatcher(), "was not ready in time");
+  private void checkProcessRun(ProcessRun run) {
+    if (run.readyAt() == 0 || run.readyAt() - run.startedAt() > READY_TIMEOUT_MICROS) {
+      report(SoakRule.READY, run.startedAt(), run.dispatcher(), "was not ready in time");
     }
-    if (life.killed()) {
+    if (run.killed()) {
       return;
     }
-    if (life.endAskedAt() == 0 || life.exitCode() != 0) {
-      boolean overdue = life.exitCode() == SoakDispatcher.OVERDUE;
-      if (overdue && machineStoodStill(life.endedAt())) {
+    if (run.endAskedAt() == 0 || run.exitCode() != 0) {
+      boolean overdue = run.exitCode() == SoakDispatcher.OVERDUE;
+      if (overdue && machineStalled(run.endedAt())) {
         endsNotJudged++;
-      } else if (!overdue || !pausedWhileEnding(life)) {
-        found(
+      } else if (!overdue || !wasPausedDuringStop(run)) {
+        report(
             SoakRule.END,
-            life.endedAt(),
-            life.dispatcher(),
+            run.endedAt(),
+            run.dispatcher(),
             overdue ? "had not ended at the earliest kill" : "ended with code %d",
-            life.exitCode());
+            run.exitCode());
       }
-    } else if (life.endedAt()
+    } else if (run.endedAt()
             - Math.max(
-                life.endAskedAt(),
+                run.endAskedAt(),
                 evidence.pausedUntil(
-                    life.dispatcher(), new Evidence.Span(life.endAskedAt(), life.endedAt())))
-        > SoakConfig.LONGEST_DEADLINE + SoakConfig.KILL_MARGIN + OWN_SLACK) {
-      found(
+                    run.dispatcher(), new Evidence.Span(run.endAskedAt(), run.endedAt())))
+        > SoakConfig.MAX_DEADLINE_MICROS + SoakConfig.KILL_GRACE_MICROS + SOAK_SLACK_MICROS) {
+      report(
           SoakRule.END,
-          life.endedAt(),
-          life.dispatcher(),
+          run.endedAt(),
+          run.dispatcher(),
           "ended %d ms after it was told to",
-          (life.endedAt() - life.endAskedAt()) / MILLI);
+          (run.endedAt() - run.endAskedAt()) / MICROS_PER_MILLI);
     }
   }
 
   /** True where the soak itself got no processor for a while as the kill came: nor did, then, what was to end. */
-  private boolean machineStoodStill(long killedAt) {
-    return evidence.ownStalls().late(killedAt - END_TAKES, killedAt) > NO_PROCESSOR;
+  private boolean machineStalled(long killedAt) {
+    return evidence.stallMonitor().maxDelay(killedAt - EXIT_WINDOW_MICROS, killedAt)
+        > MAX_STALLS_AT_EXIT_MICROS;
   }
 
   /** True where the plan had the process stand still while it was to end. */
-  private boolean pausedWhileEnding(Life life) {
+  private boolean wasPausedDuringStop(ProcessRun run) {
     return evidence.pausedUntil(
-            life.dispatcher(), new Evidence.Span(life.endAskedAt(), life.endedAt()))
+            run.dispatcher(), new Evidence.Span(run.endAskedAt(), run.endedAt()))
         > 0;
   }
 }
--- a/soak/src/main/java/gorseladder/soak/PlantedFault.java
+++ b/soak/src/main/java/gorseladder/soak/PlantedFault.java
@@ -114,40 +114,46 @@
       "timePassed = Math.max(1, (until - now) / 1000) + 400;",
       Trouble.PIECES);
 
-  private static final long SECONDS = 9;
+  private static final long SOAK_SECONDS = 9;
   private static final int DISPATCHERS = 8;
 
   /** The rule that must be found broken. */
   public final SoakRule rule;
 
-  private final String source;
-  private final String find;
-  private final String replace;
+  private final String sourceFile;
+  private final String original;
+  private final String replacement;
   private final Set<Trouble> troubles;
 
   PlantedFault(
-      SoakRule rule, String source, String find, String replace, Trouble first, Trouble... more) {
+      SoakRule rule,
+      String sourceFile,
+      String original,
+      String replacement,
+      Trouble first,
+      Trouble... more) {
     this.rule = rule;
-    this.source = source;
-    this.find = find;
-    this.replace = replace;
+    this.sourceFile = sourceFile;
+    this.original = original;
+    this.replacement = replacement;
     this.troubles = EnumSet.of(first, more);
   }
 
   /** Plays a short soak with the fault; what was found. */
-  public SoakRun.Result play(long seed, Path root, Path folder)
+  public SoakRun.Result runSoak(long seed, Path root, Path folder)
       throws IOException, InterruptedException {
-    Path planted = Files.createDirectories(folder.resolve(name()));
-    Path classes = PlantedClass.compile(root.resolve(source), find, replace, planted);
-    SoakPlan plan = SoakPlan.draw(seed, DISPATCHERS, SECONDS * 1_000_000, troubles);
-    try (SoakRun run = new SoakRun(plan, root, planted, RunLine.read(root, classes))) {
-      return run.play();
+    Path plantedFolder = Files.createDirectories(folder.resolve(name()));
+    Path classes =
+        PlantedClass.compile(root.resolve(sourceFile), original, replacement, plantedFolder);
+    SoakPlan plan = SoakPlan.draw(seed, DISPATCHERS, SOAK_SECONDS * 1_000_000, troubles);
+    try (SoakRun run = new SoakRun(plan, root, plantedFolder, RunLine.read(root, classes))) {
+      return run.execute();
     }
   }
 
   /** True where the line that it changes stands in its source. */
   boolean canBePlanted(Path root) throws IOException {
-    return Files.readString(root.resolve(source)).contains(find);
+    return Files.readString(root.resolve(sourceFile)).contains(original);
   }
 
   /** True where the rule it is named after was found broken. */
--- a/soak/src/main/java/gorseladder/soak/SoakClients.java
+++ b/soak/src/main/java/gorseladder/soak/SoakClients.java
@@ -25,23 +25,23 @@
  */
 final class SoakClients implements Closeable {
   private static final int CONNECTIONS = 4;
-  private static final int MOST_OPEN = 32;
+  private static final int MAX_OPEN_REQUESTS = 32;
   private static final int FUNCTIONS = 24;
-  private static final long LEAST_TIMEOUT_MILLIS = 150;
-  private static final int MORE_TIMEOUT_MILLIS = 1_350;
+  private static final long MIN_TIMEOUT_MILLIS = 150;
+  private static final int TIMEOUT_SPREAD_MILLIS = 1_350;
   /** Clients close connections that were idle for so long. */
-  private static final long IDLE = 4_000_000;
+  private static final long IDLE_TIMEOUT_MICROS = 4_000_000;
 
-  private static final double LEAVES = 0.25;
+  private static final double LEAVE_PROBABILITY = 0.25;
   /** Part of the refused requests that are asked again. */
-  private static final double ASKS_AGAIN = 0.7;
+  private static final double RETRY_PROBABILITY = 0.7;
 
-  private static final int PIECES = 4;
+  private static final int PIECES_PER_REQUEST = 4;
   private static final int STDOUT = 6;
   private static final int END_REQUEST = 3;
 
   private final int dispatcher;
-  private final InetSocketAddress to;
+  private final InetSocketAddress address;
   private final Evidence evidence;
   private final SplittableRandom random;
   private final double perSecond;
@@ -51,53 +51,53 @@
 
   private volatile long leavesUntil;
   private volatile long piecesUntil;
-  private volatile boolean takesNone;
-  private volatile boolean connectsNone;
+  private volatile boolean outOfService;
+  private volatile boolean connectingStopped;
   private volatile boolean stopped;
-  private Thread thread;
-  private int next;
+  private Thread sender;
+  private int requestCount;
 
   SoakClients(
-      int dispatcher, InetSocketAddress to, Evidence evidence, long seed, double perSecond) {
+      int dispatcher, InetSocketAddress address, Evidence evidence, long seed, double perSecond) {
     this.dispatcher = dispatcher;
-    this.to = to;
+    this.address = address;
     this.evidence = evidence;
     this.random = new SplittableRandom(seed);
     this.perSecond = perSecond;
   }
 
-  void begin() {
-    thread = new Thread(null, this::run, "clients-" + dispatcher, 256 << 10);
-    thread.setDaemon(true);
-    thread.start();
+  void start() {
+    sender = new Thread(null, this::run, "clients-" + dispatcher, 256 << 10);
+    sender.setDaemon(true);
+    sender.start();
   }
 
   /** Some clients leave early for so long. */
-  void leave(long micros) {
+  void leaveEarly(long micros) {
     leavesUntil = Clock.micros() + micros;
   }
 
   /** Requests come in pieces for so long. */
-  void inPieces(long micros) {
+  void sendInPieces(long micros) {
     piecesUntil = Clock.micros() + micros;
   }
 
   /** The front takes the dispatcher out, or in again: no new requests, also on open connections. */
-  void takeOut(boolean out) {
-    takesNone = out;
-    connectsNone = false;
+  void setOutOfService(boolean out) {
+    outOfService = out;
+    connectingStopped = false;
   }
 
   /** The front knows that the dispatcher stops: no new connections, but requests go on on those that are open. */
-  void staysOnOpenConnections() {
-    connectsNone = true;
+  void stopConnecting() {
+    connectingStopped = true;
   }
 
   /** Lets go of idle connections, so that the next requests open new ones. */
-  void reconnect() {
+  void closeIdleConnections() {
     synchronized (connections) {
-      connections.forEach(Connection::end);
-      connections.removeIf(Connection::over);
+      connections.forEach(Connection::closeIfIdle);
+      connections.removeIf(Connection::closed);
     }
   }
 
@@ -107,10 +107,10 @@
         // Open loop with chance gaps: a burst now and then.
         double gap = -Math.log(1 - random.nextDouble()) / perSecond;
         Thread.sleep((long) (gap * 1_000));
-        if (!takesNone) {
-          ask();
-          for (int again = retries.getAndSet(0); again > 0; again--) {
-            ask();
+        if (!outOfService) {
+          sendRequest();
+          for (int retry = retries.getAndSet(0); retry > 0; retry--) {
+            sendRequest();
           }
         }
       }
@@ -120,50 +120,52 @@
   }
 
   /** A request that was refused is asked again, under an id of its own, by most clients once or twice. */
-  private void askAgain() {
-    if (ThreadLocalRandom.current().nextDouble() < ASKS_AGAIN) {
+  private void scheduleRetry() {
+    if (ThreadLocalRandom.current().nextDouble() < RETRY_PROBABILITY) {
       retries.incrementAndGet();
     }
   }
 
-  private void ask() {
+  private void sendRequest() {
     CallClass callClass = CallClass.values()[random.nextInt(CallClass.values().length)];
-    String id = "%08x%08x".formatted(dispatcher, ++next);
-    long timeout = LEAST_TIMEOUT_MILLIS + random.nextInt(MORE_TIMEOUT_MILLIS);
-    Evidence.Asked request =
-        new Evidence.Asked(id, dispatcher, callClass, "body of " + id, timeout * 1_000);
+    String id = "%08x%08x".formatted(dispatcher, ++requestCount);
+    long timeout = MIN_TIMEOUT_MILLIS + random.nextInt(TIMEOUT_SPREAD_MILLIS);
+    Evidence.ClientRequest request =
+        new Evidence.ClientRequest(id, dispatcher, callClass, "body of " + id, timeout * 1_000);
     Map<String, String> params = FastCgiClient.params(
-        callClass.word(), id, "%016x".formatted(0xf000 + random.nextInt(FUNCTIONS)), timeout);
+        callClass.label(), id, "%016x".formatted(0xf000 + random.nextInt(FUNCTIONS)), timeout);
     if (callClass == CallClass.KEYED) {
       params.put("HTTP_IDEMPOTENCY_KEY", "k" + id);
     }
-    Connection connection = connection();
+    Connection connection = pickConnection();
     if (connection != null) {
-      connection.ask(request, params);
+      connection.send(request, params);
     }
   }
 
-  private Connection connection() {
+  private Connection pickConnection() {
     long now = Clock.micros();
     synchronized (connections) {
-      connections.removeIf(Connection::over);
-      connections.stream().filter(c -> c.idleSince(now) > IDLE).forEach(Connection::end);
-      connections.removeIf(Connection::over);
-      List<Connection> free =
-          connections.stream().filter(c -> c.open() < MOST_OPEN).toList();
-      if ((connections.size() >= CONNECTIONS || connectsNone) && !free.isEmpty()) {
-        return free.get(random.nextInt(free.size()));
+      connections.removeIf(Connection::closed);
+      connections.stream()
+          .filter(c -> c.idleMicros(now) > IDLE_TIMEOUT_MICROS)
+          .forEach(Connection::closeIfIdle);
+      connections.removeIf(Connection::closed);
+      List<Connection> available =
+          connections.stream().filter(c -> c.openCount() < MAX_OPEN_REQUESTS).toList();
+      if ((connections.size() >= CONNECTIONS || connectingStopped) && !available.isEmpty()) {
+        return available.get(random.nextInt(available.size()));
       }
     }
-    if (connectsNone) {
+    if (connectingStopped) {
       return null;
     }
     try {
-      Connection fresh = new Connection();
+      Connection opened = new Connection();
       synchronized (connections) {
-        connections.add(fresh);
+        connections.add(opened);
       }
-      return fresh;
+      return opened;
     } catch (IOException e) {
       // Not there at present: nothing was asked.
       return null;
@@ -173,38 +175,38 @@
   /** One connection to the dispatcher. */
   private final class Connection {
     private final Socket socket;
-    private final Map<Integer, Evidence.Asked> open = new HashMap<>();
+    private final Map<Integer, Evidence.ClientRequest> openRequests = new HashMap<>();
     /** All that was asked here, to see second answers. */
-    private final Map<Integer, Evidence.Asked> asked = new HashMap<>();
+    private final Map<Integer, Evidence.ClientRequest> allRequests = new HashMap<>();
 
-    private final Map<Integer, StringBuilder> streams = new HashMap<>();
-    private int numbers;
-    private boolean over;
-    private long usedAt = Clock.micros();
+    private final Map<Integer, StringBuilder> answerStreams = new HashMap<>();
+    private int lastNumber;
+    private boolean closed;
+    private long lastUsedAt = Clock.micros();
 
     private Connection() throws IOException {
       socket = new Socket();
-      socket.connect(to, 500);
+      socket.connect(address, 500);
       socket.setTcpNoDelay(true);
-      FaultProxy.start("client-reads", this::read);
+      FaultProxy.start("client-reads", this::readAnswers);
     }
 
-    private synchronized boolean over() {
-      return over;
+    private synchronized boolean closed() {
+      return closed;
     }
 
-    private synchronized int open() {
-      return open.size();
+    private synchronized int openCount() {
+      return openRequests.size();
     }
 
-    private synchronized long idleSince(long now) {
-      return open.isEmpty() ? now - usedAt : 0;
+    private synchronized long idleMicros(long now) {
+      return openRequests.isEmpty() ? now - lastUsedAt : 0;
     }
 
     /** Closes an idle connection, as clients do. */
-    private synchronized void end() {
-      if (open.isEmpty()) {
-        over = true;
+    private synchronized void closeIfIdle() {
+      if (openRequests.isEmpty()) {
+        closed = true;
         closeSocket();
       }
     }
@@ -217,38 +219,38 @@
       }
     }
 
-    private void ask(Evidence.Asked request, Map<String, String> params) {
+    private void send(Evidence.ClientRequest request, Map<String, String> params) {
       int number;
       synchronized (this) {
-        if (over) {
+        if (closed) {
           return;
         }
-        number = ++numbers;
-        request.connectionInUse = numbers > 1;
-        open.put(number, request);
-        asked.put(number, request);
-        usedAt = Clock.micros();
+        number = ++lastNumber;
+        request.onReusedConnection = lastNumber > 1;
+        openRequests.put(number, request);
+        allRequests.put(number, request);
+        lastUsedAt = Clock.micros();
       }
       byte[] bytes = RecordWriter.request(
           number, true, params, request.body.getBytes(StandardCharsets.ISO_8859_1));
-      evidence.asked(request);
+      evidence.addRequest(request);
       try {
         write(bytes);
         synchronized (request) {
           request.sentAt = Clock.micros();
         }
       } catch (IOException | InterruptedException e) {
-        lost();
+        connectionLost();
         return;
       }
-      if (Clock.micros() < leavesUntil && random.nextDouble() < LEAVES) {
-        leave(number, request);
+      if (Clock.micros() < leavesUntil && random.nextDouble() < LEAVE_PROBABILITY) {
+        leaveSoon(number, request);
       }
     }
 
     private void write(byte[] bytes) throws IOException, InterruptedException {
       OutputStream out = socket.getOutputStream();
-      int parts = Clock.micros() < piecesUntil ? PIECES : 1;
+      int parts = Clock.micros() < piecesUntil ? PIECES_PER_REQUEST : 1;
       int from = 0;
       for (int part = 1; part <= parts; part++) {
         int to = bytes.length * part / parts;
@@ -263,20 +265,20 @@
     }
 
     /** A client leaves a moment after it asked: it withdraws, or its connection ends with all that is open on it. */
-    private void leave(int number, Evidence.Asked request) {
-      boolean withdraws = random.nextBoolean();
+    private void leaveSoon(int number, Evidence.ClientRequest request) {
+      boolean aborts = random.nextBoolean();
       int millis = random.nextInt(60);
       FaultProxy.start("client-leaves", () -> {
         try {
           Thread.sleep(millis);
-          if (withdraws) {
+          if (aborts) {
             OutputStream out = socket.getOutputStream();
             synchronized (out) {
               out.write(RecordWriter.abort(number));
             }
-            left(request);
+            markClientGone(request);
           } else {
-            left(null);
+            markClientGone(null);
             socket.close();
           }
         } catch (IOException | InterruptedException e) {
@@ -286,17 +288,19 @@
     }
 
     /** Notes that the client of a request left; null for all on this connection. */
-    private synchronized void left(Evidence.Asked one) {
+    private synchronized void markClientGone(Evidence.ClientRequest single) {
       long now = Clock.micros();
-      over |= one == null;
-      for (Evidence.Asked request : one == null ? List.copyOf(open.values()) : List.of(one)) {
+      closed |= single == null;
+      for (Evidence.ClientRequest request :
+          single == null ? List.copyOf(openRequests.values()) : List.of(single)) {
         synchronized (request) {
-          request.leftAt = request.answers == 0 && request.leftAt == 0 ? now : request.leftAt;
+          request.clientGoneAt =
+              request.answerCount == 0 && request.clientGoneAt == 0 ? now : request.clientGoneAt;
         }
       }
     }
 
-    private void read() {
+    private void readAnswers() {
       try {
         DataInputStream in = new DataInputStream(socket.getInputStream());
         byte[] header = new byte[8];
@@ -305,49 +309,51 @@
           int number = (header[2] & 0xff) << 8 | header[3] & 0xff;
           byte[] content = in.readNBytes((header[4] & 0xff) << 8 | header[5] & 0xff);
           in.readNBytes(header[6] & 0xff);
-          heard(header[1], number, new String(content, StandardCharsets.ISO_8859_1));
+          recordReceived(header[1], number, new String(content, StandardCharsets.ISO_8859_1));
         }
       } catch (IOException e) {
-        lost();
+        connectionLost();
       }
     }
 
-    private synchronized void heard(int type, int number, String content) {
+    private synchronized void recordReceived(int type, int number, String content) {
       if (type == STDOUT) {
-        streams.computeIfAbsent(number, n -> new StringBuilder()).append(content);
+        answerStreams.computeIfAbsent(number, n -> new StringBuilder()).append(content);
       } else if (type == END_REQUEST) {
-        answered(asked.get(number), number);
+        answerEnded(allRequests.get(number), number);
       }
     }
 
-    private void answered(Evidence.Asked request, int number) {
-      StringBuilder stream = streams.remove(number);
-      open.remove(number);
-      usedAt = Clock.micros();
+    private void answerEnded(Evidence.ClientRequest request, int number) {
+      StringBuilder stream = answerStreams.remove(number);
+      openRequests.remove(number);
+      lastUsedAt = Clock.micros();
       if (request == null) {
         return;
       }
       String text = stream == null ? "" : stream.toString();
-      int split = text.indexOf("\r\n\r\n");
+      int headEnd = text.indexOf("\r\n\r\n");
       synchronized (request) {
-        request.answers++;
-        request.answeredAt = usedAt;
-        request.answer = split < 0 ? "" : text.substring(split + 4);
-        request.status =
-            split < 0 ? 0 : Integer.parseInt(text.substring("Status: ".length()).split("\r\n")[0]);
+        request.answerCount++;
+        request.answeredAt = lastUsedAt;
+        request.answer = headEnd < 0 ? "" : text.substring(headEnd + 4);
+        request.status = headEnd < 0
+            ? 0
+            : Integer.parseInt(text.substring("Status: ".length()).split("\r\n")[0]);
         if (request.refused()) {
-          askAgain();
+          scheduleRetry();
         }
       }
     }
 
     /** The connection ended with requests open on it. */
-    private synchronized void lost() {
-      over = true;
+    private synchronized void connectionLost() {
+      closed = true;
       closeSocket();
-      for (Evidence.Asked request : open.values()) {
+      for (Evidence.ClientRequest request : openRequests.values()) {
         synchronized (request) {
-          request.cutAt = request.cutAt == 0 ? Clock.micros() : request.cutAt;
+          request.connectionLostAt =
+              request.connectionLostAt == 0 ? Clock.micros() : request.connectionLostAt;
         }
       }
     }
@@ -356,8 +362,8 @@
   /** Sends nothing more. */
   void stop() throws InterruptedException {
     stopped = true;
-    thread.interrupt();
-    thread.join(2_000);
+    sender.interrupt();
+    sender.join(2_000);
   }
 
   @Override
--- a/soak/src/main/java/gorseladder/soak/SoakConfig.java
+++ b/soak/src/main/java/gorseladder/soak/SoakConfig.java
@@ -8,15 +8,15 @@
 /** The configuration of the dispatchers of a soak, as the platform lays it down. */
 final class SoakConfig {
   /** Figures of the rules; the oracle holds the dispatchers to them. Times in microseconds. */
-  static final long DRAIN_GRACE = 500_000;
+  static final long DRAIN_GRACE_MICROS = 500_000;
 
-  static final double COLD_FROM = 0.1;
-  static final long COLD_FOR = 8_000_000;
-  static final double TIP_MULTIPLE = 1.5;
-  static final long OVERLOAD_FOR = 1_500_000;
-  static final long LONGEST_DEADLINE = 1_600_000;
+  static final double INITIAL_CAPACITY_FRACTION = 0.1;
+  static final long RAMP_MICROS = 8_000_000;
+  static final double OVERLOAD_MULTIPLE = 1.5;
+  static final long OVERLOAD_WINDOW_MICROS = 1_500_000;
+  static final long MAX_DEADLINE_MICROS = 1_600_000;
   /** SIGKILL comes no sooner than the longest deadline and this after SIGTERM. */
-  static final long KILL_MARGIN = 700_000;
+  static final long KILL_GRACE_MICROS = 700_000;
 
   private static final String SETTINGS = """
       {"ordinal":%d,"balancers":%d,"zone":"z","tickMs":2,
@@ -30,12 +30,12 @@
   private SoakConfig() {}
 
   /** The text of a dispatcher's file. */
-  static String text(
+  static String json(
       int ordinal, int dispatchers, long seed, InetSocketAddress changeLog, List<String> known) {
     String classes = Arrays.stream(CallClass.values())
-        .map(c -> "{\"name\":\"" + c.word() + "\",\"effect\":\"" + c.effect
-            + "\",\"group\":\"all\",\"goalTimeMs\":600,\"giveUpMs\":" + LONGEST_DEADLINE / 1_000
-            + ",\"repeatWindowMs\":" + CallClass.REPEAT_WINDOW / 1_000 + "}")
+        .map(c -> "{\"name\":\"" + c.label() + "\",\"effect\":\"" + c.effect
+            + "\",\"group\":\"all\",\"goalTimeMs\":600,\"giveUpMs\":" + MAX_DEADLINE_MICROS / 1_000
+            + ",\"repeatWindowMs\":" + CallClass.REPEAT_WINDOW_MICROS / 1_000 + "}")
         .collect(Collectors.joining(","));
     return "{\"seed\":\"" + Long.toHexString(seed)
         + "\",\"limits\":{\"memory_mb\":192,\"sockets\":512}"
@@ -45,11 +45,11 @@
         + SETTINGS.formatted(
             ordinal,
             dispatchers,
-            DRAIN_GRACE / 1_000,
-            COLD_FROM,
-            COLD_FOR / 1_000,
-            TIP_MULTIPLE,
-            OVERLOAD_FOR / 1_000,
+            DRAIN_GRACE_MICROS / 1_000,
+            INITIAL_CAPACITY_FRACTION,
+            RAMP_MICROS / 1_000,
+            OVERLOAD_MULTIPLE,
+            OVERLOAD_WINDOW_MICROS / 1_000,
             classes)
         + "}";
   }
--- a/soak/src/main/java/gorseladder/soak/SoakDispatcher.java
+++ b/soak/src/main/java/gorseladder/soak/SoakDispatcher.java
@@ -19,8 +19,8 @@
  * a time.
  */
 final class SoakDispatcher implements AutoCloseable {
-  private static final long READY_MILLIS = 30_000;
-  private static final long END_MILLIS = 8_000;
+  private static final long READY_TIMEOUT_MILLIS = 30_000;
+  private static final long KILL_TIMEOUT_MILLIS = 8_000;
   /** Stands for the exit code of a process that had not ended when the earliest kill came. */
   static final int OVERDUE = -1;
 
@@ -35,7 +35,7 @@
   private ChildProcess process;
   private long startedAt;
   private volatile long readyAt;
-  private volatile int starts;
+  private volatile int startCount;
   private SoakClients clients;
 
   /** A dispatcher that is not started yet; {@code preload} is null where the machine has no compiler. */
@@ -50,8 +50,8 @@
     this.preload = preload;
     this.control = preload == null ? null : preload.control(this.folder.resolve("faults"));
     // An address of its own: while it is down no other socket of the soak may be given its port.
-    InetAddress own = InetAddress.getByAddress(new byte[] {127, 0, 1, (byte) (number + 1)});
-    try (ServerSocket free = new ServerSocket(0, 1, own)) {
+    InetAddress ownAddress = InetAddress.getByAddress(new byte[] {127, 0, 1, (byte) (number + 1)});
+    try (ServerSocket free = new ServerSocket(0, 1, ownAddress)) {
       listen = (InetSocketAddress) free.getLocalSocketAddress();
     }
   }
@@ -68,8 +68,8 @@
     return clients;
   }
 
-  void clients(SoakClients those) {
-    clients = those;
+  void clients(SoakClients newClients) {
+    clients = newClients;
   }
 
   /** Its faults; null where there are none to be had. */
@@ -78,7 +78,7 @@
   }
 
   /** Replaces its configuration file. */
-  void configure(String text) throws IOException {
+  void writeConfig(String text) throws IOException {
     Path next = folder.resolve("next.json");
     Files.writeString(next, text);
     Files.move(next, folder.resolve("config.json"), StandardCopyOption.REPLACE_EXISTING);
@@ -101,12 +101,12 @@
     startedAt = Clock.micros();
     readyAt = 0;
     process = new ChildProcess(
-        command, root, environment, folder.resolve("log" + starts++).toFile());
+        command, root, environment, folder.resolve("log" + startCount++).toFile());
   }
 
   /** Waits until it is live. */
   void awaitReady() throws InterruptedException {
-    long until = Clock.micros() + READY_MILLIS * 1_000;
+    long until = Clock.micros() + READY_TIMEOUT_MILLIS * 1_000;
     while (Clock.micros() < until && process.isAlive()) {
       if (FastCgiClient.isLive(listen, 1_000)) {
         readyAt = Clock.micros();
@@ -127,7 +127,7 @@
   }
 
   private Path currentLog() {
-    return folder.resolve("log" + (starts - 1));
+    return folder.resolve("log" + (startCount - 1));
   }
 
   void signal(String name) throws IOException, InterruptedException {
@@ -137,8 +137,8 @@
   /** Kills it at once. */
   void kill() throws IOException, InterruptedException {
     process.signal("KILL");
-    int code = process.await(END_MILLIS);
-    ended(0, code, true);
+    int code = process.await(KILL_TIMEOUT_MILLIS);
+    recordEnd(0, code, true);
     readyAt = 0;
   }
 
@@ -148,31 +148,32 @@
    *
    * @param connecting how long new connections come after the signal, in microseconds
    */
-  void stop(long connecting) throws IOException, InterruptedException {
-    long askedAt = Clock.micros();
+  void stop(long connectingMicros) throws IOException, InterruptedException {
+    long signalledAt = Clock.micros();
     process.signal("TERM");
-    endAfter(askedAt, connecting);
+    finishStop(signalledAt, connectingMicros);
   }
 
   /** The same after the signal was sent at that time. */
-  void endAfter(long askedAt, long connecting) throws IOException, InterruptedException {
-    Thread.sleep(connecting / 1_000);
-    clients.staysOnOpenConnections();
-    long killAt = askedAt + SoakConfig.LONGEST_DEADLINE + SoakConfig.KILL_MARGIN;
+  void finishStop(long signalledAt, long connectingMicros)
+      throws IOException, InterruptedException {
+    Thread.sleep(connectingMicros / 1_000);
+    clients.stopConnecting();
+    long killAt = signalledAt + SoakConfig.MAX_DEADLINE_MICROS + SoakConfig.KILL_GRACE_MICROS;
     int code = process.await(Math.max(1, (killAt - Clock.micros()) / 1_000));
     boolean overdue = code < 0;
     if (overdue) {
       process.signal("KILL");
-      process.await(END_MILLIS);
+      process.await(KILL_TIMEOUT_MILLIS);
     }
-    clients.takeOut(true);
-    ended(askedAt, overdue ? OVERDUE : code, false);
+    clients.setOutOfService(true);
+    recordEnd(signalledAt, overdue ? OVERDUE : code, false);
     readyAt = 0;
   }
 
-  private void ended(long askedAt, int code, boolean killed) {
-    evidence.life(
-        new Evidence.Life(number, startedAt, readyAt, askedAt, Clock.micros(), code, killed));
+  private void recordEnd(long signalledAt, int code, boolean killed) {
+    evidence.addProcessRun(new Evidence.ProcessRun(
+        number, startedAt, readyAt, signalledAt, Clock.micros(), code, killed));
   }
 
   boolean isAlive() {
--- a/soak/src/main/java/gorseladder/soak/SoakPlan.java
+++ b/soak/src/main/java/gorseladder/soak/SoakPlan.java
@@ -19,25 +19,25 @@
     int dispatchers,
     int runners,
     double callsPerSecond,
-    long length,
+    long duration,
     List<Event> events) {
-  private static final long SECOND = 1_000_000;
-  private static final int LEAST_RUNNERS = 8;
-  private static final int MORE_RUNNERS = 7;
+  private static final long MICROS_PER_SECOND = 1_000_000;
+  private static final int MIN_RUNNERS = 8;
+  private static final int RUNNERS_SPREAD = 7;
   /** Calls a second at all dispatchers together: as many for few as for many of them. */
-  private static final double LEAST_CALLS = 180;
+  private static final double MIN_CALLS_PER_SECOND = 180;
 
-  private static final double MORE_CALLS = 120;
+  private static final double CALLS_PER_SECOND_SPREAD = 120;
   /** Traffic without trouble at first, so that the dispatchers know their runners, and at the end. */
-  private static final long QUIET = 2 * SECOND;
+  private static final long QUIET_MICROS = 2 * MICROS_PER_SECOND;
 
-  private static final long MEAN_GAP = 700_000;
-  private static final long LEAST_LENGTH = 300_000;
-  private static final long MORE_LENGTH = 1_700_000;
+  private static final long MEAN_GAP_MICROS = 700_000;
+  private static final long MIN_DURATION_MICROS = 300_000;
+  private static final long DURATION_SPREAD_MICROS = 1_700_000;
   /** Part of the troubles that come within a moment of the one before. */
-  private static final double CROSSING = 0.5;
+  private static final double OVERLAP_PROBABILITY = 0.5;
 
-  private static final long CROSSES_WITHIN = 120_000;
+  private static final long MAX_OVERLAP_GAP_MICROS = 120_000;
 
   /**
    * One trouble.
@@ -47,30 +47,34 @@
    * @param target which of the dispatchers, or runners, it meets; taken modulo their number
    * @param draw chance of its own
    */
-  public record Event(Trouble trouble, long at, long length, int target, long draw) {
+  public record Event(Trouble trouble, long at, long duration, int target, long randomBits) {
     @Override
     public String toString() {
       return "%s at %.3f s for %.3f s, target %d"
-          .formatted(trouble.word(), at / 1e6, length / 1e6, target);
+          .formatted(trouble.label(), at / 1e6, duration / 1e6, target);
     }
   }
 
   /** Draws a plan. */
-  public static SoakPlan draw(long seed, int dispatchers, long length, Set<Trouble> troubles) {
+  public static SoakPlan draw(long seed, int dispatchers, long duration, Set<Trouble> troubles) {
     SplittableRandom random = new SplittableRandom(seed);
-    int runners = LEAST_RUNNERS + random.nextInt(MORE_RUNNERS);
-    double calls = (LEAST_CALLS + MORE_CALLS * random.nextDouble()) / dispatchers;
-    List<Trouble> may = new ArrayList<>(troubles);
-    may.sort(Comparator.naturalOrder());
+    int runners = MIN_RUNNERS + random.nextInt(RUNNERS_SPREAD);
+    double calls =
+        (MIN_CALLS_PER_SECOND + CALLS_PER_SECOND_SPREAD * random.nextDouble()) / dispatchers;
+    List<Trouble> candidates = new ArrayList<>(troubles);
+    candidates.sort(Comparator.naturalOrder());
     List<Event> events = new ArrayList<>();
-    long at = QUIET;
-    while (!may.isEmpty() && at < length - QUIET) {
-      Trouble trouble = may.get(random.nextInt(may.size()));
-      long lasts = LEAST_LENGTH + (long) (random.nextDouble() * MORE_LENGTH);
-      events.add(new Event(trouble, at, lasts, random.nextInt(1_000), random.nextLong()));
-      boolean crosses = random.nextDouble() < CROSSING;
-      at += crosses ? random.nextLong(CROSSES_WITHIN) : (long) (2 * MEAN_GAP * random.nextDouble());
+    long at = QUIET_MICROS;
+    while (!candidates.isEmpty() && at < duration - QUIET_MICROS) {
+      Trouble trouble = candidates.get(random.nextInt(candidates.size()));
+      long eventDuration =
+          MIN_DURATION_MICROS + (long) (random.nextDouble() * DURATION_SPREAD_MICROS);
+      events.add(new Event(trouble, at, eventDuration, random.nextInt(1_000), random.nextLong()));
+      boolean overlaps = random.nextDouble() < OVERLAP_PROBABILITY;
+      at += overlaps
+          ? random.nextLong(MAX_OVERLAP_GAP_MICROS)
+          : (long) (2 * MEAN_GAP_MICROS * random.nextDouble());
     }
-    return new SoakPlan(seed, dispatchers, runners, calls, length, List.copyOf(events));
+    return new SoakPlan(seed, dispatchers, runners, calls, duration, List.copyOf(events));
   }
 }
--- a/soak/src/main/java/gorseladder/soak/SoakRule.java
+++ b/soak/src/main/java/gorseladder/soak/SoakRule.java
@@ -25,7 +25,7 @@
   /** No error in a log, and no rule broken as the dispatcher itself counts. */
   LOG;
 
-  String word() {
+  String label() {
     return name().toLowerCase(Locale.ROOT);
   }
 }
--- a/soak/src/main/java/gorseladder/soak/SoakRun.java
+++ b/soak/src/main/java/gorseladder/soak/SoakRun.java
@@ -19,7 +19,7 @@
   /** After the last request, time for the last answers. */
   private static final long LAST_ANSWERS_MILLIS = 2_300;
 
-  private static final int RUNNER_THREADS = 4;
+  private static final int SCHEDULER_THREADS = 4;
   private static final Pattern ERROR_LINE =
       Pattern.compile("^[0-9:.]+ ERROR |^Exception in thread");
 
@@ -28,7 +28,8 @@
   private final Path folder;
   private final String command;
   private final Evidence evidence = new Evidence();
-  private final ScheduledExecutorService clock = Executors.newScheduledThreadPool(RUNNER_THREADS);
+  private final ScheduledExecutorService scheduler =
+      Executors.newScheduledThreadPool(SCHEDULER_THREADS);
   private final List<SoakRunner> runners = new ArrayList<>();
   private final List<SoakDispatcher> dispatchers = new ArrayList<>();
   private final List<Finding> findings = new ArrayList<>();
@@ -53,8 +54,8 @@
       int served,
       int attempts,
       long injected,
-      long ownStall,
-      long ownStalls,
+      long longestStall,
+      long totalStall,
       int heldInTheWrite,
       int endsNotJudged,
       int troublesFailed) {}
@@ -80,15 +81,15 @@
   }
 
   /** Plays it to its end. */
-  public Result play() throws IOException, InterruptedException {
+  public Result execute() throws IOException, InterruptedException {
     for (int i = 0; i < plan.runners(); i++) {
-      runners.add(new SoakRunner("r" + i, evidence, clock));
+      runners.add(new SoakRunner("r" + i, evidence, scheduler));
     }
     log = new ChangeLogs(runners);
     for (int i = 0; i < plan.dispatchers(); i++) {
       SoakDispatcher dispatcher = new SoakDispatcher(i, command, root, folder, evidence, preload);
       dispatchers.add(dispatcher);
-      configure(dispatcher);
+      writeConfig(dispatcher);
       dispatcher.start();
     }
     for (SoakDispatcher dispatcher : dispatchers) {
@@ -100,8 +101,8 @@
           plan.seed() * 1_000 + dispatcher.number(),
           plan.callsPerSecond()));
     }
-    dispatchers.forEach(dispatcher -> dispatcher.clients().begin());
-    troubles.bring(plan.events(), plan.length());
+    dispatchers.forEach(dispatcher -> dispatcher.clients().start());
+    troubles.run(plan.events(), plan.duration());
     for (SoakDispatcher dispatcher : dispatchers) {
       dispatcher.clients().stop();
     }
@@ -112,22 +113,22 @@
   }
 
   private void stopAll() throws InterruptedException {
-    List<Thread> all = new ArrayList<>();
+    List<Thread> stoppers = new ArrayList<>();
     for (SoakDispatcher dispatcher : dispatchers) {
-      Thread stops = new Thread(() -> {
+      Thread stopper = new Thread(() -> {
         try {
           dispatcher.stop(0);
         } catch (IOException e) {
-          found(new Finding(SoakRule.END, Clock.micros(), dispatcher.number(), e.toString()));
+          addFinding(new Finding(SoakRule.END, Clock.micros(), dispatcher.number(), e.toString()));
         } catch (InterruptedException e) {
           Thread.currentThread().interrupt();
         }
       });
-      stops.start();
-      all.add(stops);
+      stopper.start();
+      stoppers.add(stopper);
     }
-    for (Thread stops : all) {
-      stops.join();
+    for (Thread stopper : stoppers) {
+      stopper.join();
     }
   }
 
@@ -136,9 +137,9 @@
       for (Path file : dispatcher.logs()) {
         Files.readAllLines(file).stream()
             .filter(line -> ERROR_LINE.matcher(line).find())
-            .filter(line -> !excused(dispatcher.number(), line))
+            .filter(line -> !isExcused(dispatcher.number(), line))
             .limit(3)
-            .forEach(line -> found(new Finding(
+            .forEach(line -> addFinding(new Finding(
                 SoakRule.LOG,
                 Clock.micros(),
                 dispatcher.number(),
@@ -148,23 +149,23 @@
   }
 
   /** A dispatcher that stood still, by a trouble of the plan, answers late and counts it; no other rule is excused. */
-  private boolean excused(int dispatcher, String line) {
+  private boolean isExcused(int dispatcher, String line) {
     return line.contains("rule broken: final_answer")
         && evidence.pausedUntil(dispatcher, new Evidence.Span(0, Long.MAX_VALUE)) > 0;
   }
 
   /** True for a dispatcher's own line about an attempt that was held in the write: it is counted, not judged. */
-  private static boolean toldOfOne(Finding finding, Set<String> ids) {
+  private static boolean concernsAny(Finding finding, Set<String> ids) {
     return finding.rule() == SoakRule.LOG
         && ids.stream().anyMatch(id -> finding.text().contains("request=" + id + " "));
   }
 
   private Result result() {
-    Oracle.Judgement judged = Oracle.judge(evidence, log.told());
+    Oracle.Judgement judged = Oracle.judge(evidence, log.changes());
     List<Finding> all = new ArrayList<>(judged.findings());
     synchronized (findings) {
       findings.stream()
-          .filter(finding -> !toldOfOne(finding, judged.heldInTheWrite()))
+          .filter(finding -> !concernsAny(finding, judged.heldInTheWrite()))
           .forEach(all::add);
     }
     int served = (int) evidence.requests().stream().filter(r -> r.status == 200).count();
@@ -178,25 +179,25 @@
         served,
         evidence.attempts().size(),
         injected,
-        evidence.ownStalls().longest(),
-        evidence.ownStalls().total(),
+        evidence.stallMonitor().longest(),
+        evidence.stallMonitor().total(),
         judged.heldInTheWrite().size(),
         judged.endsNotJudged(),
         troubles.failed());
   }
 
   /** Lays down a dispatcher's configuration as things are now. */
-  void configure(SoakDispatcher dispatcher) throws IOException {
+  void writeConfig(SoakDispatcher dispatcher) throws IOException {
     int number = dispatcher.number();
-    dispatcher.configure(SoakConfig.text(
+    dispatcher.writeConfig(SoakConfig.json(
         number,
         plan.dispatchers(),
         plan.seed() * 31 + number,
         log.proxy(number).address(),
-        log.known()));
+        log.knownEvents()));
   }
 
-  void found(Finding finding) {
+  void addFinding(Finding finding) {
     synchronized (findings) {
       findings.add(finding);
     }
@@ -230,8 +231,8 @@
   @Override
   public void close() throws IOException {
     dispatchers.forEach(SoakDispatcher::close);
-    clock.shutdownNow();
-    evidence.ownStalls().close();
+    scheduler.shutdownNow();
+    evidence.stallMonitor().close();
     for (SoakRunner runner : runners) {
       runner.close();
     }
--- a/soak/src/main/java/gorseladder/soak/SoakRunner.java
+++ b/soak/src/main/java/gorseladder/soak/SoakRunner.java
@@ -25,30 +25,30 @@
  */
 final class SoakRunner implements Closeable {
   /** Requests a second that a warm runner of this kind is taken to bear, for the budget of a cold one. */
-  static final double PER_SECOND = 30;
+  static final double REQUESTS_PER_SECOND = 30;
 
   /** Time of a request, in milliseconds. */
-  private static final int WORK_MILLIS = 15;
+  private static final int MIN_WORK_MILLIS = 15;
 
   private static final int WORK_SPREAD_MILLIS = 20;
 
   private final Evidence evidence;
-  private final ScheduledExecutorService clock;
+  private final ScheduledExecutorService scheduler;
   private final ServerSocket server;
   private final FaultProxy proxy;
   private volatile String uid;
   private volatile long startedAt;
   private volatile long hangsUntil;
-  private volatile long spoilsUntil;
+  private volatile long corruptsUntil;
   private volatile long refusesUntil;
   /** Time that a request takes beyond the usual, in milliseconds. */
-  private volatile int slowerBy;
+  private volatile int extraWorkMillis;
 
   /** Listens; the runner is known under that id. */
-  SoakRunner(String uid, Evidence evidence, ScheduledExecutorService clock) throws IOException {
+  SoakRunner(String uid, Evidence evidence, ScheduledExecutorService scheduler) throws IOException {
     this.uid = uid;
     this.evidence = evidence;
-    this.clock = clock;
+    this.scheduler = scheduler;
     server = new ServerSocket(0, 256, InetAddress.getLoopbackAddress());
     proxy = new FaultProxy((InetSocketAddress) server.getLocalSocketAddress());
     FaultProxy.start("runner-accept", this::accept);
@@ -68,8 +68,8 @@
   }
 
   /** Starts anew, cold, under an id; its connections are reset. */
-  void restart(String as) {
-    uid = as;
+  void restart(String newUid) {
+    uid = newUid;
     startedAt = Clock.micros();
     proxy.resetAll();
   }
@@ -78,17 +78,17 @@
     hangsUntil = Clock.micros() + micros;
   }
 
-  void spoil(long micros) {
-    spoilsUntil = Clock.micros() + micros;
+  void corruptAnswers(long micros) {
+    corruptsUntil = Clock.micros() + micros;
   }
 
-  void refuse(long micros) {
+  void refuseRequests(long micros) {
     refusesUntil = Clock.micros() + micros;
   }
 
   /** Each request takes so many milliseconds more from now on. */
-  void slowerBy(int millis) {
-    slowerBy = millis;
+  void setExtraWorkMillis(int millis) {
+    extraWorkMillis = millis;
   }
 
   private void accept() {
@@ -103,17 +103,17 @@
   }
 
   private void serve(Socket socket) {
-    Map<String, Evidence.Arrived> here = new ConcurrentHashMap<>();
+    Map<String, Evidence.Attempt> openAttempts = new ConcurrentHashMap<>();
     try (socket) {
       socket.setTcpNoDelay(true);
       InputStream in = new BufferedInputStream(socket.getInputStream());
       OutputStream out = socket.getOutputStream();
       for (int first = in.read(); first >= 0; first = in.read()) {
         long firstByteAt = Clock.micros();
-        String[] words = line(first, in).split(" ");
+        String[] words = readLine(first, in).split(" ");
         switch (words[0]) {
-          case "go" -> go(words, firstByteAt, in, out, here);
-          case "halt" -> ended(here.remove(words[1]), false);
+          case "go" -> startAttempt(words, firstByteAt, in, out, openAttempts);
+          case "halt" -> recordEnd(openAttempts.remove(words[1]), false);
           case "stage" -> write(out, words[1] + " ok pods=1 0\r\n\r\n");
           default -> write(out, words.length > 1 ? words[1] + " no - 0\r\n\r\n" : "");
         }
@@ -121,11 +121,11 @@
     } catch (IOException e) {
       // Ended by either side.
     } finally {
-      here.values().forEach(attempt -> ended(attempt, false));
+      openAttempts.values().forEach(attempt -> recordEnd(attempt, false));
     }
   }
 
-  private static String line(int first, InputStream in) throws IOException {
+  private static String readLine(int first, InputStream in) throws IOException {
     StringBuilder line = new StringBuilder();
     for (int b = first; b != '\n'; b = in.read()) {
       if (b < 0) {
@@ -142,68 +142,71 @@
     }
   }
 
-  private static void ended(Evidence.Arrived attempt, boolean neverRan) {
+  private static void recordEnd(Evidence.Attempt attempt, boolean neverRan) {
     if (attempt != null && attempt.endedAt == 0) {
       attempt.neverRan = neverRan;
       attempt.endedAt = Clock.micros();
     }
   }
 
-  private void go(
+  private void startAttempt(
       String[] words,
       long firstByteAt,
       InputStream in,
       OutputStream out,
-      Map<String, Evidence.Arrived> here)
+      Map<String, Evidence.Attempt> openAttempts)
       throws IOException {
     byte[] body = in.readNBytes(Integer.parseInt(words[3]));
     in.readNBytes(2);
     Map<String, String> fields = new HashMap<>();
-    for (String pair : words[2].split(",")) {
-      int equals = pair.indexOf('=');
-      fields.put(pair.substring(0, equals), pair.substring(equals + 1));
+    for (String field : words[2].split(",")) {
+      int equals = field.indexOf('=');
+      fields.put(field.substring(0, equals), field.substring(equals + 1));
     }
     long now = Clock.micros();
-    Evidence.Arrived attempt = new Evidence.Arrived(
+    Evidence.Attempt attempt = new Evidence.Attempt(
         words[1],
         this,
         firstByteAt,
         now,
         Long.parseLong(fields.get("max")) * 1_000,
         fields.get("key"),
-        proxy.heldUp(now));
-    evidence.arrived(attempt);
-    here.put(attempt.id, attempt);
+        proxy.maxDelayAt(now));
+    evidence.addAttempt(attempt);
+    openAttempts.put(attempt.id, attempt);
     if (now < hangsUntil) {
       return;
     }
     if (now < refusesUntil) {
       boolean refused = ThreadLocalRandom.current().nextBoolean();
-      here.remove(attempt.id);
-      ended(attempt, refused);
+      openAttempts.remove(attempt.id);
+      recordEnd(attempt, refused);
       write(out, attempt.id + (refused ? " refused depth=3 0\r\n\r\n" : " error - 0\r\n\r\n"));
       return;
     }
     String result =
         PlatformRunner.result(attempt.id, new String(body, StandardCharsets.ISO_8859_1));
-    int takes = slowerBy + WORK_MILLIS + ThreadLocalRandom.current().nextInt(WORK_SPREAD_MILLIS);
-    clock.schedule(() -> answer(attempt, result, out, here), takes, TimeUnit.MILLISECONDS);
+    int workMillis =
+        extraWorkMillis + MIN_WORK_MILLIS + ThreadLocalRandom.current().nextInt(WORK_SPREAD_MILLIS);
+    scheduler.schedule(
+        () -> answer(attempt, result, out, openAttempts), workMillis, TimeUnit.MILLISECONDS);
   }
 
   private void answer(
-      Evidence.Arrived attempt,
+      Evidence.Attempt attempt,
       String result,
       OutputStream out,
-      Map<String, Evidence.Arrived> here) {
+      Map<String, Evidence.Attempt> openAttempts) {
     // One that hangs keeps what it has, until that is given up.
-    if (Clock.micros() < hangsUntil || here.remove(attempt.id) == null) {
+    if (Clock.micros() < hangsUntil || openAttempts.remove(attempt.id) == null) {
       return;
     }
-    ended(attempt, false);
+    recordEnd(attempt, false);
     String served = attempt.id + " ok remark=up " + result.length() + "\r\n" + result + "\r\n";
-    int spoilt = Clock.micros() < spoilsUntil ? ThreadLocalRandom.current().nextInt(8) : 8;
+    int corruption =
+        Clock.micros() < corruptsUntil ? ThreadLocalRandom.current().nextInt(8) : 8;
     try {
-      switch (spoilt) {
+      switch (corruption) {
         case 0 -> write(out, "\u0007 noise\r\n");
         case 1 -> write(out, served.substring(0, served.length() / 2) + "\r\n\r\n");
         case 2 -> write(out, served + served);
--- a/soak/src/main/java/gorseladder/soak/OwnStalls.java
+++ b/soak/src/main/java/gorseladder/soak/StallMonitor.java
@@ -17,14 +17,14 @@
  * does. Where that takes long the span is kept, so that the oracle can tell a late dispatcher from a late soak. Any
  * thread.
  */
-final class OwnStalls implements Closeable {
-  private static final long TICK_MILLIS = 5;
-  private static final long STALL = 15_000;
+final class StallMonitor implements Closeable {
+  private static final long PROBE_INTERVAL_MILLIS = 5;
+  private static final long MIN_STALL_MICROS = 15_000;
   /** Threads that were held up together come back one after the other. */
-  private static final long AFTER = 30_000;
+  private static final long RECOVERY_MICROS = 30_000;
 
-  private final Probe standing = new Probe();
-  private final Probe connecting = new Probe();
+  private final Probe openConnection = new Probe();
+  private final Probe newConnections = new Probe();
   private volatile boolean stopped;
 
   /** The spans that one sort of round took too long for; any thread. */
@@ -33,17 +33,17 @@
     private long longest;
     private long total;
 
-    private synchronized void note(long from, long to) {
-      if (to - from > TICK_MILLIS * 1_000 + STALL) {
+    private synchronized void record(long from, long to) {
+      if (to - from > PROBE_INTERVAL_MILLIS * 1_000 + MIN_STALL_MICROS) {
         spans.add(new Evidence.Span(from, to));
         longest = Math.max(longest, to - from);
         total += to - from;
       }
     }
 
-    private synchronized long late(long from, long to) {
+    private synchronized long maxDelay(long from, long to) {
       return spans.stream()
-          .filter(span -> span.from() <= to && span.to() + AFTER >= from)
+          .filter(span -> span.from() <= to && span.to() + RECOVERY_MICROS >= from)
           .mapToLong(span -> span.to() - span.from())
           .sum();
     }
@@ -58,20 +58,20 @@
   }
 
   /** One way to look, until the soak ends. */
-  private interface Look {
+  private interface ProbeLoop {
     void run() throws IOException, InterruptedException;
   }
 
   /** Begins to look. */
-  OwnStalls() {
-    start("own-stalls", this::onOneConnection);
-    start("own-stalls-connects", this::onNewConnections);
+  StallMonitor() {
+    start("own-stalls", this::probeOpenConnection);
+    start("own-stalls-connects", this::probeNewConnections);
   }
 
-  private static void start(String name, Look look) {
+  private static void start(String name, ProbeLoop loop) {
     FaultProxy.start(name, () -> {
       try {
-        look.run();
+        loop.run();
       } catch (IOException e) {
         System.err.println("the soak's own: no look at its stalls: " + e);
       } catch (InterruptedException e) {
@@ -80,38 +80,38 @@
     });
   }
 
-  private void onOneConnection() throws IOException, InterruptedException {
+  private void probeOpenConnection() throws IOException, InterruptedException {
     try (ServerSocket echo = echoServer();
         FaultProxy proxy = new FaultProxy((InetSocketAddress) echo.getLocalSocketAddress());
-        Socket near = new Socket()) {
-      near.connect(proxy.address());
-      near.setTcpNoDelay(true);
+        Socket client = new Socket()) {
+      client.connect(proxy.address());
+      client.setTcpNoDelay(true);
       while (!stopped) {
-        round(standing, near, Clock.micros());
+        sendByte(openConnection, client, Clock.micros());
       }
     }
   }
 
-  private void onNewConnections() throws IOException, InterruptedException {
+  private void probeNewConnections() throws IOException, InterruptedException {
     try (ServerSocket echo = echoServer();
         FaultProxy proxy = new FaultProxy((InetSocketAddress) echo.getLocalSocketAddress())) {
       while (!stopped) {
         long before = Clock.micros();
-        try (Socket near = new Socket()) {
-          near.connect(proxy.address());
-          near.setTcpNoDelay(true);
-          round(connecting, near, before);
+        try (Socket client = new Socket()) {
+          client.connect(proxy.address());
+          client.setTcpNoDelay(true);
+          sendByte(newConnections, client, before);
         }
       }
     }
   }
 
-  private static void round(Probe probe, Socket near, long before)
+  private static void sendByte(Probe probe, Socket client, long before)
       throws IOException, InterruptedException {
-    near.getOutputStream().write(1);
-    near.getInputStream().read();
-    Thread.sleep(TICK_MILLIS);
-    probe.note(before, Clock.micros());
+    client.getOutputStream().write(1);
+    client.getInputStream().read();
+    Thread.sleep(PROBE_INTERVAL_MILLIS);
+    probe.record(before, Clock.micros());
   }
 
   private static ServerSocket echoServer() throws IOException {
@@ -119,8 +119,8 @@
     FaultProxy.start("echo-accept", () -> {
       try {
         while (true) {
-          Socket far = server.accept();
-          FaultProxy.start("echo", () -> echo(far));
+          Socket peer = server.accept();
+          FaultProxy.start("echo", () -> echo(peer));
         }
       } catch (IOException e) {
         // The soak has ended.
@@ -129,11 +129,13 @@
     return server;
   }
 
-  private static void echo(Socket far) {
-    try (far) {
-      far.setTcpNoDelay(true);
-      for (int b = far.getInputStream().read(); b >= 0; b = far.getInputStream().read()) {
-        far.getOutputStream().write(b);
+  private static void echo(Socket peer) {
+    try (peer) {
+      peer.setTcpNoDelay(true);
+      for (int value = peer.getInputStream().read();
+          value >= 0;
+          value = peer.getInputStream().read()) {
+        peer.getOutputStream().write(value);
       }
     } catch (IOException e) {
       // The other side has gone.
@@ -141,18 +143,18 @@
   }
 
   /** By how much times in a span may be late at the most. */
-  long late(long from, long to) {
-    return Math.max(standing.late(from, to), connecting.late(from, to));
+  long maxDelay(long from, long to) {
+    return Math.max(openConnection.maxDelay(from, to), newConnections.maxDelay(from, to));
   }
 
   /** The longest stall so far, in microseconds. */
   long longest() {
-    return Math.max(standing.longest(), connecting.longest());
+    return Math.max(openConnection.longest(), newConnections.longest());
   }
 
   /** All stalls together, in microseconds: with many of them a play says little. */
   long total() {
-    return Math.max(standing.total(), connecting.total());
+    return Math.max(openConnection.total(), newConnections.total());
   }
 
   @Override
--- a/soak/src/main/java/gorseladder/soak/Trouble.java
+++ b/soak/src/main/java/gorseladder/soak/Trouble.java
@@ -57,7 +57,7 @@
   CROWD_WITHOUT_THREADS;
 
   /** The word on the command line and in reports. */
-  public String word() {
+  public String label() {
     return name().toLowerCase(Locale.ROOT);
   }
 }
--- a/soak/src/main/java/gorseladder/soak/Troubles.java
+++ b/soak/src/main/java/gorseladder/soak/Troubles.java
@@ -15,38 +15,39 @@
 
 /** Brings the troubles of a plan at their times, each on a thread of its own. */
 final class Troubles {
-  private static final long MILLI = 1_000;
-  private static final long MOST_PAUSE = 900 * MILLI;
-  private static final long MOST_LATE = 900 * MILLI;
+  private static final long MICROS_PER_MILLI = 1_000;
+  private static final long MAX_PAUSE_MICROS = 900 * MICROS_PER_MILLI;
+  private static final long MAX_CONNECT_DELAY_MICROS = 900 * MICROS_PER_MILLI;
   /** New connections still come for so long after a stop was asked for. */
-  private static final long LEAST_CONNECTING = 200 * MILLI;
+  private static final long MIN_CONNECTING_MICROS = 200 * MICROS_PER_MILLI;
 
-  private static final long MOST_CONNECTING = 400 * MILLI;
-  private static final long MOST_BETWEEN_SIGNALS_MILLIS = 30;
+  private static final long MAX_CONNECTING_MICROS = 400 * MICROS_PER_MILLI;
+  private static final long MAX_SIGNAL_GAP_MILLIS = 30;
   /** By then the shell that starts a process ignores SIGHUP. */
-  private static final long FIRST_SIGNAL_MILLIS = 20;
+  private static final long MIN_SIGNAL_DELAY_MILLIS = 20;
 
-  private static final long SIGNALS_WITHIN_MILLIS = 980;
+  private static final long SIGNAL_DELAY_SPREAD_MILLIS = 980;
   /** How late a crowded change log answers, and for how long it does. */
-  private static final long LEAST_SLOW = 600 * MILLI;
-
-  private static final long MOST_SLOW = 2_600 * MILLI;
-  private static final long SLOW_FOR = 4_500 * MILLI;
-  private static final int ALL = 1_000;
-  private static final long[] OPEN_ERRORS = {24, 23, 5};
-
-  private static final long[] ACCEPT_ERRORS = {103, 23, 24, 105};
-  private static final long[] CONNECT_ERRORS = {99, 101, 111, 105};
-  private static final long[] SOCKET_ERRORS = {23, 105};
-  private static final long[] BROKEN_ERRORS = {110, 113};
-  private static final long[] STEPS_MILLIS = {3_600_000, -3_600_000, 5_000, -5_000, 60_000, -60_000
+  private static final long MIN_LOG_DELAY_MICROS = 600 * MICROS_PER_MILLI;
+
+  private static final long MAX_LOG_DELAY_MICROS = 2_600 * MICROS_PER_MILLI;
+  private static final long MIN_SLOW_LOG_MICROS = 4_500 * MICROS_PER_MILLI;
+  private static final int EVERY_CALL = 1_000;
+  private static final long[] OPEN_ERRNOS = {24, 23, 5};
+
+  private static final long[] ACCEPT_ERRNOS = {103, 23, 24, 105};
+  private static final long[] CONNECT_ERRNOS = {99, 101, 111, 105};
+  private static final long[] SOCKET_ERRNOS = {23, 105};
+  private static final long[] BROKEN_ERRNOS = {110, 113};
+  private static final long[] CLOCK_STEPS_MILLIS = {
+    3_600_000, -3_600_000, 5_000, -5_000, 60_000, -60_000
   };
 
   /** A crowd that comes while there are no threads stays so long and some, in microseconds. */
-  private static final long CROWD_STAYS = 1_500_000;
+  private static final long MIN_CROWD_MICROS = 1_500_000;
 
-  private static final int SLOWER_MILLIS = 100;
-  private static final long RECONNECT_NANOS = 50_000_000;
+  private static final int EXTRA_WORK_MILLIS = 100;
+  private static final long RECONNECT_INTERVAL_NANOS = 50_000_000;
 
   private final SoakRun run;
   private final NewsTroubles news;
@@ -71,17 +72,17 @@
   }
 
   /** Brings all of them and returns at the end of that time, when each has ended. */
-  void bring(List<Event> events, long length) throws InterruptedException {
-    long begun = Clock.micros();
+  void run(List<Event> events, long duration) throws InterruptedException {
+    long startedAt = Clock.micros();
     List<Thread> threads = new ArrayList<>();
     for (Event event : events) {
-      sleepUntil(begun + event.at());
-      Thread thread = new Thread(() -> bring(event), event.trouble().word());
+      sleepUntil(startedAt + event.at());
+      Thread thread = new Thread(() -> start(event), event.trouble().label());
       thread.setDaemon(true);
       thread.start();
       threads.add(thread);
     }
-    sleepUntil(begun + length);
+    sleepUntil(startedAt + duration);
     for (Thread thread : threads) {
       thread.join();
     }
@@ -90,41 +91,44 @@
   private static void sleepUntil(long at) throws InterruptedException {
     long left = at - Clock.micros();
     if (left > 0) {
-      Thread.sleep(left / MILLI);
+      Thread.sleep(left / MICROS_PER_MILLI);
     }
   }
 
-  private void bring(Event event) {
+  private void start(Event event) {
     SoakDispatcher dispatcher = run.dispatcher(event.target());
     SoakRunner runner = run.runner(event.target());
     try {
       switch (event.trouble()) {
-        case STOP -> holding(dispatcher, () -> stop(dispatcher, event));
-        case KILL -> holding(dispatcher, () -> kill(dispatcher, event));
-        case RELOAD -> holding(dispatcher, () -> news.signals(dispatcher, event, 3, 7));
-        case SIGNALS -> holding(dispatcher, () -> news.signals(dispatcher, event));
-        case NEWS_AMID_FAULT -> newsAmidFault(dispatcher, runner, event);
+        case STOP -> exclusively(dispatcher, () -> stopProcess(dispatcher, event));
+        case KILL -> exclusively(dispatcher, () -> killProcess(dispatcher, event));
+        case RELOAD ->
+          exclusively(dispatcher, () -> news.reloadRepeatedly(dispatcher, event, 3, 7));
+        case SIGNALS -> exclusively(dispatcher, () -> news.reloadRepeatedly(dispatcher, event));
+        case NEWS_AMID_FAULT -> deliverNewsDuringFault(dispatcher, runner, event);
         case CROWD ->
           new Crowd(dispatcher.listen())
-              .come(Crowd.Kind.values()[(int) Math.floorMod(event.draw(), 4L)], event.length());
+              .run(
+                  Crowd.Kind.values()[(int) Math.floorMod(event.randomBits(), 4L)],
+                  event.duration());
         case CROWD_WITHOUT_THREADS -> crowdWithoutThreads(dispatcher, event);
-        case LOG_SLOW -> logSlow(dispatcher, event);
-        case FILES -> files(dispatcher, event);
-        case PAUSE -> holding(dispatcher, () -> pause(dispatcher, event));
-        case DRAIN -> holding(runner, () -> drain(runner, event));
-        case RESTART -> holding(runner, () -> restart(runner, event));
-        case HANG -> runner.hang(event.length());
-        case LATE_CONNECT -> holding(runner, () -> lateConnect(runner, event));
-        case RESET -> reset(runner, event);
-        case SPOIL -> runner.spoil(event.length());
-        case REFUSE -> runner.refuse(event.length());
-        case LOG_SILENT -> logSilent(dispatcher, event);
-        case LEAVE -> leave(dispatcher, event);
-        case PIECES -> dispatcher.clients().inPieces(event.length());
-        case SYSTEM_CALLS -> systemCalls(dispatcher.control(), event);
-        case THREADS -> threads(dispatcher, event);
+        case LOG_SLOW -> slowLog(dispatcher, event);
+        case FILES -> failFileOpens(dispatcher, event);
+        case PAUSE -> exclusively(dispatcher, () -> pauseProcess(dispatcher, event));
+        case DRAIN -> exclusively(runner, () -> drainRunner(runner, event));
+        case RESTART -> exclusively(runner, () -> restartRunner(runner, event));
+        case HANG -> runner.hang(event.duration());
+        case LATE_CONNECT -> exclusively(runner, () -> delayConnects(runner, event));
+        case RESET -> resetConnections(runner, event);
+        case SPOIL -> runner.corruptAnswers(event.duration());
+        case REFUSE -> runner.refuseRequests(event.duration());
+        case LOG_SILENT -> silenceLog(dispatcher, event);
+        case LEAVE -> leaveEarly(dispatcher, event);
+        case PIECES -> dispatcher.clients().sendInPieces(event.duration());
+        case SYSTEM_CALLS -> failSocketCalls(dispatcher.control(), event);
+        case THREADS -> failThreadStarts(dispatcher, event);
         case SHORT_IO -> shortIo(dispatcher, event);
-        case CLOCK -> step(dispatcher.control(), event);
+        case CLOCK -> stepClock(dispatcher.control(), event);
         default -> throw new IllegalStateException("no such trouble: " + event.trouble());
       }
     } catch (IOException e) {
@@ -135,12 +139,12 @@
     }
   }
 
-  private void holding(Object what, Step step) throws IOException, InterruptedException {
-    if (busy.add(what)) {
+  private void exclusively(Object target, Step step) throws IOException, InterruptedException {
+    if (busy.add(target)) {
       try {
         step.run();
       } finally {
-        busy.remove(what);
+        busy.remove(target);
       }
     }
   }
@@ -148,33 +152,33 @@
   // ---- dispatchers
 
   /** A planned restart; in some a new configuration comes just before the signal, or just after it. */
-  private void stop(SoakDispatcher dispatcher, Event event)
+  private void stopProcess(SoakDispatcher dispatcher, Event event)
       throws IOException, InterruptedException {
-    long connecting =
-        LEAST_CONNECTING + Math.floorMod(event.draw() >> 8, MOST_CONNECTING - LEAST_CONNECTING);
-    long series = Math.floorMod(event.draw(), 4L);
-    if (series == 1) {
-      news.move(dispatcher);
-      Thread.sleep(Math.floorMod(event.draw() >> 3, MOST_BETWEEN_SIGNALS_MILLIS));
+    long connectingMicros = MIN_CONNECTING_MICROS
+        + Math.floorMod(event.randomBits() >> 8, MAX_CONNECTING_MICROS - MIN_CONNECTING_MICROS);
+    long variant = Math.floorMod(event.randomBits(), 4L);
+    if (variant == 1) {
+      news.moveChangeLog(dispatcher);
+      Thread.sleep(Math.floorMod(event.randomBits() >> 3, MAX_SIGNAL_GAP_MILLIS));
     }
-    long askedAt = Clock.micros();
+    long signalledAt = Clock.micros();
     dispatcher.signal("TERM");
-    if (series == 2) {
-      Thread.sleep(Math.floorMod(event.draw() >> 3, MOST_BETWEEN_SIGNALS_MILLIS));
-      news.move(dispatcher);
+    if (variant == 2) {
+      Thread.sleep(Math.floorMod(event.randomBits() >> 3, MAX_SIGNAL_GAP_MILLIS));
+      news.moveChangeLog(dispatcher);
     }
-    dispatcher.endAfter(askedAt, connecting);
-    startAgain(dispatcher, event);
+    dispatcher.finishStop(signalledAt, connectingMicros);
+    startProcess(dispatcher, event);
   }
 
-  private void kill(SoakDispatcher dispatcher, Event event)
+  private void killProcess(SoakDispatcher dispatcher, Event event)
       throws IOException, InterruptedException {
     dispatcher.kill();
-    dispatcher.clients().takeOut(true);
-    startAgain(dispatcher, event);
+    dispatcher.clients().setOutOfService(true);
+    startProcess(dispatcher, event);
   }
 
-  private void startAgain(SoakDispatcher dispatcher, Event event)
+  private void startProcess(SoakDispatcher dispatcher, Event event)
       throws IOException, InterruptedException {
     Control control = dispatcher.control();
     if (control != null) {
@@ -183,22 +187,22 @@
       control.set(Fault.THREAD_RATE, 0);
       control.set(Fault.OPEN_RATE, 0);
     }
-    run.configure(dispatcher);
+    run.writeConfig(dispatcher);
     dispatcher.start();
-    if (Math.floorMod(event.draw() >> 16, 2L) == 0) {
-      signalWhileStarting(dispatcher, event.draw() >> 20);
+    if (Math.floorMod(event.randomBits() >> 16, 2L) == 0) {
+      signalWhileStarting(dispatcher, event.randomBits() >> 20);
     }
     dispatcher.awaitReady();
-    dispatcher.clients().takeOut(false);
+    dispatcher.clients().setOutOfService(false);
   }
 
   /** A new configuration for a process that has just started, at a moment of its first second. */
   private void signalWhileStarting(SoakDispatcher dispatcher, long draw) {
     FaultProxy.start("signal-while-starting", () -> {
       try {
-        Thread.sleep(FIRST_SIGNAL_MILLIS + Math.floorMod(draw, SIGNALS_WITHIN_MILLIS));
+        Thread.sleep(MIN_SIGNAL_DELAY_MILLIS + Math.floorMod(draw, SIGNAL_DELAY_SPREAD_MILLIS));
         if (!dispatcher.isReady()) {
-          news.move(dispatcher);
+          news.moveChangeLog(dispatcher);
         }
       } catch (IOException e) {
         System.err.println("the soak's own: a signal while starting: " + e);
@@ -208,104 +212,119 @@
     });
   }
 
-  private void newsAmidFault(SoakDispatcher dispatcher, SoakRunner runner, Event event)
+  private void deliverNewsDuringFault(SoakDispatcher dispatcher, SoakRunner runner, Event event)
       throws IOException, InterruptedException {
-    switch (NewsTroubles.news(event)) {
+    switch (NewsTroubles.newsOf(event)) {
       case RELOAD ->
-        holding(dispatcher, () -> news.amidFault(dispatcher, event, () -> news.reload(dispatcher)));
+        exclusively(
+            dispatcher,
+            () -> news.deliverDuringFault(dispatcher, event, () -> news.reload(dispatcher)));
       case STOP ->
-        holding(dispatcher, () -> news.amidFault(dispatcher, event, () -> stop(dispatcher, event)));
+        exclusively(
+            dispatcher,
+            () -> news.deliverDuringFault(dispatcher, event, () -> stopProcess(dispatcher, event)));
       case DRAIN ->
-        holding(runner, () -> news.amidFault(dispatcher, event, () -> drain(runner, event)));
-      default -> news.amidFault(dispatcher, event, () -> reset(runner, event));
+        exclusively(
+            runner,
+            () -> news.deliverDuringFault(dispatcher, event, () -> drainRunner(runner, event)));
+      default -> news.deliverDuringFault(dispatcher, event, () -> resetConnections(runner, event));
     }
   }
 
-  private void pause(SoakDispatcher dispatcher, Event event)
+  private void pauseProcess(SoakDispatcher dispatcher, Event event)
       throws IOException, InterruptedException {
     long from = Clock.micros();
     dispatcher.signal("STOP");
-    Thread.sleep(Math.min(event.length(), MOST_PAUSE) / MILLI);
+    Thread.sleep(Math.min(event.duration(), MAX_PAUSE_MICROS) / MICROS_PER_MILLI);
     dispatcher.signal("CONT");
-    run.evidence().pause(dispatcher.number(), new Evidence.Span(from, Clock.micros()));
+    run.evidence().addPause(dispatcher.number(), new Evidence.Span(from, Clock.micros()));
   }
 
   /**
    * Clients of one dispatcher leave, or of all: then some surely do while another trouble holds their dispatcher up.
    */
-  private void leave(SoakDispatcher dispatcher, Event event) {
-    if (event.draw() % 2 == 0) {
-      dispatcher.clients().leave(event.length());
+  private void leaveEarly(SoakDispatcher dispatcher, Event event) {
+    if (event.randomBits() % 2 == 0) {
+      dispatcher.clients().leaveEarly(event.duration());
     } else {
-      run.dispatchers().forEach(each -> each.clients().leave(event.length()));
+      run.dispatchers().forEach(each -> each.clients().leaveEarly(event.duration()));
     }
   }
 
   // ---- runners
 
-  private void drain(SoakRunner runner, Event event) throws IOException, InterruptedException {
-    run.log().drains(runner);
-    Thread.sleep(event.length() / MILLI);
-    run.log().gone(runner);
-    Thread.sleep(Math.floorMod(event.draw(), 900));
+  private void drainRunner(SoakRunner runner, Event event)
+      throws IOException, InterruptedException {
+    run.log().announceDrain(runner);
+    Thread.sleep(event.duration() / MICROS_PER_MILLI);
+    run.log().announceGone(runner);
+    Thread.sleep(Math.floorMod(event.randomBits(), 900));
     // Another one at the address of the one that has gone.
-    runner.restart(runner.uid().split("-")[0] + "-" + event.at() / MILLI);
-    run.log().started(runner);
+    runner.restart(runner.uid().split("-")[0] + "-" + event.at() / MICROS_PER_MILLI);
+    run.log().announceStart(runner);
   }
 
-  private void restart(SoakRunner runner, Event event) throws IOException, InterruptedException {
-    runner.proxy().refuse();
+  private void restartRunner(SoakRunner runner, Event event)
+      throws IOException, InterruptedException {
+    runner.proxy().refuseConnections();
     runner.proxy().resetAll();
-    Thread.sleep(Math.floorMod(event.draw(), 600));
+    Thread.sleep(Math.floorMod(event.randomBits(), 600));
     runner.restart(runner.uid());
-    runner.proxy().takeAgain();
-    run.log().started(runner);
+    runner.proxy().acceptAgain();
+    run.log().announceStart(runner);
   }
 
-  private void lateConnect(SoakRunner runner, Event event)
+  private void delayConnects(SoakRunner runner, Event event)
       throws IOException, InterruptedException {
-    runner.proxy().comeUpLate();
+    runner.proxy().blockConnections();
     runner.proxy().resetAll();
-    Thread.sleep(Math.min(event.length(), MOST_LATE) / MILLI);
-    runner.proxy().comeUp();
+    Thread.sleep(Math.min(event.duration(), MAX_CONNECT_DELAY_MICROS) / MICROS_PER_MILLI);
+    runner.proxy().unblockConnections();
   }
 
-  private void reset(SoakRunner runner, Event event) throws InterruptedException {
-    for (int i = 0; i <= Math.floorMod(event.draw(), 3); i++) {
+  private void resetConnections(SoakRunner runner, Event event) throws InterruptedException {
+    for (int i = 0; i <= Math.floorMod(event.randomBits(), 3); i++) {
       runner.proxy().resetAll();
-      Thread.sleep(Math.floorMod(event.draw() >> 8, 200));
+      Thread.sleep(Math.floorMod(event.randomBits() >> 8, 200));
     }
   }
 
   // ---- the change log
 
-  private void logSilent(SoakDispatcher dispatcher, Event event) throws IOException {
+  private void silenceLog(SoakDispatcher dispatcher, Event event) throws IOException {
     FaultProxy proxy = run.log().proxy(dispatcher.number());
     long now = Clock.micros();
-    if (event.draw() % 2 == 0) {
+    if (event.randomBits() % 2 == 0) {
       run.evidence()
-          .logTrouble(dispatcher.number(), new Evidence.Span(now - MILLI, now + event.length()));
-      proxy.hold(event.length());
+          .addLogTrouble(
+              dispatcher.number(),
+              new Evidence.Span(now - MICROS_PER_MILLI, now + event.duration()));
+      proxy.hold(event.duration());
     } else {
       run.evidence()
-          .logTrouble(dispatcher.number(), new Evidence.Span(now - MILLI, now + 1_000 * MILLI));
+          .addLogTrouble(
+              dispatcher.number(),
+              new Evidence.Span(now - MICROS_PER_MILLI, now + 1_000 * MICROS_PER_MILLI));
       proxy.resetAll();
     }
   }
 
   /** The log answers each new connection late, or takes new connections late, for some seconds. */
-  private void logSlow(SoakDispatcher dispatcher, Event event)
+  private void slowLog(SoakDispatcher dispatcher, Event event)
       throws IOException, InterruptedException {
     FaultProxy proxy = run.log().proxy(dispatcher.number());
     long now = Clock.micros();
     run.evidence()
-        .slowLog(
+        .addSlowLog(
             dispatcher.number(),
             // What was asked just before its end is answered that much after it.
-            new Evidence.Span(now - MILLI, now + SLOW_FOR + event.length() + MOST_SLOW));
-    proxy.delayFirstAnswer(LEAST_SLOW + Math.floorMod(event.draw(), MOST_SLOW - LEAST_SLOW));
+            new Evidence.Span(
+                now - MICROS_PER_MILLI,
+                now + MIN_SLOW_LOG_MICROS + event.duration() + MAX_LOG_DELAY_MICROS));
+    proxy.delayFirstAnswer(MIN_LOG_DELAY_MICROS
+        + Math.floorMod(event.randomBits(), MAX_LOG_DELAY_MICROS - MIN_LOG_DELAY_MICROS));
     proxy.resetAll();
-    Thread.sleep((SLOW_FOR + event.length()) / MILLI);
+    Thread.sleep((MIN_SLOW_LOG_MICROS + event.duration()) / MICROS_PER_MILLI);
     proxy.delayFirstAnswer(0);
   }
 
@@ -315,30 +334,31 @@
     return all[(int) Math.floorMod(draw, (long) all.length)];
   }
 
-  private static void systemCalls(Control control, Event event) throws InterruptedException {
+  private static void failSocketCalls(Control control, Event event) throws InterruptedException {
     if (control == null) {
       return;
     }
-    long rate = 300 + Math.floorMod(event.draw(), 300);
-    control.set(Fault.ACCEPT_ERRNO, oneOf(ACCEPT_ERRORS, event.draw() >> 3));
-    control.set(Fault.CONNECT_ERRNO, oneOf(CONNECT_ERRORS, event.draw() >> 6));
-    control.set(Fault.SOCKET_ERRNO, oneOf(SOCKET_ERRORS, event.draw() >> 9));
+    long rate = 300 + Math.floorMod(event.randomBits(), 300);
+    control.set(Fault.ACCEPT_ERRNO, oneOf(ACCEPT_ERRNOS, event.randomBits() >> 3));
+    control.set(Fault.CONNECT_ERRNO, oneOf(CONNECT_ERRNOS, event.randomBits() >> 6));
+    control.set(Fault.SOCKET_ERRNO, oneOf(SOCKET_ERRNOS, event.randomBits() >> 9));
     control.set(Fault.ACCEPT_RATE, rate);
     control.set(Fault.CONNECT_RATE, rate);
     control.set(Fault.SOCKET_RATE, rate);
-    Thread.sleep(event.length() / MILLI);
+    Thread.sleep(event.duration() / MICROS_PER_MILLI);
     control.set(Fault.ACCEPT_RATE, 0);
     control.set(Fault.CONNECT_RATE, 0);
     control.set(Fault.SOCKET_RATE, 0);
   }
 
-  private static void threads(SoakDispatcher dispatcher, Event event) throws InterruptedException {
+  private static void failThreadStarts(SoakDispatcher dispatcher, Event event)
+      throws InterruptedException {
     Control control = dispatcher.control();
     if (control == null || !dispatcher.isReady()) {
       return;
     }
-    control.set(Fault.THREAD_RATE, event.draw() % 2 == 0 ? ALL : ALL / 2);
-    Thread.sleep(event.length() / MILLI);
+    control.set(Fault.THREAD_RATE, event.randomBits() % 2 == 0 ? EVERY_CALL : EVERY_CALL / 2);
+    Thread.sleep(event.duration() / MICROS_PER_MILLI);
     control.set(Fault.THREAD_RATE, 0);
   }
 
@@ -349,35 +369,36 @@
     if (control == null || !dispatcher.isReady()) {
       return;
     }
-    long micros = CROWD_STAYS + event.length();
-    AtomicBoolean over = new AtomicBoolean();
+    long micros = MIN_CROWD_MICROS + event.duration();
+    AtomicBoolean ended = new AtomicBoolean();
     FaultProxy.start("reconnects", () -> {
-      while (!over.get()) {
-        dispatcher.clients().reconnect();
-        LockSupport.parkNanos(RECONNECT_NANOS);
+      while (!ended.get()) {
+        dispatcher.clients().closeIdleConnections();
+        LockSupport.parkNanos(RECONNECT_INTERVAL_NANOS);
       }
     });
-    control.set(Fault.THREAD_RATE, ALL);
-    run.runners().forEach(runner -> runner.slowerBy(SLOWER_MILLIS));
+    control.set(Fault.THREAD_RATE, EVERY_CALL);
+    run.runners().forEach(runner -> runner.setExtraWorkMillis(EXTRA_WORK_MILLIS));
     try {
-      Crowd.Kind kind = event.draw() % 2 == 0 ? Crowd.Kind.SILENT : Crowd.Kind.RESTING;
-      new Crowd(dispatcher.listen()).come(kind, micros);
+      Crowd.Kind kind = event.randomBits() % 2 == 0 ? Crowd.Kind.SILENT : Crowd.Kind.RESTING;
+      new Crowd(dispatcher.listen()).run(kind, micros);
     } finally {
-      over.set(true);
-      run.runners().forEach(runner -> runner.slowerBy(0));
+      ended.set(true);
+      run.runners().forEach(runner -> runner.setExtraWorkMillis(0));
       control.set(Fault.THREAD_RATE, 0);
     }
   }
 
   /** The system opens no file for a moment. */
-  private static void files(SoakDispatcher dispatcher, Event event) throws InterruptedException {
+  private static void failFileOpens(SoakDispatcher dispatcher, Event event)
+      throws InterruptedException {
     Control control = dispatcher.control();
     if (control == null || !dispatcher.isReady()) {
       return;
     }
-    control.set(Fault.OPEN_ERRNO, oneOf(OPEN_ERRORS, event.draw()));
-    control.set(Fault.OPEN_RATE, ALL);
-    Thread.sleep(event.length() / MILLI);
+    control.set(Fault.OPEN_ERRNO, oneOf(OPEN_ERRNOS, event.randomBits()));
+    control.set(Fault.OPEN_RATE, EVERY_CALL);
+    Thread.sleep(event.duration() / MICROS_PER_MILLI);
     control.set(Fault.OPEN_RATE, 0);
   }
 
@@ -387,29 +408,30 @@
       return;
     }
     long from = Clock.micros();
-    boolean breaks = event.draw() % 2 == 0;
-    control.set(Fault.BROKEN_ERRNO, oneOf(BROKEN_ERRORS, event.draw() >> 3));
+    boolean breaksConnections = event.randomBits() % 2 == 0;
+    control.set(Fault.BROKEN_ERRNO, oneOf(BROKEN_ERRNOS, event.randomBits() >> 3));
     control.set(Fault.SHORT_RATE, 300);
     control.set(Fault.INTERRUPT_RATE, 100);
-    control.set(Fault.BROKEN_RATE, breaks ? 3 : 0);
-    Thread.sleep(event.length() / MILLI);
+    control.set(Fault.BROKEN_RATE, breaksConnections ? 3 : 0);
+    Thread.sleep(event.duration() / MICROS_PER_MILLI);
     control.set(Fault.SHORT_RATE, 0);
     control.set(Fault.INTERRUPT_RATE, 0);
     control.set(Fault.BROKEN_RATE, 0);
-    if (breaks) {
+    if (breaksConnections) {
       // Its system told it that clients' connections had broken: their ends are none of its own.
       run.evidence()
-          .clientCut(dispatcher.number(), new Evidence.Span(from, Clock.micros() + 50 * MILLI));
+          .addClientCut(
+              dispatcher.number(), new Evidence.Span(from, Clock.micros() + 50 * MICROS_PER_MILLI));
     }
   }
 
-  private static void step(Control control, Event event) throws InterruptedException {
+  private static void stepClock(Control control, Event event) throws InterruptedException {
     if (control == null) {
       return;
     }
-    control.set(Fault.WALL_OFFSET_MS, oneOf(STEPS_MILLIS, event.draw()));
-    if (event.draw() % 2 == 0) {
-      Thread.sleep(event.length() / MILLI);
+    control.set(Fault.WALL_OFFSET_MS, oneOf(CLOCK_STEPS_MILLIS, event.randomBits()));
+    if (event.randomBits() % 2 == 0) {
+      Thread.sleep(event.duration() / MICROS_PER_MILLI);
       control.set(Fault.WALL_OFFSET_MS, 0);
     }
   }
--- a/soak/src/test/java/gorseladder/soak/CrowdTest.java
+++ b/soak/src/test/java/gorseladder/soak/CrowdTest.java
@@ -20,11 +20,11 @@
 
 /** Crowds of clients at one dispatcher, and what the usual clients see of it. */
 class CrowdTest {
-  private static final int ALL = 1_000;
+  private static final int EVERY_CALL = 1_000;
   /** What a stop leaves of the time to the earliest kill where only silent clients and half requests are left. */
-  private static final long LEFT_MILLIS = 180;
+  private static final long MIN_TIME_LEFT_MILLIS = 180;
 
-  private static final Pattern STOPPED = Pattern.compile(" stops after ([0-9]+) ms");
+  private static final Pattern STOP_LINE = Pattern.compile(" stops after ([0-9]+) ms");
 
   @TempDir
   Path dir;
@@ -45,7 +45,7 @@
     }
   }
 
-  private Socket join() throws IOException {
+  private Socket connect() throws IOException {
     Socket socket = new Socket();
     socket.connect(dispatcher.process.listen(), 1_000);
     crowd.add(socket);
@@ -58,17 +58,17 @@
    */
   @Test
   void aCrowdWhileNoThreadCanBeStartedCostsNoAnswer() throws Exception {
-    dispatcher.set(Fault.THREAD_RATE, ALL);
+    dispatcher.set(Fault.THREAD_RATE, EVERY_CALL);
     for (int i = 0; i < 60; i++) {
-      join();
+      connect();
       if (i % 20 == 19) {
-        dispatcher.process.clients().reconnect();
+        dispatcher.process.clients().closeIdleConnections();
         Thread.sleep(700);
       }
     }
     Thread.sleep(1_500);
     dispatcher.set(Fault.THREAD_RATE, 0);
-    assertEquals(List.of(), dispatcher.judge(), dispatcher::said);
+    assertEquals(List.of(), dispatcher.judge(), dispatcher::logText);
   }
 
   /**
@@ -79,32 +79,32 @@
   void idleConnectionsToRunnersGiveTheirThreadsToClientsThatAsk() throws Exception {
     dispatcher.close();
     dispatcher = new OneDispatcher(Files.createDirectory(dir.resolve("many")), 12);
-    dispatcher.set(Fault.THREAD_RATE, ALL);
-    dispatcher.runners.forEach(runner -> runner.slowerBy(100));
+    dispatcher.set(Fault.THREAD_RATE, EVERY_CALL);
+    dispatcher.runners.forEach(runner -> runner.setExtraWorkMillis(100));
     for (int i = 0; i < 80; i++) {
       if (i < 60) {
-        join();
+        connect();
       }
-      dispatcher.process.clients().reconnect();
+      dispatcher.process.clients().closeIdleConnections();
       Thread.sleep(50);
     }
     Thread.sleep(1_500);
     dispatcher.set(Fault.THREAD_RATE, 0);
-    assertEquals(List.of(), dispatcher.judge(), dispatcher::said);
+    assertEquals(List.of(), dispatcher.judge(), dispatcher::logText);
   }
 
   /** Clients that asked once and stay give their threads to those that ask. */
   @Test
   void clientsThatRestGiveTheirThreadsToClientsThatAsk() throws Exception {
-    dispatcher.set(Fault.THREAD_RATE, ALL);
+    dispatcher.set(Fault.THREAD_RATE, EVERY_CALL);
     for (int i = 0; i < 60; i++) {
-      Crowd.askOnce(join());
-      dispatcher.process.clients().reconnect();
+      Crowd.askIfLive(connect());
+      dispatcher.process.clients().closeIdleConnections();
       Thread.sleep(50);
     }
     Thread.sleep(1_000);
     dispatcher.set(Fault.THREAD_RATE, 0);
-    assertEquals(List.of(), dispatcher.judge(), dispatcher::said);
+    assertEquals(List.of(), dispatcher.judge(), dispatcher::logText);
   }
 
   /**
@@ -115,42 +115,43 @@
   void aCallWhoseRunnerHasNoConnectionWaitsForAThread() throws Exception {
     dispatcher.close();
     dispatcher = new OneDispatcher(Files.createDirectory(dir.resolve("many")), 12);
-    dispatcher.set(Fault.THREAD_RATE, ALL);
-    dispatcher.runners.forEach(runner -> runner.slowerBy(100));
-    long since = Clock.micros();
+    dispatcher.set(Fault.THREAD_RATE, EVERY_CALL);
+    dispatcher.runners.forEach(runner -> runner.setExtraWorkMillis(100));
+    long startedAt = Clock.micros();
     for (int i = 0; i < 80; i++) {
-      Crowd.askOnce(join());
+      Crowd.askIfLive(connect());
       if (i % 5 == 0) {
         dispatcher.runners.forEach(runner -> runner.proxy().resetAll());
       }
-      dispatcher.process.clients().reconnect();
+      dispatcher.process.clients().closeIdleConnections();
       Thread.sleep(50);
     }
     Thread.sleep(1_500);
     dispatcher.set(Fault.THREAD_RATE, 0);
-    assertEquals(List.of(), dispatcher.judge(), dispatcher::said);
-    List<Evidence.Asked> asked =
-        dispatcher.evidence.requests().stream().filter(r -> r.sentAt > since).toList();
-    long refused = asked.stream()
+    assertEquals(List.of(), dispatcher.judge(), dispatcher::logText);
+    List<Evidence.ClientRequest> requests = dispatcher.evidence.requests().stream()
+        .filter(r -> r.sentAt > startedAt)
+        .toList();
+    long refused = requests.stream()
         .filter(r -> r.refused() && dispatcher.evidence.attempts(r.id).isEmpty())
         .count();
-    assertEquals(0, refused, () -> "refused unsent, of " + asked.size());
+    assertEquals(0, refused, () -> "refused unsent, of " + requests.size());
   }
 
   /** 190 connections, under a third of the descriptors told, each with 32 requests whose body lacks its end. */
   @Test
   void halfSentRequestsOfACrowdCostNoOtherClientItsAnswer() throws Exception {
     for (int i = 0; i < 190; i++) {
-      Crowd.sendHalves(join());
+      Crowd.sendPartialRequests(connect());
     }
     for (int i = 0; i < 40; i++) {
       crowd.remove(0).close();
-      Crowd.sendHalves(join());
+      Crowd.sendPartialRequests(connect());
       Thread.sleep(50);
     }
     Thread.sleep(1_500);
     dispatcher.process.stop(0);
-    assertEquals(List.of(), dispatcher.judge(), dispatcher::said);
+    assertEquals(List.of(), dispatcher.judge(), dispatcher::logText);
   }
 
   /**
@@ -160,16 +161,16 @@
   @Test
   void aStopWaitsForNoClientThatIsOwedNothing() throws Exception {
     for (int i = 0; i < 20; i++) {
-      join();
-      Crowd.sendHalves(join());
+      connect();
+      Crowd.sendPartialRequests(connect());
     }
     dispatcher.process.stop(0);
-    Matcher stopped = STOPPED.matcher(dispatcher.said());
-    assertTrue(stopped.find(), dispatcher::said);
-    long kill = (SoakConfig.LONGEST_DEADLINE + SoakConfig.KILL_MARGIN) / 1_000;
+    Matcher stopped = STOP_LINE.matcher(dispatcher.logText());
+    assertTrue(stopped.find(), dispatcher::logText);
+    long kill = (SoakConfig.MAX_DEADLINE_MICROS + SoakConfig.KILL_GRACE_MICROS) / 1_000;
     long left = kill - Long.parseLong(stopped.group(1));
-    assertTrue(left >= LEFT_MILLIS, "only " + left + " ms were left");
-    assertEquals(List.of(), dispatcher.judge(), dispatcher::said);
+    assertTrue(left >= MIN_TIME_LEFT_MILLIS, "only " + left + " ms were left");
+    assertEquals(List.of(), dispatcher.judge(), dispatcher::logText);
   }
 
   /**
@@ -182,14 +183,14 @@
       long from = Clock.micros();
       dispatcher.process.signal("STOP");
       for (int i = 0; i < 500; i++) {
-        join().close();
+        connect().close();
       }
-      dispatcher.process.clients().reconnect();
+      dispatcher.process.clients().closeIdleConnections();
       Thread.sleep(900);
       dispatcher.process.signal("CONT");
-      dispatcher.evidence.pause(0, new Evidence.Span(from, Clock.micros()));
+      dispatcher.evidence.addPause(0, new Evidence.Span(from, Clock.micros()));
       Thread.sleep(1_000);
     }
-    assertEquals(List.of(), dispatcher.judge(), dispatcher::said);
+    assertEquals(List.of(), dispatcher.judge(), dispatcher::logText);
   }
 }
--- a/soak/src/test/java/gorseladder/soak/NewsToldOnceTest.java
+++ b/soak/src/test/java/gorseladder/soak/NewsToldOnceTest.java
@@ -17,9 +17,9 @@
 
 /** What a dispatcher is told once, at a moment at which its system fails it or the other side is slow. */
 class NewsToldOnceTest {
-  private static final long SECOND = 1_000_000;
-  private static final int ALL = 1_000;
-  private static final long FAILING_MILLIS = 400;
+  private static final long MICROS_PER_SECOND = 1_000_000;
+  private static final int EVERY_CALL = 1_000;
+  private static final long FAULT_MILLIS = 400;
 
   @TempDir
   Path dir;
@@ -39,11 +39,11 @@
   /** Incident-1: no thread can be started when SIGHUP comes, and the machine handles each signal on a new thread. */
   @Test
   void aNewConfigurationIsFollowedThoughItsSignalFindsNoThread() throws Exception {
-    dispatcher.set(Fault.THREAD_RATE, ALL);
+    dispatcher.set(Fault.THREAD_RATE, EVERY_CALL);
     dispatcher.moveChangeLog();
-    Thread.sleep(FAILING_MILLIS);
+    Thread.sleep(FAULT_MILLIS);
     dispatcher.set(Fault.THREAD_RATE, 0);
-    assertEquals(List.of(), dispatcher.drainAfterTheMove(), dispatcher::said);
+    assertEquals(List.of(), dispatcher.drainAfterTheMove(), dispatcher::logText);
   }
 
   /** Errors: EMFILE, ENFILE, EIO. */
@@ -51,37 +51,37 @@
   @ValueSource(ints = {24, 23, 5})
   void aNewConfigurationIsFollowedThoughItCannotBeOpenedAtFirst(int error) throws Exception {
     dispatcher.set(Fault.OPEN_ERRNO, error);
-    dispatcher.set(Fault.OPEN_RATE, ALL);
+    dispatcher.set(Fault.OPEN_RATE, EVERY_CALL);
     dispatcher.moveChangeLog();
-    Thread.sleep(FAILING_MILLIS);
+    Thread.sleep(FAULT_MILLIS);
     dispatcher.set(Fault.OPEN_RATE, 0);
-    assertEquals(List.of(), dispatcher.drainAfterTheMove(), dispatcher::said);
+    assertEquals(List.of(), dispatcher.drainAfterTheMove(), dispatcher::logText);
   }
 
   /** A log that takes 2.6 s to its first line, at its old and its new address, is heard all the same. */
   @Test
   void aSlowChangeLogIsHeard() throws Exception {
     dispatcher.log.proxy(0).delayFirstAnswer(2_600_000);
-    FaultProxy next = dispatcher.moveChangeLog();
-    next.delayFirstAnswer(2_600_000);
-    assertEquals(List.of(), dispatcher.drainAfterTheMove(), dispatcher::said);
-    assertTrue(next.accepted() <= 3, next.accepted() + " connections");
+    FaultProxy newProxy = dispatcher.moveChangeLog();
+    newProxy.delayFirstAnswer(2_600_000);
+    assertEquals(List.of(), dispatcher.drainAfterTheMove(), dispatcher::logText);
+    assertTrue(newProxy.acceptedCount() <= 3, newProxy.acceptedCount() + " connections");
   }
 
   /** No thread can be started when SIGTERM comes. */
   @Test
   void aStopIsCarriedOutThoughItsSignalFindsNoThread() throws Exception {
-    dispatcher.set(Fault.THREAD_RATE, ALL);
+    dispatcher.set(Fault.THREAD_RATE, EVERY_CALL);
     FaultProxy.start("threads-again", () -> {
       try {
-        Thread.sleep(FAILING_MILLIS);
+        Thread.sleep(FAULT_MILLIS);
         dispatcher.set(Fault.THREAD_RATE, 0);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
     });
-    dispatcher.process.stop(SECOND / 2);
-    assertEquals(List.of(), dispatcher.judge(), dispatcher::said);
+    dispatcher.process.stop(MICROS_PER_SECOND / 2);
+    assertEquals(List.of(), dispatcher.judge(), dispatcher::logText);
   }
 
   /** A process that finds no socket as it starts (ENFILE) begins to listen once there is one. */
@@ -89,12 +89,12 @@
   void aStartOutlivesAMomentWithoutSockets() throws Exception {
     dispatcher.process.stop(0);
     dispatcher.set(Fault.SOCKET_ERRNO, 23);
-    dispatcher.set(Fault.SOCKET_RATE, ALL);
+    dispatcher.set(Fault.SOCKET_RATE, EVERY_CALL);
     dispatcher.process.start();
     Thread.sleep(1_800);
     dispatcher.set(Fault.SOCKET_RATE, 0);
     dispatcher.process.awaitReady();
-    assertTrue(dispatcher.process.isReady(), dispatcher::said);
+    assertTrue(dispatcher.process.isReady(), dispatcher::logText);
   }
 
   /**
@@ -105,15 +105,15 @@
   @Test
   void aFirstFailedConnectWhileNoFileCanBeOpenedBreaksNothing() throws Exception {
     dispatcher.set(Fault.OPEN_ERRNO, 24);
-    dispatcher.set(Fault.OPEN_RATE, ALL);
-    FaultProxy down = dispatcher.runners.get(1).proxy();
-    down.refuse();
-    down.resetAll();
-    Thread.sleep(FAILING_MILLIS);
+    dispatcher.set(Fault.OPEN_RATE, EVERY_CALL);
+    FaultProxy refusingProxy = dispatcher.runners.get(1).proxy();
+    refusingProxy.refuseConnections();
+    refusingProxy.resetAll();
+    Thread.sleep(FAULT_MILLIS);
     dispatcher.set(Fault.OPEN_RATE, 0);
-    Thread.sleep(FAILING_MILLIS);
-    down.takeAgain();
-    assertEquals(List.of(), dispatcher.judge(), dispatcher::said);
-    assertFalse(dispatcher.said().contains("Error: "), dispatcher::said);
+    Thread.sleep(FAULT_MILLIS);
+    refusingProxy.acceptAgain();
+    assertEquals(List.of(), dispatcher.judge(), dispatcher::logText);
+    assertFalse(dispatcher.logText().contains("Error: "), dispatcher::logText);
   }
 }
--- a/soak/src/test/java/gorseladder/soak/OneDispatcher.java
+++ b/soak/src/test/java/gorseladder/soak/OneDispatcher.java
@@ -16,9 +16,9 @@
   private static final double CALLS_PER_SECOND = 40;
   private static final int RUNNERS = 4;
   /** The platform counts news of a new configuration as told so long after the signal. */
-  private static final long TOLD_AFTER_SIGNAL_MILLIS = 4_000;
+  private static final long FOLLOW_TIMEOUT_MILLIS = 4_000;
 
-  private static final long OLD_LOG_MILLIS = 1_500;
+  private static final long OLD_ADDRESS_MILLIS = 1_500;
   /** The longest time of a request, what an answer may be late, and some. */
   private static final long LAST_ANSWERS_MILLIS = 2_300;
 
@@ -26,7 +26,7 @@
   final List<SoakRunner> runners = new ArrayList<>();
   final ChangeLogs log;
   final SoakDispatcher process;
-  private final ScheduledExecutorService clock = Executors.newScheduledThreadPool(4);
+  private final ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(4);
   private final Path folder;
 
   /** Starts everything; traffic runs when this returns. */
@@ -38,22 +38,22 @@
   OneDispatcher(Path folder, int count) throws IOException, InterruptedException {
     this.folder = folder;
     for (int i = 0; i < count; i++) {
-      runners.add(new SoakRunner("r" + i, evidence, clock));
+      runners.add(new SoakRunner("r" + i, evidence, scheduler));
     }
     log = new ChangeLogs(runners);
     Preload preload = Preload.build(folder).orElseThrow(() -> new IOException("no C compiler"));
     process = new SoakDispatcher(0, RunLine.read(ROOT), ROOT, folder, evidence, preload);
-    configure();
+    writeConfig();
     process.start();
     process.awaitReady();
     process.clients(new SoakClients(0, process.listen(), evidence, 5, CALLS_PER_SECOND));
-    process.clients().begin();
+    process.clients().start();
     Thread.sleep(1_000);
   }
 
   /** Lays down its configuration as things are now. */
-  void configure() throws IOException {
-    process.configure(SoakConfig.text(0, 1, 7, log.proxy(0).address(), log.known()));
+  void writeConfig() throws IOException {
+    process.writeConfig(SoakConfig.json(0, 1, 7, log.proxy(0).address(), log.knownEvents()));
   }
 
   void set(Preload.Fault fault, long value) {
@@ -62,14 +62,14 @@
 
   /** Moves the change log to another address, which the dispatcher is told of by its configuration and one signal. */
   FaultProxy moveChangeLog() throws IOException, InterruptedException {
-    FaultProxy old = log.replace(0);
-    configure();
+    FaultProxy oldProxy = log.replaceProxy(0);
+    writeConfig();
     process.signal("HUP");
-    old.refuse();
+    oldProxy.refuseConnections();
     FaultProxy.start("old-log", () -> {
       try {
-        Thread.sleep(OLD_LOG_MILLIS);
-        old.resetAll();
+        Thread.sleep(OLD_ADDRESS_MILLIS);
+        oldProxy.resetAll();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -79,10 +79,10 @@
 
   /** Drains a runner once all that a signal told counts as told; what then went against the rule on drains. */
   List<Finding> drainAfterTheMove() throws InterruptedException {
-    Thread.sleep(TOLD_AFTER_SIGNAL_MILLIS);
-    log.drains(runners.get(0));
+    Thread.sleep(FOLLOW_TIMEOUT_MILLIS);
+    log.announceDrain(runners.get(0));
     Thread.sleep(1_500);
-    return Oracle.judge(evidence, log.told()).findings().stream()
+    return Oracle.judge(evidence, log.changes()).findings().stream()
         .filter(finding -> finding.rule() == SoakRule.DRAIN)
         .toList();
   }
@@ -91,11 +91,11 @@
   List<Finding> judge() throws InterruptedException {
     process.clients().stop();
     Thread.sleep(LAST_ANSWERS_MILLIS);
-    return Oracle.judge(evidence, log.told()).findings();
+    return Oracle.judge(evidence, log.changes()).findings();
   }
 
   /** What it wrote to its log. */
-  String said() {
+  String logText() {
     try {
       return Files.readString(folder.resolve("n0").resolve("log0"));
     } catch (IOException e) {
@@ -106,8 +106,8 @@
   @Override
   public void close() throws IOException {
     process.close();
-    clock.shutdownNow();
-    evidence.ownStalls().close();
+    scheduler.shutdownNow();
+    evidence.stallMonitor().close();
     for (SoakRunner runner : runners) {
       runner.close();
     }
--- a/soak/src/test/java/gorseladder/soak/StartWithoutThreadsTest.java
+++ b/soak/src/test/java/gorseladder/soak/StartWithoutThreadsTest.java
@@ -30,10 +30,10 @@
   private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
 
   /** The machine starts twelve threads before {@code main}; the ones after that are the program's first. */
-  private static final int STARTS = 16;
+  private static final int MAX_FIRST_FAILED_START = 16;
 
   private static final int[] SHORTAGES_MILLIS = {30, 100, 300};
-  private static final long FOR_EVER_MILLIS = 1_000_000;
+  private static final long ENDLESS_MILLIS = 1_000_000;
   private static final int CANNOT_START = 1;
   private static final int ENDED_BY_TERM = 143;
   private static final int ENDED_BY_INT = 130;
@@ -48,7 +48,7 @@
   Path dir;
 
   private final Evidence evidence = new Evidence();
-  private final ScheduledExecutorService clock = Executors.newScheduledThreadPool(1);
+  private final ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(1);
   private final List<SoakRunner> runners = new ArrayList<>();
   private ChangeLogs log;
   private SoakDispatcher dispatcher;
@@ -66,35 +66,35 @@
 
   @BeforeEach
   void prepare() throws Exception {
-    runners.add(new SoakRunner("r0", evidence, clock));
+    runners.add(new SoakRunner("r0", evidence, scheduler));
     log = new ChangeLogs(runners);
     String command = RunLine.withLauncher(RunLine.read(ROOT), launcher);
     dispatcher = new SoakDispatcher(0, command, ROOT, dir, evidence, preload);
-    dispatcher.configure(SoakConfig.text(0, 1, 7, log.proxy(0).address(), log.known()));
+    dispatcher.writeConfig(SoakConfig.json(0, 1, 7, log.proxy(0).address(), log.knownEvents()));
   }
 
   @AfterEach
   void end() throws IOException {
     dispatcher.close();
-    clock.shutdownNow();
-    evidence.ownStalls().close();
+    scheduler.shutdownNow();
+    evidence.stallMonitor().close();
     runners.get(0).close();
     log.close();
   }
 
   static Stream<Arguments> shortages() {
-    return IntStream.rangeClosed(1, STARTS)
+    return IntStream.rangeClosed(1, MAX_FIRST_FAILED_START)
         .boxed()
         .flatMap(
             from -> IntStream.of(SHORTAGES_MILLIS).mapToObj(millis -> Arguments.of(from, millis)));
   }
 
-  private void shortage(int from, long millis) {
+  private void failThreadStarts(int from, long millis) {
     dispatcher.control().set(Fault.THREAD_FROM, from);
     dispatcher.control().set(Fault.THREAD_FAILS_MS, millis);
   }
 
-  private String said() {
+  private String logText() {
     try {
       return Files.readString(dispatcher.logs().get(0));
     } catch (IOException e) {
@@ -105,23 +105,23 @@
   @ParameterizedTest
   @MethodSource("shortages")
   void aShortageThatEndsLetsTheStartGoOn(int from, int millis) throws Exception {
-    shortage(from, millis);
+    failThreadStarts(from, millis);
     dispatcher.start();
     dispatcher.awaitReady();
-    assertTrue(dispatcher.isReady(), this::said);
+    assertTrue(dispatcher.isReady(), this::logText);
     assertTrue(dispatcher.control().injected() > 0, "no start of a thread failed");
   }
 
   @Test
   void aShortageThatDoesNotEndIsTold() throws Exception {
-    shortage(2, FOR_EVER_MILLIS);
+    failThreadStarts(2, ENDLESS_MILLIS);
     dispatcher.start();
-    assertEquals(CANNOT_START, dispatcher.awaitEnd(30_000), this::said);
-    long lines = said()
+    assertEquals(CANNOT_START, dispatcher.awaitEnd(30_000), this::logText);
+    long lines = logText()
         .lines()
         .filter(line -> line.startsWith("gorseladder: cannot start"))
         .count();
-    assertEquals(1, lines, this::said);
+    assertEquals(1, lines, this::logText);
   }
 
   static Stream<Arguments> signals() {
@@ -135,22 +135,22 @@
   @ParameterizedTest
   @MethodSource("signals")
   void aStopWhileTheStartWaitsEndsIt(int from, String signal, int code) throws Exception {
-    shortage(from, 600);
+    failThreadStarts(from, 600);
     dispatcher.start();
     Thread.sleep(300);
     dispatcher.signal(signal);
-    assertEquals(code, dispatcher.awaitEnd(3_000), this::said);
+    assertEquals(code, dispatcher.awaitEnd(3_000), this::logText);
   }
 
   /** A new configuration that is told while the start waits ends nothing. */
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 4, 6, 12})
   void aReloadWhileTheStartWaitsEndsNothing(int from) throws Exception {
-    shortage(from, 400);
+    failThreadStarts(from, 400);
     dispatcher.start();
     Thread.sleep(200);
     dispatcher.signal("HUP");
     dispatcher.awaitReady();
-    assertTrue(dispatcher.isReady(), this::said);
+    assertTrue(dispatcher.isReady(), this::logText);
   }
 }
