--- a/edge/src/main/java/gorseladder/edge/front/TurnQueue.java
+++ b/edge/src/main/java/gorseladder/edge/front/TurnQueue.java
@@ -5,57 +5,57 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Lets so many threads read and judge requests at once; {@link Turns} says who is next. A turn is never held while its
- * holder waits.
+ * Limits how many threads read and check requests at the same time; {@link Turns} decides the order. A turn is never
+ * held while its holder waits.
  */
 final class TurnQueue {
   private final Turns<Turn> turns;
 
-  TurnQueue(int most) {
-    turns = new Turns<>(most);
+  TurnQueue(int maxTurns) {
+    turns = new Turns<>(maxTurns);
   }
 
-  /** One thread's turns; only that thread uses it. */
+  /** The turns of one thread; used only by that thread. */
   final class Turn {
     private final Thread thread = Thread.currentThread();
-    private volatile boolean mine;
+    private volatile boolean granted;
     private long waited;
 
-    /** Waits for the turn, which comes in any case: whoever has one gives it. */
-    void take() {
+    /** Waits for a turn. The wait always ends, since every holder releases its turn. */
+    void acquire() {
       synchronized (turns) {
-        mine = turns.tryStart(this);
+        granted = turns.tryStart(this);
       }
-      if (!mine) {
-        long began = Clock.micros();
-        while (!mine) {
+      if (!granted) {
+        long waitStart = Clock.micros();
+        while (!granted) {
           LockSupport.park(this);
         }
-        waited += Clock.micros() - began;
+        waited += Clock.micros() - waitStart;
       }
     }
 
-    /** Gives the turn to the next; a thread that has none gives nothing. */
-    void give() {
-      if (mine) {
-        mine = false;
+    /** Passes the turn to the next thread; without effect if this thread has none. */
+    void release() {
+      if (granted) {
+        granted = false;
         Turn next;
         synchronized (turns) {
           next = turns.finish();
         }
         if (next != null) {
-          next.mine = true;
+          next.granted = true;
           LockSupport.unpark(next.thread);
         }
       }
     }
 
-    /** Counts waits anew. */
-    void forgetWaits() {
+    /** Resets the time waited. */
+    void resetWaited() {
       waited = 0;
     }
 
-    /** Microseconds waited since. */
+    /** Returns the microseconds waited since the last reset. */
     long waited() {
       return waited;
     }
--- a/node/src/main/java/gorseladder/node/NodeConfig.java
+++ b/node/src/main/java/gorseladder/node/NodeConfig.java
@@ -18,12 +18,12 @@
 import java.util.Map;
 
 /**
- * What the platform tells a dispatcher at its start: three variables and one JSON file ("What a dispatcher is told" of
- * the platform's deployment page). Times are microseconds.
+ * The configuration of a dispatcher: three environment variables and a JSON file ("What a dispatcher is told" in the
+ * deployment documentation of the platform). Times are in microseconds.
  *
  * @param seed for random numbers
- * @param peersAll where a datagram to every other dispatcher goes; null where there are none
- * @param known the change log's events up to the start
+ * @param peersAll the address for datagrams to all other dispatchers; null if there are none
+ * @param knownEvents events of the change log up to the start
  */
 public record NodeConfig(
     String name,
@@ -36,67 +36,72 @@
     InetSocketAddress peersAll,
     InetSocketAddress changeLog,
     long knownSeq,
-    List<ChangeLine> known,
-    RouterApi.Settings router,
+    List<ChangeLine> knownEvents,
+    RouterApi.Settings routerSettings,
     Links links,
-    int mostHeld) {
+    int maxHeldCalls) {
 
-  /** What runner links are told of connections. */
+  /** Settings of the connections to runners. */
   public record Links(
-      long connect, long idle, int multiplex, boolean tellsNote, boolean tellsCrowd) {}
-
-  /** The variable that names the configuration file. */
-  static final String FILE_VARIABLE = "ROUTER_CONFIG";
-
-  private static final long MEGABYTE = 1 << 20;
-  private static final int MOST_PORT = 65_535;
-  private static final int MOST_PORT_DIGITS = 5;
-  private static final int LEAST_IPV4 = 7;
-  private static final int MOST_IPV4 = 15;
-  /** With the brackets. */
-  private static final int LEAST_IPV6 = 4;
-
-  private static final int MOST_IPV6 = 47;
+      long connectTimeout,
+      long idleTimeout,
+      int maxCallsPerConnection,
+      boolean reportsCopyStatus,
+      boolean reportsConcurrency) {}
+
+  /** The environment variable with the path of the configuration file. */
+  static final String CONFIG_FILE_VARIABLE = "ROUTER_CONFIG";
+
+  private static final long BYTES_PER_MEGABYTE = 1 << 20;
+  private static final int MAX_PORT = 65_535;
+  private static final int MAX_PORT_DIGITS = 5;
+  private static final int MIN_IPV4_CHARS = 7;
+  private static final int MAX_IPV4_CHARS = 15;
+  /** Includes the brackets. */
+  private static final int MIN_IPV6_CHARS = 4;
+
+  private static final int MAX_IPV6_CHARS = 47;
   private static final String DIGITS = "0123456789";
   private static final String HEX_DIGITS = DIGITS + "abcdefABCDEF";
 
   /**
    * Reads the configuration.
    *
-   * @throws BadInput where anything is missing or wrong; the text names the variable, or the file and the place in it
+   * @throws BadInput if a value is missing or wrong; the message names the variable, or the file and the field
    */
   public static NodeConfig read(Map<String, String> environment) {
     String name = variable(environment, "ROUTER_NAME");
     InetSocketAddress listen = address(variable(environment, "ROUTER_LISTEN"), "ROUTER_LISTEN");
-    Path file = Path.of(variable(environment, FILE_VARIABLE));
-    Map<String, Object> all = object(file, readAtStart(file));
+    Path file = Path.of(variable(environment, CONFIG_FILE_VARIABLE));
+    Map<String, Object> config = parseObject(file, readAtStart(file));
     try {
-      return read(name, listen, all);
+      return read(name, listen, config);
     } catch (IllegalArgumentException | BadInput e) {
       throw new BadInput(file + ": " + e.getMessage());
     }
   }
 
   /**
-   * Reads only the change log's address, as a replaced file names it.
+   * Reads only the address of the change log, after a change of the file.
    *
-   * @throws BadInput where there is none
+   * @throws BadInput if there is no valid address
    */
-  static InetSocketAddress changeLog(Path file, byte[] text) {
-    return address(Fields.text(object(file, text), "changelog"), file + ": changelog");
+  static InetSocketAddress readChangeLog(Path file, byte[] content) {
+    return address(Fields.text(parseObject(file, content), "changelog"), file + ": changelog");
   }
 
-  private static NodeConfig read(String name, InetSocketAddress listen, Map<String, Object> all) {
-    Map<String, Object> limits = Fields.object(all, "limits");
-    Map<String, Object> settings = Fields.object(all, "settings");
+  private static NodeConfig read(
+      String name, InetSocketAddress listen, Map<String, Object> config) {
+    Map<String, Object> limits = Fields.object(config, "limits");
+    Map<String, Object> settings = Fields.object(config, "settings");
     Map<String, Object> siteLimits = Fields.object(settings, "limits");
     Map<String, Object> family = Fields.object(settings, "familyInfo");
-    RouterApi.Settings router = PlatformSettings.read(settings);
+    RouterApi.Settings routerSettings = PlatformSettings.read(settings);
     List<InetSocketAddress> peers = new ArrayList<>();
-    if (all.get("peers") instanceof List<?> named) {
-      named.forEach(peer -> peers.add(address(String.valueOf(peer), "peers")));
+    if (config.get("peers") instanceof List<?> list) {
+      list.forEach(peer -> peers.add(address(String.valueOf(peer), "peers")));
     }
-    Map<String, Object> known = Fields.object(all, "known");
+    Map<String, Object> known = Fields.object(config, "known");
     List<ChangeLine> events = new ArrayList<>();
     for (Map<String, Object> event : Fields.list(known, "results", true)) {
       events.add(ChangeLine.of(event));
@@ -110,21 +115,21 @@
     return new NodeConfig(
         name,
         listen,
-        seed(Fields.text(all, "seed")),
+        seed(Fields.text(config, "seed")),
         (int) Fields.number(limits, "sockets"),
-        (long) (Fields.number(limits, "memory_mb") * MEGABYTE),
-        optional(all, "peer_listen"),
+        (long) (Fields.number(limits, "memory_mb") * BYTES_PER_MEGABYTE),
+        optionalAddress(config, "peer_listen"),
         List.copyOf(peers),
-        optional(all, "peers_all"),
-        address(Fields.text(all, "changelog"), "changelog"),
+        optionalAddress(config, "peers_all"),
+        address(Fields.text(config, "changelog"), "changelog"),
         (long) Fields.number(known, "seq"),
         List.copyOf(events),
-        router,
+        routerSettings,
         links,
         (int) Fields.number(siteLimits, "mostHeld", 20_000));
   }
 
-  /** A file that is there and cannot be read just now is tried again: without it there is no start. */
+  /** Reads the file. If it exists but cannot be read, this is retried: the dispatcher cannot start without it. */
   private static byte[] readAtStart(Path file) {
     try {
       return Retry.whileTransient(
@@ -137,14 +142,14 @@
     }
   }
 
-  /** What is told of a configuration that cannot be read. */
+  /** The error for a configuration file that cannot be read. */
   static BadInput cannotRead(IOException cause) {
     return new BadInput("ROUTER_CONFIG: cannot read " + cause.getMessage());
   }
 
-  private static Map<String, Object> object(Path file, byte[] text) {
+  private static Map<String, Object> parseObject(Path file, byte[] content) {
     try {
-      if (Json.read(text) instanceof Map<?, ?> map) {
+      if (Json.read(content) instanceof Map<?, ?> map) {
         @SuppressWarnings("unchecked")
         Map<String, Object> object = (Map<String, Object>) map;
         return object;
@@ -171,21 +176,24 @@
     }
   }
 
-  private static InetSocketAddress optional(Map<String, Object> all, String key) {
-    return all.get(key) instanceof String text ? address(text, key) : null;
+  private static InetSocketAddress optionalAddress(Map<String, Object> config, String key) {
+    return config.get(key) instanceof String text ? address(text, key) : null;
   }
 
-  /** A numeric address and port. Not the settings' reader of addresses: its library would be loaded at each start. */
+  /**
+   * Parses a numeric address and port. The address parser of the settings is not used, since its library would then be
+   * loaded at each start.
+   */
   public static InetSocketAddress address(String text, String where) {
     if (!isAddress(text)) {
-      throw new BadInput("'" + where + "' is no address and port: " + text);
+      throw new BadInput("'" + where + "' is not an address and port: " + text);
     }
     int colon = text.lastIndexOf(':');
     return new InetSocketAddress(
         text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
   }
 
-  /** True for a numeric host, a colon and a port. */
+  /** Whether the text is a numeric host, a colon and a port. */
   static boolean isAddress(String text) {
     int colon = text.lastIndexOf(':');
     return colon >= 0
@@ -195,23 +203,23 @@
 
   private static boolean isPort(String text) {
     return !text.isEmpty()
-        && text.length() <= MOST_PORT_DIGITS
-        && consistsOf(DIGITS, text)
-        && Integer.parseInt(text) <= MOST_PORT;
+        && text.length() <= MAX_PORT_DIGITS
+        && containsOnly(DIGITS, text)
+        && Integer.parseInt(text) <= MAX_PORT;
   }
 
-  /** Digits and points, or digits, points and colons in brackets: what is never looked up by name. */
+  /** Digits and dots, or hexadecimal digits, dots and colons in brackets: such a host is never resolved by name. */
   private static boolean isNumericHost(String host) {
     int length = host.length();
     if (host.startsWith("[") && host.endsWith("]")) {
-      return length >= LEAST_IPV6
-          && length <= MOST_IPV6
-          && consistsOf(HEX_DIGITS + ".:", host.substring(1, length - 1));
+      return length >= MIN_IPV6_CHARS
+          && length <= MAX_IPV6_CHARS
+          && containsOnly(HEX_DIGITS + ".:", host.substring(1, length - 1));
     }
-    return length >= LEAST_IPV4 && length <= MOST_IPV4 && consistsOf(DIGITS + ".", host);
+    return length >= MIN_IPV4_CHARS && length <= MAX_IPV4_CHARS && containsOnly(DIGITS + ".", host);
   }
 
-  private static boolean consistsOf(String characters, String text) {
+  private static boolean containsOnly(String characters, String text) {
     for (int i = 0; i < text.length(); i++) {
       if (characters.indexOf(text.charAt(i)) < 0) {
         return false;
--- a/node/src/main/java/gorseladder/node/WarmUp.java
+++ b/node/src/main/java/gorseladder/node/WarmUp.java
@@ -20,76 +20,79 @@
 import org.slf4j.helpers.NOPLogger;
 
 /**
- * Sends calls of every kind through a path of its own before the dispatcher is live: front, core, router and runner
- * links as they are, with the list that is told, on connections in memory. Nothing of it leaves the process, is counted
- * or outlasts it.
+ * Sends calls of every kind through a separate call path before the dispatcher is live: real front, core, router and
+ * runner links with the real worker list, over connections in memory. Nothing of it leaves the process, is counted, or
+ * remains.
  *
- * <p>Guards against first calls that take long: code that was never run has to be loaded, linked, interpreted and
- * compiled, which at a tenth of a core kept the core's thread busy for seconds. It could harm a start that has hardly
- * any processor time, by {@link #MOST} at the most.
+ * <p>Code that runs for the first time must be loaded, linked, interpreted and compiled; with a tenth of a core that
+ * kept the thread of the core busy for seconds, and the first calls waited. The cost is a later start on a machine with
+ * little processor time, by at most {@link #MAX_MICROS}.
  */
 final class WarmUp implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(WarmUp.class);
   /**
-   * Classes of the Java machine that are set up when something fails for the first time, and read a file for it. Guards
-   * against a file that cannot be opened just then: such a class is of no use for good, and each connect that fails
-   * later ends in an Error.
+   * Classes of the Java runtime that are initialized at the first failure and then read a file. If that file cannot be
+   * opened at that moment, the class stays unusable, and each later connect that fails ends in an Error.
    */
-  private static final List<String> SET_UP =
+  private static final List<String> PRELOADED_CLASSES =
       List.of("java.security.Security", "sun.net.util.SocketExceptions");
 
-  /** Calls in all; the Java machine compiles what was called 200 times. */
+  /** Total calls; the Java runtime compiles methods after 200 invocations. */
   static final int CALLS = 300;
-  /** Workers at the most: each has connections, and each connection a thread. */
-  private static final int WORKERS = 8;
+  /** Limit of the workers: each has connections, and each connection a thread. */
+  private static final int MAX_WORKERS = 8;
   /** Calls that are open at a time. */
-  private static final int GROUP = 6;
-  /** How long it may last in all, in microseconds; a restarted dispatcher has 6 s to be live. */
-  static final long MOST = 3_000_000;
+  private static final int BATCH_CALLS = 6;
+  /** Limit of the total duration; a restarted dispatcher has 6 s to be live. */
+  static final long MAX_MICROS = 3_000_000;
 
   private final NodeConfig config;
   private final CallPath path;
   private final WarmUpClient client = new WarmUpClient();
   private final InMemoryChannel channel = new InMemoryChannel(client);
   private final ThreadCache threads;
-  private final long until;
+  private final long deadline;
   private int answered;
 
   private WarmUp(
-      NodeConfig config, Watchdog watchdog, StallDetector pauses, ThreadCache threads, long most) {
-    until = Clock.micros() + most;
+      NodeConfig config,
+      Watchdog watchdog,
+      StallDetector stallDetector,
+      ThreadCache threads,
+      long maxMicros) {
+    deadline = Clock.micros() + maxMicros;
     this.config = config;
     this.threads = threads;
     RuleLog silent = new RuleLog(NOPLogger.NOP_LOGGER);
-    path = new CallPath(config, watchdog, pauses, silent, threads, text -> {});
+    path = new CallPath(config, watchdog, stallDetector, silent, threads, text -> {});
     WarmUpRunner runner = new WarmUpRunner();
-    path.links().connectBy(() -> new InMemoryChannel(runner));
+    path.links().setChannelSource(() -> new InMemoryChannel(runner));
   }
 
   /**
-   * Runs it; a step that fails ends it.
+   * Runs the warm-up; a step that fails ends it.
    *
    * @param list the workers as they are known at the start
-   * @param most how long it may last, in microseconds
-   * @return how many calls were answered
+   * @param maxMicros limit of the duration
+   * @return the number of calls that were answered
    */
   static int run(
       NodeConfig config,
       WorkerListUpdate list,
       Watchdog watchdog,
-      StallDetector pauses,
+      StallDetector stallDetector,
       ThreadCache threads,
-      long most) {
-    SET_UP.forEach(WarmUp::setUp);
-    try (WarmUp warmUp = new WarmUp(config, watchdog, pauses, threads, most)) {
-      Threads.guarded("warm-up", () -> warmUp.play(list));
-      Threads.guarded("warm-up", () -> warmUp.decide(list));
+      long maxMicros) {
+    PRELOADED_CLASSES.forEach(WarmUp::preload);
+    try (WarmUp warmUp = new WarmUp(config, watchdog, stallDetector, threads, maxMicros)) {
+      Threads.guarded("warm-up", () -> warmUp.warmUpPath(list));
+      Threads.guarded("warm-up", () -> warmUp.warmUpRouter(list));
       return warmUp.answered;
     }
   }
 
-  /** Where the class cannot be had the machine has another way, and sets that up itself. */
-  private static void setUp(String name) {
+  /** Loads a class. If this runtime does not have it, it uses another one and initializes that itself. */
+  private static void preload(String name) {
     try {
       Class.forName(name);
     } catch (ClassNotFoundException e) {
@@ -97,11 +100,11 @@
     }
   }
 
-  /** Calls that are decided among all workers. */
-  private void decide(WorkerListUpdate list) {
-    RouterWarmUp router = new RouterWarmUp(config.router(), list.entries());
-    for (int number = 1; number <= CALLS && Clock.micros() < until; number++) {
-      router.play(number);
+  /** Has a router decide calls among all workers. */
+  private void warmUpRouter(WorkerListUpdate list) {
+    RouterWarmUp router = new RouterWarmUp(config.routerSettings(), list.entries());
+    for (int number = 1; number <= CALLS && Clock.micros() < deadline; number++) {
+      router.playCall(number);
     }
   }
 
@@ -109,67 +112,69 @@
     try {
       path.front().serve(channel);
     } catch (IOException e) {
-      // It was closed, as it is at the end.
+      // The connection was closed at the end of the warm-up.
     }
   }
 
-  private void play(WorkerListUpdate list) {
+  private void warmUpPath(WorkerListUpdate list) {
     if (!threads.execute(this::serve)) {
       return;
     }
     List<WorkerEntry> workers = list.entries().isEmpty()
-        ? List.of(new WorkerEntry("w", config.router().zone(), 0, Phase.RUNNING, 1, 0))
-        : list.entries().stream().limit(WORKERS).toList();
-    tell(ListKind.SAVED, workers.stream().map(w -> entry(w, Phase.RUNNING, 0)).toList());
-    while (answered < CALLS && playGroup()) {
-      answered += GROUP;
-      changeList(workers, answered / GROUP);
+        ? List.of(new WorkerEntry("w", config.routerSettings().zone(), 0, Phase.RUNNING, 1, 0))
+        : list.entries().stream().limit(MAX_WORKERS).toList();
+    updateList(
+        ListKind.SAVED, workers.stream().map(w -> entry(w, Phase.RUNNING, 0)).toList());
+    while (answered < CALLS && sendBatch()) {
+      answered += BATCH_CALLS;
+      changeList(workers, answered / BATCH_CALLS);
     }
     stop();
   }
 
-  /** Sends some calls at once; false where their answers have not come by the end. */
-  private boolean playGroup() {
-    for (int i = 1; i <= GROUP; i++) {
-      channel.deliver(WarmUpCall.records(answered + i, config.router()));
+  /** Sends a batch of calls at once; returns false if they are not answered by the deadline. */
+  private boolean sendBatch() {
+    for (int i = 1; i <= BATCH_CALLS; i++) {
+      channel.deliver(WarmUpCall.records(answered + i, config.routerSettings()));
     }
     try {
-      return client.await(answered + GROUP, until);
+      return client.await(answered + BATCH_CALLS, deadline);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return false;
     }
   }
 
-  /** One worker after the other drains, goes and comes back; others tell that it is sick. */
-  private void changeList(List<WorkerEntry> workers, int turn) {
+  /** Drains, removes and restores one worker after the other; each is also reported as sick by another dispatcher. */
+  private void changeList(List<WorkerEntry> workers, int step) {
     if (workers.size() > 1) {
       Phase[] phases = Phase.values();
-      WorkerEntry worker = workers.get(turn / phases.length % workers.size());
-      tell(
+      WorkerEntry worker = workers.get(step / phases.length % workers.size());
+      updateList(
           ListKind.DELTA,
-          List.of(entry(worker, phases[(turn + 1) % phases.length], worker.startedAt())));
+          List.of(entry(worker, phases[(step + 1) % phases.length], worker.startedAt())));
       path.core().peerMessage(0, "sick " + worker.worker());
     }
   }
 
-  private static WorkerEntry entry(WorkerEntry told, Phase phase, long born) {
-    return new WorkerEntry(told.worker(), told.zone(), told.cell(), phase, told.weight(), born);
+  private static WorkerEntry entry(WorkerEntry worker, Phase phase, long startedAt) {
+    return new WorkerEntry(
+        worker.worker(), worker.zone(), worker.cell(), phase, worker.weight(), startedAt);
   }
 
-  private void tell(ListKind kind, List<WorkerEntry> entries) {
+  private void updateList(ListKind kind, List<WorkerEntry> entries) {
     InetSocketAddress nowhere = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     for (WorkerEntry entry : entries) {
-      path.links().told(entry, nowhere, 1, Clock.micros());
+      path.links().runnerReported(entry, nowhere, 1, Clock.micros());
     }
     path.core().workerListChanged(new WorkerListUpdate(kind, entries));
   }
 
-  /** The steps of an orderly stop, as far as they need no listener. */
+  /** The steps of a graceful stop that need no listener. */
   private void stop() {
-    path.links().check();
-    path.front().check();
-    path.front().owes();
+    path.links().cleanUp();
+    path.front().checkTimeouts();
+    path.front().owesAnswers();
     path.core().refuseAll();
     path.front().drain();
   }
--- a/soak/src/main/java/gorseladder/soak/EdgeSoak.java
+++ b/soak/src/main/java/gorseladder/soak/EdgeSoak.java
@@ -7,8 +7,8 @@
 import gorseladder.testbed.RuleChecker;
 import gorseladder.testbed.Tap;
 import gorseladder.testbed.TestFleet;
-import gorseladder.testbed.WebhookClients;
 import gorseladder.testbed.WebhookClients.Kind;
+import gorseladder.testbed.WebhookClients;
 import gorseladder.testbed.script.DayScript;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -114,7 +114,7 @@
       boolean ended = senders.awaitTermination(30, TimeUnit.SECONDS);
       redeliver(clients);
       List<String> violations = new ArrayList<>(
-          RuleChecker.check(fleet.tap(), fleet.rules(), TestFleet.REPEAT_WINDOW, SLACK_MICROS)
+          RuleChecker.check(fleet.tap(), fleet.rules(), TestFleet.REPEAT_WINDOW_MICROS, SLACK_MICROS)
               .stream()
               .map(Object::toString)
               .toList());
@@ -146,7 +146,8 @@
   }
 
   private static List<Kind> kinds() {
-    return WebhookClients.kinds(TestFleet.AIM, TestFleet.DEADLINE, TestFleet.REPEAT_WINDOW);
+    return WebhookClients.kinds(
+        TestFleet.LATENCY_TARGET_MICROS, TestFleet.DEADLINE_MICROS, TestFleet.REPEAT_WINDOW_MICROS);
   }
 
   /** Delivers a message until it is served, and possibly again after that. */
@@ -251,7 +252,7 @@
 
   private void killAndRestart(TestFleet fleet, int repairsDisk)
       throws IOException, InterruptedException {
-    fleet.process(0).destroyForcibly().waitFor();
+    fleet.edgeProcess(0).destroyForcibly().waitFor();
     if (repairsDisk > 0) {
       setDiskFaults(0, 0, 0);
     }
--- a/soak/src/main/java/gorseladder/soak/PlantedFault.java
+++ b/soak/src/main/java/gorseladder/soak/PlantedFault.java
@@ -55,8 +55,8 @@
   TOO_MUCH_TIME_PASSED(
       SoakRule.DEADLINE,
       "node/src/main/java/gorseladder/node/runners/AttemptRequest.java",
-      "timePassed = Math.max(1, (until - now) / 1000);",
-      "timePassed = Math.max(1, (until - now) / 1000) + 400;",
+      "timeoutMillis = Math.max(1, (deadline - now) / 1000);",
+      "timeoutMillis = Math.max(1, (deadline - now) / 1000) + 400;",
       Trouble.PIECES),
   NEVER_READY(
       SoakRule.READY,
@@ -79,7 +79,7 @@
   NEWS_LOST(
       SoakRule.FOLLOW,
       "node/src/main/java/gorseladder/node/Reconfiguration.java",
-      "if (changed || signalled || unheard || failures > 0 || now < settlesUntil) {",
+      "if (changed || signalled || logSilent || failures > 0 || now < rereadUntil) {",
       "if (signalled) {",
       Trouble.NEWS_AMID_FAULT),
   SLOW_LOG_NOT_WAITED_FOR(
@@ -99,7 +99,7 @@
       SoakRule.END,
       "node/src/main/java/gorseladder/node/Node.java",
       "LOG.info(\"{} stops after {} ms; {}\"",
-      "sleepUntil(kill + 400_000); LOG.info(\"{} stops after {} ms; {}\"",
+      "sleepUntil(killAt + 400_000); LOG.info(\"{} stops after {} ms; {}\"",
       Trouble.STOP),
   THREADS_NOT_SHARED(
       SoakRule.FINAL_ANSWER,
@@ -110,8 +110,8 @@
   SEEN_BY_ITSELF(
       SoakRule.LOG,
       "node/src/main/java/gorseladder/node/runners/AttemptRequest.java",
-      "timePassed = Math.max(1, (until - now) / 1000);",
-      "timePassed = Math.max(1, (until - now) / 1000) + 400;",
+      "timeoutMillis = Math.max(1, (deadline - now) / 1000);",
+      "timeoutMillis = Math.max(1, (deadline - now) / 1000) + 400;",
       Trouble.PIECES);
 
   private static final long SOAK_SECONDS = 9;
--- a/testbed/src/test/java/gorseladder/testbed/LastLookTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/LastLookTest.java
@@ -43,12 +43,14 @@
   @Test
   void anAttemptHeldBackBeyondADrainNeverLeavesAndTheCallGoesElsewhere() throws Exception {
     Tap tap = new Tap();
-    StandInRunner.Nature nature = new StandInRunner.Nature(
+    StandInRunner.Settings runnerSettings = new StandInRunner.Settings(
         "z", 0, 4, 1, 6_000, 64, 5_000, 5_000, 8_000_000, true, true, 8_000_000, RULES);
-    StandInRunner.KeyMemory keys = new StandInRunner.KeyMemory();
+    StandInRunner.IdempotencyKeys keys = new StandInRunner.IdempotencyKeys();
     SendGate gate = new SendGate(RULES);
-    try (StandInRunner a = new StandInRunner(nature, new Archive(4, 40), keys, tap, 1, l -> {});
-        StandInRunner b = new StandInRunner(nature, new Archive(4, 40), keys, tap, 2, l -> {});
+    try (StandInRunner a =
+            new StandInRunner(runnerSettings, new Archive(4, 40), keys, tap, 1, l -> {});
+        StandInRunner b =
+            new StandInRunner(runnerSettings, new Archive(4, 40), keys, tap, 2, l -> {});
         Ledger ledger = Ledger.open(dir.resolve("ledger"), false, 100);
         Watchdog watchdog = new Watchdog("watchdog", 256 << 10);
         Runners runners = new Runners(
@@ -106,7 +108,7 @@
           false,
           null,
           256 << 10);
-      runners.reportTo(new Runners.Hearer() {
+      runners.setListener(new Runners.Listener() {
         @Override
         public void attemptEnded(Core.AttemptEnd<TakenCall> end) {
           core.attemptEnded(end);
@@ -124,14 +126,14 @@
           1000,
           15_000,
           new ThreadCache("read", 1, 256 << 10),
-          new Intake.Hearer() {
+          new Intake.Listener() {
             @Override
-            public void taken(TakenCall call) {}
+            public void callAccepted(TakenCall call) {}
 
             @Override
-            public void ended(TakenCall call) {}
+            public void callEnded(TakenCall call) {}
           });
-      intake.admitTo(core);
+      intake.setCore(core);
       core.workerListChanged(new WorkerListUpdate(
           ListKind.SAVED,
           List.of(
@@ -142,7 +144,7 @@
       // decision and write.
       synchronized (gate) {
         call = intake
-            .take(new Intake.Delivery(
+            .handle(new Intake.Delivery(
                 "m",
                 "r",
                 9_000_000_000_000_000L,
