--- a/soak/src/main/java/gorseladder/soak/ChangeLogs.java
+++ b/soak/src/main/java/gorseladder/soak/ChangeLogs.java
@@ -10,16 +10,17 @@
 import java.util.Map;
 
 /**
- * The change log, which each dispatcher reaches by a proxy of its own, and what it told of runners. Any thread.
+ * The change log, which each dispatcher reaches by its own proxy, and the changes of runners that it announced.
+ * Thread-safe.
  */
 final class ChangeLogs implements Closeable {
   private final List<String> events = new ArrayList<>();
   private final PlatformChangeLog log;
-  private final List<Oracle.Told> told = new ArrayList<>();
+  private final List<Oracle.RunnerChange> changes = new ArrayList<>();
   private final Map<Integer, FaultProxy> proxies = new HashMap<>();
   private final List<FaultProxy> replaced = new ArrayList<>();
 
-  /** A log that knows these runners as long started. */
+  /** Creates a log that lists these runners as started long ago. */
   ChangeLogs(List<SoakRunner> runners) throws IOException {
     for (SoakRunner runner : runners) {
       events.add(event(runner, "active", 0));
@@ -38,42 +39,42 @@
   }
 
   /** The events so far. */
-  List<String> known() {
+  List<String> knownEvents() {
     synchronized (log) {
       return List.copyOf(events);
     }
   }
 
-  /** Tells that a runner has just started. */
-  void started(SoakRunner runner) {
+  /** Announces that a runner has just started. */
+  void announceStart(SoakRunner runner) {
     add(runner, "active", System.currentTimeMillis(), false);
   }
 
-  /** Tells that a runner drains. */
-  void drains(SoakRunner runner) {
+  /** Announces that a runner drains. */
+  void announceDrain(SoakRunner runner) {
     add(runner, "leaving", 0, true);
   }
 
-  /** Tells that a runner has gone. */
-  void gone(SoakRunner runner) {
+  /** Announces that a runner has gone. */
+  void announceGone(SoakRunner runner) {
     add(runner, "left", 0, true);
   }
 
-  private void add(SoakRunner runner, String state, long bootMillis, boolean drains) {
+  private void add(SoakRunner runner, String state, long bootMillis, boolean draining) {
     synchronized (log) {
       log.add(event(runner, state, bootMillis));
-      told.add(new Oracle.Told(
-          runner.uid(), runner, Clock.micros(), drains, drains ? 0 : runner.startedAt()));
+      changes.add(new Oracle.RunnerChange(
+          runner.uid(), runner, Clock.micros(), draining, draining ? 0 : runner.startedAt()));
     }
   }
 
-  List<Oracle.Told> told() {
+  List<Oracle.RunnerChange> changes() {
     synchronized (log) {
-      return List.copyOf(told);
+      return List.copyOf(changes);
     }
   }
 
-  /** The proxy by which a dispatcher reaches the log at present; made where there is none. */
+  /** Returns the proxy by which a dispatcher reaches the log at present; creates it where there is none. */
   FaultProxy proxy(int dispatcher) throws IOException {
     synchronized (log) {
       if (!proxies.containsKey(dispatcher)) {
@@ -83,8 +84,8 @@
     }
   }
 
-  /** Gives a dispatcher a new way to the log; returns the one before, which still stands. */
-  FaultProxy replace(int dispatcher) throws IOException {
+  /** Gives a dispatcher a new proxy to the log; returns the previous one, which stays open. */
+  FaultProxy replaceProxy(int dispatcher) throws IOException {
     synchronized (log) {
       FaultProxy before = proxies.put(dispatcher, new FaultProxy(log.address()));
       replaced.add(before);
