--- a/app/src/main/java/gorseladder/app/Balances.java
+++ b/app/src/main/java/gorseladder/app/Balances.java
@@ -16,10 +16,10 @@
         b.loads(),
         b.wasted(),
         b.found(),
-        b.saved(),
-        b.loading(),
+        b.savedSeconds(),
+        b.loadSeconds(),
         b.gigabyteSeconds(),
-        b.pushedOut(),
-        b.pushed());
+        b.evictions(),
+        b.evictedLoadSeconds());
   }
 }
--- a/app/src/main/java/gorseladder/app/EmulateCommand.java
+++ b/app/src/main/java/gorseladder/app/EmulateCommand.java
@@ -31,7 +31,7 @@
     long began = System.nanoTime();
     Outcomes o;
     try {
-      o = EmulatedFleet.run(Experiment.emulation(file), part -> {});
+      o = EmulatedFleet.run(Experiment.loadEmulation(file), part -> {});
     } catch (IllegalArgumentException e) {
       System.err.println("gorseladder: " + e.getMessage());
       return Main.BAD_USAGE;
@@ -48,7 +48,7 @@
     System.out.printf(
         Locale.ROOT,
         "latency ms: mean %.1f, p50 %.1f, p99 %.1f; met no copy %.4f, in first minutes of surges %.4f of %,d%n",
-        o.meanMillis(),
+        o.meanLatencyMillis(),
         o.latencyMillis(50),
         o.latencyMillis(99),
         o.coldShare(),
@@ -58,21 +58,22 @@
         Locale.ROOT,
         "%,d fetches, %,d orders of plans; %,d events in %.1f s of this machine%n",
         o.fetches(),
-        o.aheadOrders(),
+        o.planOrders(),
         o.events(),
         seconds);
-    Balances.print("all", o.balance());
+    Balances.print("all", o.totalBalance());
     if (functions) {
-      o.byFunction().forEach((f, n) -> {
+      o.callsByFunction().forEach((f, n) -> {
         System.out.printf(Locale.ROOT, "%-24s %8d calls %8d cold%n", f, n[0], n[1]);
-        if (o.balances().containsKey(f)) {
-          Balances.print("  its loads ahead", o.balances().get(f));
+        if (o.balancesByFunction().containsKey(f)) {
+          Balances.print("  its loads ahead", o.balancesByFunction().get(f));
         }
       });
     }
-    o.judged()
+    o.occasions()
         .forEach((what, times) -> System.out.printf(Locale.ROOT, "judged %s: %,d%n", what, times));
-    o.broken().forEach((what, times) -> System.out.printf("BROKEN %s: %d times%n", what, times));
-    return o.broken().isEmpty() ? Main.GOOD : Main.BROKEN;
+    o.violations()
+        .forEach((what, times) -> System.out.printf("BROKEN %s: %d times%n", what, times));
+    return o.violations().isEmpty() ? Main.GOOD : Main.BROKEN;
   }
 }
--- a/app/src/main/java/gorseladder/app/ExperimentCommand.java
+++ b/app/src/main/java/gorseladder/app/ExperimentCommand.java
@@ -57,7 +57,7 @@
       System.out.println(m.title());
       experiment.results().forEach((name, all) -> {
         Interval i = experiment.interval(name, m);
-        System.out.printf(Locale.ROOT, "  %-40s %12.4f +- %.4f%n", name, i.mean(), i.half());
+        System.out.printf(Locale.ROOT, "  %-40s %12.4f +- %.4f%n", name, i.mean(), i.halfWidth());
       });
       if (plots != null) {
         Files.createDirectories(plots);
@@ -69,14 +69,14 @@
     }
     return experiment.results().values().stream()
             .flatMap(List::stream)
-            .allMatch(o -> o.broken().isEmpty())
+            .allMatch(o -> o.violations().isEmpty())
         ? Main.GOOD
         : Main.BROKEN;
   }
 
   private static void list(String cell, List<Outcomes> all) {
     Map<String, Outcomes.Balance> sums = new TreeMap<>();
-    all.forEach(o -> o.balances()
+    all.forEach(o -> o.balancesByFunction()
         .forEach((f, b) -> sums.computeIfAbsent(f, n -> new Outcomes.Balance()).add(b)));
     System.out.println(cell);
     sums.forEach((f, b) -> Balances.print("  " + f, b));
--- a/app/src/main/java/gorseladder/app/ReplayCommand.java
+++ b/app/src/main/java/gorseladder/app/ReplayCommand.java
@@ -57,7 +57,7 @@
       }
     }
     try {
-      Emulation e = Experiment.emulation(file);
+      Emulation e = Experiment.loadEmulation(file);
       Outcomes without =
           EmulatedFleet.run(e.toBuilder().clearAhead().build(), recording, part -> {});
       Emulation.Builder planned = e.toBuilder();
@@ -71,16 +71,18 @@
           e.getTeachDays());
       print("without", without);
       print("with loads ahead", with);
-      Balances.print("all", with.balance());
-      with.byFunction().forEach((f, n) -> {
-        long[] before = without.byFunction().getOrDefault(f, new long[2]);
+      Balances.print("all", with.totalBalance());
+      with.callsByFunction().forEach((f, n) -> {
+        long[] before = without.callsByFunction().getOrDefault(f, new long[2]);
         System.out.printf(
             Locale.ROOT, "%-32s %8d calls, cold %d without, %d with%n", f, n[0], before[1], n[1]);
-        if (with.balances().containsKey(f)) {
-          Balances.print("  its loads ahead", with.balances().get(f));
+        if (with.balancesByFunction().containsKey(f)) {
+          Balances.print("  its loads ahead", with.balancesByFunction().get(f));
         }
       });
-      return with.broken().isEmpty() && without.broken().isEmpty() ? Main.GOOD : Main.BROKEN;
+      return with.violations().isEmpty() && without.violations().isEmpty()
+          ? Main.GOOD
+          : Main.BROKEN;
     } catch (IllegalArgumentException e) {
       System.err.println("gorseladder: " + e.getMessage());
       return Main.BAD_USAGE;
@@ -94,7 +96,7 @@
         name,
         o.service(),
         o.coldShare(),
-        o.meanMillis(),
+        o.meanLatencyMillis(),
         o.latencyMillis(99),
         o.fetches() / (double) Math.max(1, o.calls()));
   }
--- a/app/src/main/java/gorseladder/app/ScaleCommand.java
+++ b/app/src/main/java/gorseladder/app/ScaleCommand.java
@@ -85,9 +85,9 @@
         slope.kind(),
         slope.sweep(),
         slope.measure().title(),
-        slope.value(),
+        slope.intercept(),
         slope.slope(),
-        slope.half(),
+        slope.halfWidth(),
         slope.exponent());
   }
 
--- a/emulator/src/main/java/gorseladder/emulator/EmulatedArchive.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedArchive.java
@@ -1,31 +1,39 @@
 package gorseladder.emulator;
 
-/** Where runners fetch from: fetches past {@code atOnce} slow each other, and past {@code most} one is turned away. */
+/**
+ * The archive that runners fetch functions from. Up to {@code fullSpeedFetches} concurrent fetches run at full speed, more
+ * slow each other down; from {@code maxFetches} on a new fetch is rejected.
+ */
 final class EmulatedArchive {
-  private final SharedRate<Object> fetches;
-  private final int most;
-  private long done;
+  private final ProcessorSharing<Object> fetches;
+  private final int maxFetches;
+  private long fetchCount;
 
-  EmulatedArchive(Agenda agenda, double atOnce, int most) {
-    this.fetches = new SharedRate<>(agenda, n -> Math.min(1, atOnce / n));
-    this.most = most;
+  EmulatedArchive(EventScheduler scheduler, double fullSpeedFetches, int maxFetches) {
+    this.fetches = new ProcessorSharing<>(scheduler, n -> Math.min(1, fullSpeedFetches / n));
+    this.maxFetches = maxFetches;
   }
 
-  /** Fetches, which alone takes so long; false where it is turned away. */
-  boolean fetch(Object who, double micros, Runnable then) {
-    if (fetches.size() >= most) {
+  /**
+   * Starts a fetch.
+   *
+   * @param fetchMicros duration at full speed
+   * @return whether the fetch was accepted
+   */
+  boolean fetch(Object key, double fetchMicros, Runnable onDone) {
+    if (fetches.size() >= maxFetches) {
       return false;
     }
-    done++;
-    fetches.begin(who, micros, then);
+    fetchCount++;
+    fetches.start(key, fetchMicros, onDone);
     return true;
   }
 
-  void drop(Object who) {
-    fetches.drop(who);
+  void cancel(Object key) {
+    fetches.remove(key);
   }
 
-  long done() {
-    return done;
+  long fetchCount() {
+    return fetchCount;
   }
 }
--- a/emulator/src/main/java/gorseladder/emulator/EmulatedEdge.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedEdge.java
@@ -34,20 +34,25 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** A dispatcher: the real router and the real side of plans, with an emulated network around them. */
+/** A dispatcher: the real router and the real plan executor, connected by an emulated network. */
 final class EmulatedEdge {
-  private static final long LOOK = 250_000;
+  private static final long HOLD_CHECK_MICROS = 250_000;
 
-  /** What befell a call, told once, at its final answer. */
-  interface Judge {
-    void ended(
-        Drawn function, RequestClass requestClass, long arrivedAt, Outcome outcome, boolean cold);
+  /** Receives the outcome of each call and the results of rule checks. */
+  interface CallObserver {
+    /** Called once for each call, at its final answer. */
+    void callEnded(
+        EmulatedFunction function,
+        RequestClass requestClass,
+        long arrivedAt,
+        Outcome outcome,
+        boolean cold);
 
-    /** Something was held against a rule. */
-    void judged(String rule);
+    /** Counts an occasion on which a rule was checked. */
+    void countOccasion(String rule);
 
-    /** An order or a send after a drain's grace, or an order beyond the ration. */
-    void broken(String what);
+    /** Counts a rule violation. */
+    void countViolation(String description);
   }
 
   private static final class Attempt {
@@ -62,118 +67,118 @@
     }
   }
 
-  private static final class Held {
-    private Drawn function;
+  private static final class CallState {
+    private EmulatedFunction function;
     private RequestClass requestClass;
-    private double work;
+    private double workMicros;
     private long arrivedAt;
-    private boolean over;
+    private boolean finished;
     private boolean cold;
-    private int out;
+    private int attemptsInFlight;
     private final List<Attempt> attempts = new ArrayList<>(2);
   }
 
   private final Settings settings;
-  private final Agenda agenda;
-  private final long network;
+  private final EventScheduler scheduler;
+  private final long networkMicros;
   private final Router router;
-  private final PlanExecutor ahead;
-  private final FunctionStats seen = new FunctionStats();
+  private final PlanExecutor planExecutor;
+  private final FunctionStats functionStats = new FunctionStats();
   private final Function<String, EmulatedRunner> runners;
-  private final Function<String, Drawn> functions;
-  private final Judge judge;
-  private final Map<Long, Held> held = new HashMap<>();
-  private final Map<String, Long> notRunning = new HashMap<>();
-  private final ArrayDeque<Long> taken = new ArrayDeque<>();
-  private final ArrayDeque<Long> ordered = new ArrayDeque<>();
-  private Consumer<String> peers = text -> {};
-  private long ids;
-  private boolean looking;
-  private boolean holding;
+  private final Function<String, EmulatedFunction> functions;
+  private final CallObserver observer;
+  private final Map<Long, CallState> calls = new HashMap<>();
+  private final Map<String, Long> notRunningSince = new HashMap<>();
+  private final ArrayDeque<Long> acceptedAt = new ArrayDeque<>();
+  private final ArrayDeque<Long> orderedAt = new ArrayDeque<>();
+  private Consumer<String> sendToPeers = text -> {};
+  private long nextId;
+  private boolean holdCheckScheduled;
+  private boolean sendingPlannedLoad;
 
   EmulatedEdge(
       Settings settings,
       long seed,
-      Agenda agenda,
-      long network,
+      EventScheduler scheduler,
+      long networkMicros,
       Function<String, EmulatedRunner> runners,
-      Function<String, Drawn> functions,
-      Judge judge) {
+      Function<String, EmulatedFunction> functions,
+      CallObserver observer) {
     this.settings = settings;
-    this.agenda = agenda;
-    this.network = network;
+    this.scheduler = scheduler;
+    this.networkMicros = networkMicros;
     this.runners = runners;
     this.functions = functions;
-    this.judge = judge;
+    this.observer = observer;
     this.router = new Router(settings, seed);
-    this.ahead = new PlanExecutor(settings.keepAlive());
+    this.planExecutor = new PlanExecutor(settings.keepAlive());
   }
 
-  void tellPeersBy(Consumer<String> how) {
-    peers = how;
+  void setPeerSender(Consumer<String> sender) {
+    sendToPeers = sender;
   }
 
-  void tell(Event event) {
+  void handle(Event event) {
     if (event instanceof WorkerListUpdate w) {
       w.entries().forEach(e -> {
         if (e.phase() == Phase.RUNNING) {
-          notRunning.remove(e.worker());
+          notRunningSince.remove(e.worker());
         } else {
-          notRunning.putIfAbsent(e.worker(), agenda.now());
+          notRunningSince.putIfAbsent(e.worker(), scheduler.now());
         }
       });
     }
     if (event instanceof PeerMessage m) {
-      ahead.peerMessage(m.text(), agenda.now());
+      planExecutor.peerMessage(m.text(), scheduler.now());
     }
-    router.on(agenda.now(), event, this::carryOut);
+    router.on(scheduler.now(), event, this::carryOut);
   }
 
-  /** A call arrives. */
-  void arrive(Drawn f, double work) {
-    Held h = new Held();
-    h.function = f;
-    h.requestClass = settings.classes().get(f.requestClass());
-    h.work = work;
-    h.arrivedAt = agenda.now();
-    long id = ids++;
-    held.put(id, h);
-    seen.callAccepted(f.name(), f.memoryMb(), f.lanes());
-    taken.addLast(agenda.now());
-    tell(new Request(
+  /** Accepts a call from a client. */
+  void arrive(EmulatedFunction function, double workMicros) {
+    CallState call = new CallState();
+    call.function = function;
+    call.requestClass = settings.classes().get(function.requestClass());
+    call.workMicros = workMicros;
+    call.arrivedAt = scheduler.now();
+    long id = nextId++;
+    calls.put(id, call);
+    functionStats.callAccepted(function.name(), function.memoryMb(), function.lanes());
+    acceptedAt.addLast(scheduler.now());
+    handle(new Request(
         id,
-        h.requestClass.name(),
+        call.requestClass.name(),
         "",
-        f.name(),
-        h.requestClass.deadline(),
+        function.name(),
+        call.requestClass.deadline(),
         0,
-        f.memoryMb(),
-        f.lanes(),
-        (long) f.loadMicros(),
+        function.memoryMb(),
+        function.lanes(),
+        (long) function.loadMicros(),
         false));
-    agenda.after(h.requestClass.deadline(), () -> {
-      if (!h.over) {
-        judge.broken("rule 1: no answer within the deadline");
-        over(id, h, Outcome.TIMEOUT);
-        tell(new ClientGone(id));
+    scheduler.after(call.requestClass.deadline(), () -> {
+      if (!call.finished) {
+        observer.countViolation("rule 1: no answer within the deadline");
+        finishCall(id, call, Outcome.TIMEOUT);
+        handle(new ClientGone(id));
       }
     });
   }
 
-  private void over(long id, Held h, Outcome outcome) {
-    if (h.over) {
-      judge.broken("rule 1: a second final answer");
+  private void finishCall(long id, CallState call, Outcome outcome) {
+    if (call.finished) {
+      observer.countViolation("rule 1: a second final answer");
       return;
     }
-    h.over = true;
-    judge.judged("rule 1, final answers");
-    judge.ended(h.function, h.requestClass, h.arrivedAt, outcome, h.cold);
-    release(id, h);
+    call.finished = true;
+    observer.countOccasion("rule 1, final answers");
+    observer.callEnded(call.function, call.requestClass, call.arrivedAt, outcome, call.cold);
+    removeIfDone(id, call);
   }
 
-  private void release(long id, Held h) {
-    if (h.over && h.out == 0) {
-      held.remove(id);
+  private void removeIfDone(long id, CallState call) {
+    if (call.finished && call.attemptsInFlight == 0) {
+      calls.remove(id);
     }
   }
 
@@ -181,168 +186,169 @@
     if (action instanceof Send a) {
       send(a);
     } else if (action instanceof SetTimer a) {
-      agenda.after(a.delay(), () -> tell(new TimerDue(a.token())));
+      scheduler.after(a.delay(), () -> handle(new TimerDue(a.token())));
     } else if (action instanceof Refuse a) {
-      over(a.id(), held.get(a.id()), Outcome.FULL);
+      finishCall(a.id(), calls.get(a.id()), Outcome.FULL);
     } else if (action instanceof Fail a) {
-      over(a.id(), held.get(a.id()), Outcome.ERROR);
+      finishCall(a.id(), calls.get(a.id()), Outcome.ERROR);
     } else if (action instanceof Cancel a) {
       cancel(a);
     } else if (action instanceof Load a) {
-      load(a);
+      orderLoad(a);
     } else if (action instanceof TellPeers a) {
-      peers.accept(a.text());
+      sendToPeers.accept(a.text());
     }
   }
 
-  private void drainKept(String worker, String what) {
-    Long told = notRunning.get(worker);
-    if (told != null) {
-      judge.judged("rule 3, told drains or gone");
+  private void checkDrain(String worker, String sent) {
+    Long toldAt = notRunningSince.get(worker);
+    if (toldAt != null) {
+      observer.countOccasion("rule 3, told drains or gone");
     }
-    if (told != null && agenda.now() > told + settings.rules().drainGrace()) {
-      judge.broken("rule 3: " + what + " after the grace");
+    if (toldAt != null && scheduler.now() > toldAt + settings.rules().drainGrace()) {
+      observer.countViolation("rule 3: " + sent + " after the grace");
     }
   }
 
   private void send(Send a) {
-    drainKept(a.worker(), "a call");
-    Held h = held.get(a.id());
-    Attempt attempt = new Attempt(runners.apply(a.worker()), agenda.now());
-    int number = h.attempts.size();
-    h.attempts.add(attempt);
-    h.out++;
-    agenda.after(network, () -> {
+    checkDrain(a.worker(), "a call");
+    CallState call = calls.get(a.id());
+    Attempt attempt = new Attempt(runners.apply(a.worker()), scheduler.now());
+    int number = call.attempts.size();
+    call.attempts.add(attempt);
+    call.attemptsInFlight++;
+    scheduler.after(networkMicros, () -> {
       if (!attempt.ended) {
         attempt.number = attempt.runner.call(
-            h.function,
-            h.work,
+            call.function,
+            call.workMicros,
             settings.loadsOnMiss(),
-            result -> agenda.after(network, () -> answered(a.id(), h, number, result)));
+            result ->
+                scheduler.after(networkMicros, () -> attemptEnded(a.id(), call, number, result)));
       }
     });
   }
 
-  private void answered(long id, Held h, int number, EmulatedRunner.Result r) {
-    Attempt attempt = h.attempts.get(number);
+  private void attemptEnded(long id, CallState call, int number, EmulatedRunner.Result result) {
+    Attempt attempt = call.attempts.get(number);
     if (attempt.ended) {
       return;
     }
     attempt.ended = true;
-    h.out--;
-    h.cold |= r.note() == CopyStatus.BEGAN
-        || r.note() == CopyStatus.WAITED
-        || r.outcome() == Outcome.MISS;
-    long latency = agenda.now() - attempt.sentAt;
-    if (r.outcome() == Outcome.OK) {
-      seen.served(h.function.name(), r.note(), latency);
-      String found = ahead.served(attempt.runner.name(), h.function.name(), r.note(), agenda.now());
-      if (found != null) {
-        peers.accept(found);
+    call.attemptsInFlight--;
+    call.cold |= result.copyStatus() == CopyStatus.BEGAN
+        || result.copyStatus() == CopyStatus.WAITED
+        || result.outcome() == Outcome.MISS;
+    long latency = scheduler.now() - attempt.sentAt;
+    if (result.outcome() == Outcome.OK) {
+      functionStats.served(call.function.name(), result.copyStatus(), latency);
+      String report = planExecutor.served(
+          attempt.runner.name(), call.function.name(), result.copyStatus(), scheduler.now());
+      if (report != null) {
+        sendToPeers.accept(report);
       }
     }
-    boolean settles = r.outcome() == Outcome.OK && !h.over;
-    if (settles) {
-      over(id, h, Outcome.OK);
+    boolean isFinal = result.outcome() == Outcome.OK && !call.finished;
+    if (isFinal) {
+      finishCall(id, call, Outcome.OK);
     }
-    tell(new Answer(
+    handle(new Answer(
         id,
         number,
         attempt.runner.name(),
-        r.outcome(),
-        settles,
+        result.outcome(),
+        isFinal,
         latency,
-        r.note(),
-        r.crowd(),
-        Map.of("inFlight", (double) r.held())));
-    release(id, h);
+        result.copyStatus(),
+        result.concurrency(),
+        Map.of("inFlight", (double) result.callsHeld())));
+    removeIfDone(id, call);
   }
 
   private void cancel(Cancel a) {
-    Held h = held.get(a.id());
-    Attempt attempt = h.attempts.get(a.attempt());
+    CallState call = calls.get(a.id());
+    Attempt attempt = call.attempts.get(a.attempt());
     if (attempt.number >= 0) {
-      agenda.after(network, () -> attempt.runner.cancel(attempt.number));
+      scheduler.after(networkMicros, () -> attempt.runner.cancel(attempt.number));
     }
-    agenda.after(
+    scheduler.after(
         0,
-        () -> answered(
+        () -> attemptEnded(
             a.id(),
-            h,
+            call,
             a.attempt(),
             new EmulatedRunner.Result(Outcome.CANCELLED, CopyStatus.NONE, -1, 0)));
   }
 
-  private void load(Load a) {
-    drainKept(a.worker(), "an order");
-    inRation();
-    long began = agenda.now();
-    if (holding) {
-      ahead.ordered(a.worker(), a.function(), began);
+  private void orderLoad(Load a) {
+    checkDrain(a.worker(), "an order");
+    checkRation();
+    long sentAt = scheduler.now();
+    if (sendingPlannedLoad) {
+      planExecutor.ordered(a.worker(), a.function(), sentAt);
     }
     EmulatedRunner runner = runners.apply(a.worker());
-    agenda.after(
-        network,
+    scheduler.after(
+        networkMicros,
         () -> runner.order(
             functions.apply(a.function()),
             a.copies(),
-            (outcome, copies) -> agenda.after(network, () -> {
-              long latency = agenda.now() - began;
+            (outcome, copies) -> scheduler.after(networkMicros, () -> {
+              long latency = scheduler.now() - sentAt;
               if (outcome == Outcome.OK) {
-                seen.loaded(a.function(), latency);
+                functionStats.loaded(a.function(), latency);
               }
-              ahead.loaded(a.worker(), a.function(), outcome, latency, agenda.now());
-              tell(new Loaded(a.worker(), a.function(), copies, outcome, latency));
+              planExecutor.loaded(a.worker(), a.function(), outcome, latency, scheduler.now());
+              handle(new Loaded(a.worker(), a.function(), copies, outcome, latency));
             })));
   }
 
-  private void inRation() {
+  private void checkRation() {
     long window = settings.rules().loadWindow();
     if (window == 0) {
-      taken.clear();
+      acceptedAt.clear();
       return;
     }
-    judge.judged("rule 5, orders under a ration");
-    ordered.addLast(agenda.now());
-    while (ordered.peekFirst() <= agenda.now() - window) {
-      ordered.removeFirst();
+    observer.countOccasion("rule 5, orders under a ration");
+    orderedAt.addLast(scheduler.now());
+    while (orderedAt.peekFirst() <= scheduler.now() - window) {
+      orderedAt.removeFirst();
     }
-    while (!taken.isEmpty() && taken.peekFirst() <= agenda.now() - window) {
-      taken.removeFirst();
+    while (!acceptedAt.isEmpty() && acceptedAt.peekFirst() <= scheduler.now() - window) {
+      acceptedAt.removeFirst();
     }
-    if (ordered.size()
-        > settings.rules().freeLoads() + settings.rules().loadsPerCall() * taken.size()) {
-      judge.broken("rule 5: an order beyond the ration");
+    if (orderedAt.size()
+        > settings.rules().freeLoads() + settings.rules().loadsPerCall() * acceptedAt.size()) {
+      observer.countViolation("rule 5: an order beyond the ration");
     }
   }
 
-  /** A plan arrives. */
-  PlanExecutor.Verdict plan(Plan plan) {
-    PlanExecutor.Verdict verdict = ahead.offer(plan, agenda.now());
-    if (!looking && ahead.hasPendingHolds()) {
-      looking = true;
-      agenda.after(0, this::look);
+  PlanExecutor.Verdict acceptPlan(Plan plan) {
+    PlanExecutor.Verdict verdict = planExecutor.offer(plan, scheduler.now());
+    if (!holdCheckScheduled && planExecutor.hasPendingHolds()) {
+      holdCheckScheduled = true;
+      scheduler.after(0, this::sendDueHolds);
     }
     return verdict;
   }
 
-  private void look() {
-    for (PlannedLoad hold : ahead.due(agenda.now())) {
-      holding = true;
-      tell(hold);
-      holding = false;
+  private void sendDueHolds() {
+    for (PlannedLoad hold : planExecutor.due(scheduler.now())) {
+      sendingPlannedLoad = true;
+      handle(hold);
+      sendingPlannedLoad = false;
     }
-    looking = ahead.hasPendingHolds();
-    if (looking) {
-      agenda.after(LOOK, this::look);
+    holdCheckScheduled = planExecutor.hasPendingHolds();
+    if (holdCheckScheduled) {
+      scheduler.after(HOLD_CHECK_MICROS, this::sendDueHolds);
     }
   }
 
-  PlanExecutor ahead() {
-    return ahead;
+  PlanExecutor planExecutor() {
+    return planExecutor;
   }
 
-  FunctionStats seen() {
-    return seen;
+  FunctionStats functionStats() {
+    return functionStats;
   }
 }
--- a/emulator/src/main/java/gorseladder/emulator/EmulatedFleet.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedFleet.java
@@ -28,61 +28,70 @@
 import java.util.function.DoubleConsumer;
 
 /**
- * A fleet in simulated time: runners, archive, list, edges with the real router, clients and, where asked for, a
- * planner with the real decisions. One seed gives one course of events, and the calls drawn do not depend on what is
- * done with them. One thread; several emulations may run side by side.
+ * A fleet in simulated time: runners, the archive, the worker list, edges with the real router, clients and, if the
+ * settings ask for it, a planner with the real decisions. The same seed gives the same sequence of events, and the calls
+ * drawn do not depend on how they are served. An emulation uses one thread; several may run in parallel.
  */
 public final class EmulatedFleet {
-  private static final long FIRST_MINUTE = 60_000_000;
-  private static final int STRETCHES = 4;
-  private static final long TICK = 2_000;
-  /** Part of the calls' usual worth that a late answer keeps. */
-  private static final double LATE = 0.2;
+  private static final long SURGE_START_MICROS = 60_000_000;
+  private static final int PERIODS_PER_SLOT = 4;
+  private static final long TICK_MICROS = 2_000;
+  /** Fraction of a call's worth that a late answer earns. */
+  private static final double LATE_WORTH_FRACTION = 0.2;
 
-  private final Emulation e;
-  private final Agenda agenda = new Agenda();
+  private final Emulation emulation;
+  private final EventScheduler scheduler = new EventScheduler();
   private final Outcomes outcomes;
   private final Workload workload;
   private final EmulatedArchive archive;
   private final Map<String, EmulatedRunner> runners = new LinkedHashMap<>();
-  private final Map<String, WorkerEntry> list = new LinkedHashMap<>();
+  private final Map<String, WorkerEntry> workerList = new LinkedHashMap<>();
   private final List<EmulatedEdge> edges = new ArrayList<>();
   private final EmulatedPlanner planner;
   private final Random random;
-  private final long day;
-  private final long slot;
+  private final long dayMicros;
+  private final long slotMicros;
 
   private EmulatedFleet(Emulation emulation, Recording recording) {
-    this.e = emulation;
-    this.random = new Random(e.getSeed() * 31 + 7);
-    this.day = (long) (e.getDayS() * 1e6);
-    this.slot = day / e.getSlots();
-    this.outcomes = new Outcomes(agenda, e.getTeachDays() * day, this::inSurge);
-    this.workload = new Workload(e, recording);
-    this.archive =
-        new EmulatedArchive(agenda, e.getArchive().getAtOnce(), e.getArchive().getMost());
-    this.planner = e.getAhead().getMode() == Mode.NONE ? null : new EmulatedPlanner(e);
-    for (int i = 0; i < e.getFleet().getRunners(); i++) {
-      double speed = e.getFleet().getSpeedFrom()
-          + random.nextDouble() * (e.getFleet().getSpeedTo() - e.getFleet().getSpeedFrom());
-      EmulatedRunner r = new EmulatedRunner(
-          "runner-" + i, agenda, e.getFleet(), speed, e.getArchive().getFetchPart(), archive);
-      runners.put(r.name(), r);
-      list.put(r.name(), new WorkerEntry(r.name(), "zone", 0, Phase.RUNNING, 1, 0));
+    this.emulation = emulation;
+    this.random = new Random(emulation.getSeed() * 31 + 7);
+    this.dayMicros = (long) (emulation.getDayS() * 1e6);
+    this.slotMicros = dayMicros / emulation.getSlots();
+    this.outcomes =
+        new Outcomes(scheduler, emulation.getTeachDays() * dayMicros, this::isSurgeStart);
+    this.workload = new Workload(emulation, recording);
+    this.archive = new EmulatedArchive(
+        scheduler, emulation.getArchive().getAtOnce(), emulation.getArchive().getMost());
+    this.planner =
+        emulation.getAhead().getMode() == Mode.NONE ? null : new EmulatedPlanner(emulation);
+    for (int i = 0; i < emulation.getFleet().getRunners(); i++) {
+      double speed = emulation.getFleet().getSpeedFrom()
+          + random.nextDouble()
+              * (emulation.getFleet().getSpeedTo() - emulation.getFleet().getSpeedFrom());
+      EmulatedRunner runner = new EmulatedRunner(
+          "runner-" + i,
+          scheduler,
+          emulation.getFleet(),
+          speed,
+          emulation.getArchive().getFetchPart(),
+          archive);
+      runners.put(runner.name(), runner);
+      workerList.put(runner.name(), new WorkerEntry(runner.name(), "zone", 0, Phase.RUNNING, 1, 0));
     }
-    for (int i = 0; i < e.getEdges().getCount(); i++) {
+    for (int i = 0; i < emulation.getEdges().getCount(); i++) {
       EmulatedEdge edge = new EmulatedEdge(
-          settings(i),
+          routerSettings(i),
           random.nextLong(),
-          agenda,
-          (long) (e.getFleet().getNetworkMs() * 1000),
+          scheduler,
+          (long) (emulation.getFleet().getNetworkMs() * 1000),
           runners::get,
           workload::function,
           outcomes);
       int number = i;
-      edge.tellPeersBy(text -> edges.stream()
-          .filter(o -> o != edge)
-          .forEach(o -> agenda.after(1_000, () -> o.tell(new PeerMessage(number, text)))));
+      edge.setPeerSender(text -> edges.stream()
+          .filter(other -> other != edge)
+          .forEach(
+              other -> scheduler.after(1_000, () -> other.handle(new PeerMessage(number, text)))));
       edges.add(edge);
     }
   }
@@ -90,69 +99,75 @@
   /**
    * Runs an emulation to its end.
    *
-   * @param progress told the part done, 0 to 1, now and then
-   * @throws IllegalArgumentException where a setting is impossible; the text names it
+   * @param progress receives the completed fraction, 0 to 1, after each slot
+   * @throws IllegalArgumentException if a setting is impossible; the message names it
    */
   public static Outcomes run(Emulation emulation, DoubleConsumer progress) {
     return run(emulation, null, progress);
   }
 
   /**
-   * Replays a recording in place of the settings' populations and days: what was called is given, how long it took is
-   * the fleet's. Plans see only what came before.
+   * Replays recorded calls in place of the settings' populations, days and surges; the emulated fleet determines their
+   * latency. A plan uses only calls from before it is made.
    *
-   * @param recording null for the settings' own calls
+   * @param recording null to draw calls by the settings
    */
   public static Outcomes run(Emulation emulation, Recording recording, DoubleConsumer progress) {
-    Emulation e = recording == null
+    Emulation effective = recording == null
         ? emulation
         : emulation.toBuilder()
             .setDays(recording.days())
             .setDayS(86_400)
             .clearSurge()
             .build();
-    check(e);
-    EmulatedFleet fleet = new EmulatedFleet(e, recording);
-    fleet.play(progress);
+    validate(effective);
+    EmulatedFleet fleet = new EmulatedFleet(effective, recording);
+    fleet.simulate(progress);
     return fleet.outcomes;
   }
 
-  private static void check(Emulation e) {
-    require(e.getCallClassCount() > 0, "call_class: at least one is needed");
-    require(e.getPopulationCount() > 0, "population: at least one is needed");
-    require(e.getDays() > e.getTeachDays() && e.getTeachDays() >= 0, "days: more than teach_days");
-    require(e.getSlots() >= 1 && e.getSlots() <= 1440, "slots: 1 to 1440");
+  private static void validate(Emulation emulation) {
+    require(emulation.getCallClassCount() > 0, "call_class: at least one is needed");
+    require(emulation.getPopulationCount() > 0, "population: at least one is needed");
     require(
-        e.getDayS() / e.getSlots() >= 5 * e.getFleet().getKeepAliveMs() / 1000.0,
+        emulation.getDays() > emulation.getTeachDays() && emulation.getTeachDays() >= 0,
+        "days: more than teach_days");
+    require(emulation.getSlots() >= 1 && emulation.getSlots() <= 1440, "slots: 1 to 1440");
+    require(
+        emulation.getDayS() / emulation.getSlots()
+            >= 5 * emulation.getFleet().getKeepAliveMs() / 1000.0,
         "day_s: a slot lasts five keep-alives or more");
     require(
-        e.getFleet().getRunners() >= 1 && e.getFleet().getCores() >= 1,
+        emulation.getFleet().getRunners() >= 1 && emulation.getFleet().getCores() >= 1,
         "fleet: runners and cores of 1 or more");
     require(
-        e.getFleet().getSpeedFrom() > 0
-            && e.getFleet().getSpeedTo() >= e.getFleet().getSpeedFrom(),
+        emulation.getFleet().getSpeedFrom() > 0
+            && emulation.getFleet().getSpeedTo() >= emulation.getFleet().getSpeedFrom(),
         "fleet: speeds above 0");
-    require(e.getEdges().getCount() >= 1, "edges: count of 1 or more");
-    require(e.getArchive().getAtOnce() > 0, "archive: at_once above 0");
-    e.getSurgeList()
+    require(emulation.getEdges().getCount() >= 1, "edges: count of 1 or more");
+    require(emulation.getArchive().getAtOnce() > 0, "archive: at_once above 0");
+    emulation
+        .getSurgeList()
         .forEach(s -> require(
-            e.getPopulationList().stream().anyMatch(p -> p.getName().equals(s.getPopulation())),
+            emulation.getPopulationList().stream()
+                .anyMatch(p -> p.getName().equals(s.getPopulation())),
             "surge: there is no population " + s.getPopulation()));
-    e.getPopulationList()
+    emulation
+        .getPopulationList()
         .forEach(p -> require(
             p.getFunctions() >= 1 && p.getLanes() >= 1 && p.getCallsPerS() > 0,
             "population " + p.getName() + ": functions, lanes and calls_per_s above 0"));
   }
 
-  private static void require(boolean holds, String what) {
+  private static void require(boolean holds, String requirement) {
     if (!holds) {
-      throw new IllegalArgumentException("impossible setting: " + what);
+      throw new IllegalArgumentException("impossible setting: " + requirement);
     }
   }
 
-  private Settings settings(int ordinal) {
-    Edges s = e.getEdges();
-    List<RequestClass> classes = e.getCallClassList().stream()
+  private Settings routerSettings(int ordinal) {
+    Edges edgeSettings = emulation.getEdges();
+    List<RequestClass> classes = emulation.getCallClassList().stream()
         .map(c -> new RequestClass(
             c.getName(),
             Effect.valueOf(c.getEffect().name()),
@@ -161,136 +176,150 @@
             c.getAimMs() * 1000,
             c.getDeadlineMs() * 1000,
             c.getWorth(),
-            LATE,
+            LATE_WORTH_FRACTION,
             false))
         .toList();
     return new Settings(
         ordinal,
-        s.getCount(),
+        edgeSettings.getCount(),
         "zone",
-        TICK,
-        e.getFleet().getKeepAliveMs() * 1000,
-        s.getLoadsOnMiss(),
+        TICK_MICROS,
+        emulation.getFleet().getKeepAliveMs() * 1000,
+        edgeSettings.getLoadsOnMiss(),
         false,
         0,
         1,
-        new Limits(4, false, e.getFleet().getCancelling(), false, true, true, false, 0, 10_000_000),
+        new Limits(
+            4,
+            false,
+            emulation.getFleet().getCancelling(),
+            false,
+            true,
+            true,
+            false,
+            0,
+            10_000_000),
         new Rules(
-            s.getDrainGraceMs() * 1000,
+            edgeSettings.getDrainGraceMs() * 1000,
             0.16,
             18_000_000,
             2.5,
             1_500_000,
-            s.getLoadsFree(),
-            s.getLoadShare(),
-            s.getLoadWindowMs() * 1000),
+            edgeSettings.getLoadsFree(),
+            edgeSettings.getLoadShare(),
+            edgeSettings.getLoadWindowMs() * 1000),
         classes,
         List.of());
   }
 
-  private void play(DoubleConsumer progress) {
-    edges.forEach(
-        edge -> edge.tell(new WorkerListUpdate(ListKind.SAVED, List.copyOf(list.values()))));
-    e.getTroubleList().forEach(this::plan);
-    long slots = (long) e.getDays() * e.getSlots();
-    for (long s = 0; s < slots; s++) {
-      long number = s;
+  private void simulate(DoubleConsumer progress) {
+    edges.forEach(edge ->
+        edge.handle(new WorkerListUpdate(ListKind.SAVED, List.copyOf(workerList.values()))));
+    emulation.getTroubleList().forEach(this::scheduleTrouble);
+    long slots = (long) emulation.getDays() * emulation.getSlots();
+    for (long slot = 0; slot < slots; slot++) {
+      long number = slot;
       if (planner != null) {
-        agenda.at((s + 1) * slot - (long) (planner.lead() * 1e6), () -> makePlan(number + 1));
+        scheduler.at(
+            (slot + 1) * slotMicros - (long) (planner.leadSeconds() * 1e6),
+            () -> makePlan(number + 1));
       }
-      for (int i = 0; i < STRETCHES; i++) {
-        long from = s * slot + i * slot / STRETCHES;
-        stretch(from, s * slot + (i + 1) * slot / STRETCHES);
+      for (int i = 0; i < PERIODS_PER_SLOT; i++) {
+        long from = slot * slotMicros + i * slotMicros / PERIODS_PER_SLOT;
+        runPeriod(from, slot * slotMicros + (i + 1) * slotMicros / PERIODS_PER_SLOT);
       }
-      slotOver(s);
-      progress.accept((s + 1.0) / slots);
+      endSlot(slot);
+      progress.accept((slot + 1.0) / slots);
     }
-    agenda.runUntil(slots * slot + 20_000_000);
-    edges.forEach(edge -> settle(edge));
-    outcomes.fetches = archive.done();
-    outcomes.aheadOrders =
-        edges.stream().mapToLong(edge -> edge.ahead().orderCount()).sum();
-    outcomes.events = agenda.done();
+    scheduler.runUntil(slots * slotMicros + 20_000_000);
+    edges.forEach(edge -> collectLoadsAhead(edge));
+    outcomes.fetches = archive.fetchCount();
+    outcomes.planOrders =
+        edges.stream().mapToLong(edge -> edge.planExecutor().orderCount()).sum();
+    outcomes.events = scheduler.executedCount();
   }
 
-  private void stretch(long from, long until) {
-    for (Workload.Arrival a : workload.draw(from, until)) {
-      agenda.at(a.at(), () -> {
+  private void runPeriod(long from, long until) {
+    for (Workload.Arrival call : workload.drawCalls(from, until)) {
+      scheduler.at(call.time(), () -> {
         if (planner != null) {
-          planner.arrived(a.function().name());
+          planner.callArrived(call.function().name());
         }
-        edges.get(random.nextInt(edges.size())).arrive(a.function(), a.work());
+        edges.get(random.nextInt(edges.size())).arrive(call.function(), call.workMicros());
       });
     }
-    agenda.runUntil(until);
+    scheduler.runUntil(until);
   }
 
-  /** The first minute of a surge that came, on counted days, for the functions it is about. */
-  private boolean inSurge(long at, Drawn f) {
-    for (Surge s : e.getSurgeList()) {
-      long begins = s.getDay() * day + (long) (s.getHour() / 24 * day);
-      if (s.getComes()
-          && s.getPopulation().equals(f.population())
-          && at >= begins
-          && at < begins + FIRST_MINUTE) {
+  /** Whether a time is in the first minute of a surge that includes a function. */
+  private boolean isSurgeStart(long time, EmulatedFunction function) {
+    for (Surge surge : emulation.getSurgeList()) {
+      long startsAt = surge.getDay() * dayMicros + (long) (surge.getHour() / 24 * dayMicros);
+      if (surge.getComes()
+          && surge.getPopulation().equals(function.population())
+          && time >= startsAt
+          && time < startsAt + SURGE_START_MICROS) {
         return true;
       }
     }
     return false;
   }
 
-  private void slotOver(long number) {
-    List<Map<String, FunctionStats.Snapshot>> seen =
-        edges.stream().map(edge -> edge.seen().takeSnapshots()).toList();
+  private void endSlot(long number) {
+    List<Map<String, FunctionStats.Snapshot>> snapshots =
+        edges.stream().map(edge -> edge.functionStats().takeSnapshots()).toList();
     if (planner != null) {
-      planner.slotOver(number, seen);
+      planner.endSlot(number, snapshots);
     }
-    edges.forEach(this::settle);
+    edges.forEach(this::collectLoadsAhead);
   }
 
-  private void settle(EmulatedEdge edge) {
-    edge.ahead().account().closeExpired(agenda.now());
-    for (LoadAheadAccounting.Entry entry : edge.ahead().account().takeClosed()) {
-      if (entry.orderedAt() >= e.getTeachDays() * day) {
+  private void collectLoadsAhead(EmulatedEdge edge) {
+    edge.planExecutor().account().closeExpired(scheduler.now());
+    for (LoadAheadAccounting.Entry entry : edge.planExecutor().account().takeClosed()) {
+      if (entry.orderedAt() >= emulation.getTeachDays() * dayMicros) {
         outcomes.add(entry);
       }
     }
   }
 
   private void makePlan(long forSlot) {
-    List<WorkerCapacity> hosts = list.values().stream()
+    List<WorkerCapacity> workers = workerList.values().stream()
         .filter(w -> w.phase() == Phase.RUNNING)
-        .map(w -> new WorkerCapacity(w.worker(), e.getAhead().getMemoryMb(), Integer.MAX_VALUE, 1))
+        .map(w -> new WorkerCapacity(
+            w.worker(), emulation.getAhead().getMemoryMb(), Integer.MAX_VALUE, 1))
         .toList();
-    List<Plan> plans = planner.plan(forSlot, agenda.now(), hosts, edges.size());
+    List<Plan> plans = planner.plan(forSlot, scheduler.now(), workers, edges.size());
     for (int i = 0; i < plans.size(); i++) {
       EmulatedEdge edge = edges.get(i);
       Plan plan = plans.get(i);
-      agenda.after((long) (e.getFleet().getNetworkMs() * 1000), () -> edge.plan(plan));
+      scheduler.after(
+          (long) (emulation.getFleet().getNetworkMs() * 1000), () -> edge.acceptPlan(plan));
     }
   }
 
-  private void plan(Trouble t) {
-    long at = t.getDay() * day + (long) (t.getHour() / 24 * day);
-    for (int i = 0; i < Math.min(t.getRunners(), runners.size()); i++) {
-      EmulatedRunner r = List.copyOf(runners.values()).get(i);
-      long lag = e.getEdges().getListLagMs() * 1000;
-      long back = at + (long) (t.getBackAfterS() * 1e6);
-      if (t.getKind() == Trouble.Kind.DIES) {
-        agenda.at(at, r::die);
-        agenda.at(at + lag, () -> news(r.name(), Phase.GONE, 0));
+  private void scheduleTrouble(Trouble trouble) {
+    long at = trouble.getDay() * dayMicros + (long) (trouble.getHour() / 24 * dayMicros);
+    for (int i = 0; i < Math.min(trouble.getRunners(), runners.size()); i++) {
+      EmulatedRunner runner = List.copyOf(runners.values()).get(i);
+      long lagMicros = emulation.getEdges().getListLagMs() * 1000;
+      long backAt = at + (long) (trouble.getBackAfterS() * 1e6);
+      if (trouble.getKind() == Trouble.Kind.DIES) {
+        scheduler.at(at, runner::crash);
+        scheduler.at(at + lagMicros, () -> updateWorkerList(runner.name(), Phase.GONE, 0));
       } else {
-        agenda.at(at, () -> news(r.name(), Phase.DRAINING, 0));
-        agenda.at(back, r::die);
+        scheduler.at(at, () -> updateWorkerList(runner.name(), Phase.DRAINING, 0));
+        scheduler.at(backAt, runner::crash);
       }
-      agenda.at(back, r::start);
-      agenda.at(back + lag, () -> news(r.name(), Phase.RUNNING, back));
+      scheduler.at(backAt, runner::restart);
+      scheduler.at(
+          backAt + lagMicros, () -> updateWorkerList(runner.name(), Phase.RUNNING, backAt));
     }
   }
 
-  private void news(String runner, Phase phase, long born) {
-    WorkerEntry entry = new WorkerEntry(runner, "zone", 0, phase, 1, born);
-    list.put(runner, entry);
-    edges.forEach(edge -> edge.tell(new WorkerListUpdate(ListKind.DELTA, List.of(entry))));
+  private void updateWorkerList(String runner, Phase phase, long startedAt) {
+    WorkerEntry entry = new WorkerEntry(runner, "zone", 0, phase, 1, startedAt);
+    workerList.put(runner, entry);
+    edges.forEach(edge -> edge.handle(new WorkerListUpdate(ListKind.DELTA, List.of(entry))));
   }
 }
--- a/emulator/src/main/java/gorseladder/emulator/Drawn.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedFunction.java
@@ -1,7 +1,7 @@
 package gorseladder.emulator;
 
-/** A function as drawn: which class it is of and what its copies and calls need. Times in microseconds. */
-record Drawn(
+/** A function of the emulated workload: its class and the resources of its copies and calls. */
+record EmulatedFunction(
     String name,
     String population,
     int requestClass,
--- a/emulator/src/main/java/gorseladder/emulator/EmulatedPlanner.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedPlanner.java
@@ -17,124 +17,134 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The real maker of plans, told what a planner would be told, with the faults that the settings ask for. */
+/** The real plan maker with the input of a planner, and with the faults that the settings inject. */
 final class EmulatedPlanner {
-  private final Emulation e;
-  private final Ahead a;
+  private final Emulation emulation;
+  private final Ahead ahead;
   private final double slotSeconds;
-  private final PlanMaker maker;
-  private final TreeMap<Long, Map<String, Integer>> unread = new TreeMap<>();
-  private Map<String, Integer> counts = new HashMap<>();
+  private final PlanMaker planMaker;
+  private final TreeMap<Long, Map<String, Integer>> unreadCounts = new TreeMap<>();
+  private Map<String, Integer> callCounts = new HashMap<>();
   private final Schedule schedule = new Schedule();
   private long version;
 
   EmulatedPlanner(Emulation emulation) {
-    this.e = emulation;
-    this.a = emulation.getAhead();
-    this.slotSeconds = e.getDayS() / e.getSlots();
+    this.emulation = emulation;
+    this.ahead = emulation.getAhead();
+    this.slotSeconds = emulation.getDayS() / emulation.getSlots();
     Map<Integer, String> dates = new HashMap<>();
-    for (Surge s : e.getSurgeList()) {
-      if (!s.getDate().isEmpty()) {
-        dates.put(s.getToldDay() >= 0 ? s.getToldDay() : s.getDay(), s.getDate());
+    for (Surge surge : emulation.getSurgeList()) {
+      if (!surge.getDate().isEmpty()) {
+        dates.put(surge.getToldDay() >= 0 ? surge.getToldDay() : surge.getDay(), surge.getDate());
       }
     }
-    // Of what one plan may order, the archive of the emulation serves so many loads a second
-    // alone.
-    double archive = e.getArchive().getAtOnce() / 0.5;
-    this.maker = new PlanMaker(
-        new SlotCalendar(e.getSlots(), 0, dates),
+    // Limits the orders of one plan: loads per second that the archive serves at full speed, at 0.5
+    // s per fetch.
+    double archiveLoadsPerSecond = emulation.getArchive().getAtOnce() / 0.5;
+    this.planMaker = new PlanMaker(
+        new SlotCalendar(emulation.getSlots(), 0, dates),
         new PlanMaker.Settings(
             slotSeconds,
-            e.getFleet().getKeepAliveMs() / 1000.0,
-            archive,
-            a.getOrdersPerPlan(),
-            new Prices(a.getFetchPrice(), a.getGigabyteSecondPrice(), a.getOrderPrice())),
-        this::foresee);
+            emulation.getFleet().getKeepAliveMs() / 1000.0,
+            archiveLoadsPerSecond,
+            ahead.getOrdersPerPlan(),
+            new Prices(
+                ahead.getFetchPrice(), ahead.getGigabyteSecondPrice(), ahead.getOrderPrice())),
+        this::forecast);
   }
 
-  private Forecasts.Forecast foresee(String function, long slot) {
-    String of = function;
-    if (a.getShuffled()) {
-      List<String> all = List.copyOf(maker.forecasts().functions());
-      of = all.get((all.indexOf(function) + all.size() / 2 + 1) % all.size());
+  private Forecasts.Forecast forecast(String function, long slot) {
+    String forecastOf = function;
+    if (ahead.getShuffled()) {
+      List<String> functions = List.copyOf(planMaker.forecasts().functions());
+      forecastOf = functions.get(
+          (functions.indexOf(function) + functions.size() / 2 + 1) % functions.size());
     }
-    Forecasts.Forecast x = maker.forecasts().forecast(of, slot + a.getShiftedSlots());
+    Forecasts.Forecast forecast =
+        planMaker.forecasts().forecast(forecastOf, slot + ahead.getShiftedSlots());
     return new Forecasts.Forecast(
-        function, x.mean() * a.getTimes(), x.upper() * a.getTimes(), x.forecasterName());
+        function,
+        forecast.mean() * ahead.getTimes(),
+        forecast.upper() * ahead.getTimes(),
+        forecast.forecasterName());
   }
 
-  void arrived(String function) {
-    counts.merge(function, 1, Integer::sum);
+  void callArrived(String function) {
+    callCounts.merge(function, 1, Integer::sum);
   }
 
-  private boolean away(double time) {
-    int day = (int) (time / e.getDayS());
-    return day >= a.getAwayFromDay() && day < a.getAwayFromDay() + a.getAwayDays();
+  private boolean isAway(double time) {
+    int day = (int) (time / emulation.getDayS());
+    return day >= ahead.getAwayFromDay() && day < ahead.getAwayFromDay() + ahead.getAwayDays();
   }
 
-  private boolean hole(long slot) {
-    double hour = slot % e.getSlots() * 24.0 / e.getSlots();
-    return hour >= a.getHoleFromHour() && hour < a.getHoleToHour();
+  private boolean isHistoryMissing(long slot) {
+    double hour = slot % emulation.getSlots() * 24.0 / emulation.getSlots();
+    return hour >= ahead.getHoleFromHour() && hour < ahead.getHoleToHour();
   }
 
   /**
-   * A slot is over: what the edges counted and saw of it. A planner that was away reads what it missed once it is back.
+   * Reads the calls of a slot and the snapshots of all edges. A planner that is away reads the calls when it returns.
    */
-  void slotOver(long slot, List<Map<String, FunctionStats.Snapshot>> seen) {
-    if (!hole(slot)) {
-      unread.put(slot, counts);
+  void endSlot(long slot, List<Map<String, FunctionStats.Snapshot>> snapshots) {
+    if (!isHistoryMissing(slot)) {
+      unreadCounts.put(slot, callCounts);
     }
-    counts = new HashMap<>();
-    for (Map<String, FunctionStats.Snapshot> edge : seen) {
-      edge.forEach((f, s) -> maker.learn(
+    callCounts = new HashMap<>();
+    for (Map<String, FunctionStats.Snapshot> edge : snapshots) {
+      edge.forEach((f, s) -> planMaker.learn(
           f,
           new PlanMaker.CopyProfile(
               s.memoryMb(), s.lanes(), s.workMicros() / 1e6, s.loadMicros() / 1e6)));
     }
-    if (!away((slot + 1) * slotSeconds)) {
-      unread.forEach(maker::observe);
-      unread.clear();
+    if (!isAway((slot + 1) * slotSeconds)) {
+      unreadCounts.forEach(planMaker::observe);
+      unreadCounts.clear();
     }
   }
 
-  /** Seconds before a slot at which its plan is made. */
-  double lead() {
-    return maker.leadSeconds();
+  /** How long before a slot its plan is made. */
+  double leadSeconds() {
+    return planMaker.leadSeconds();
   }
 
-  /** Plans for a slot, one for each edge; none while it is away. The clock of the edges is that of the emulation. */
-  List<Plan> plan(long slot, long now, List<WorkerCapacity> hosts, int edges) {
-    if (away(now / 1e6)) {
+  /**
+   * Plans for a slot, one for each edge; none while the planner is away. The edges use the clock of the emulation.
+   *
+   * @param now time in microseconds
+   */
+  List<Plan> plan(long slot, long now, List<WorkerCapacity> workers, int edges) {
+    if (isAway(now / 1e6)) {
       return List.of();
     }
     List<PlanMaker.Order> orders =
-        maker.plan(slot, counts, (slotSeconds - lead()) / slotSeconds, hosts);
+        planMaker.plan(slot, callCounts, (slotSeconds - leadSeconds()) / slotSeconds, workers);
     List<Schedule.ScheduledHold> holds = schedule.add(slot * slotSeconds, orders, now / 1e6);
-    long until = (long) ((slot + 1) * slotSeconds * 1e6);
+    long expiresAt = (long) ((slot + 1) * slotSeconds * 1e6);
     version++;
     List<Plan> plans = new ArrayList<>();
     for (int edge = 0; edge < edges; edge++) {
       List<Plan.Item> items = new ArrayList<>();
-      for (Schedule.ScheduledHold t : holds) {
-        PlanMaker.Order o = t.order();
-        boolean mine = Math.floorMod(o.placed().function().hashCode(), edges) == edge;
+      for (Schedule.ScheduledHold hold : holds) {
+        PlanMaker.Order order = hold.order();
+        boolean owned = Math.floorMod(order.placed().function().hashCode(), edges) == edge;
         items.add(new Plan.Item(
-            o.placed().worker(),
-            o.placed().function(),
+            order.placed().worker(),
+            order.placed().function(),
             1,
-            o.profile().lanes(),
-            (long) (t.from() * 1e6),
-            (long) (t.until() * 1e6),
-            (long) (o.profile().loadSeconds() * 1e6),
-            o.profile().memoryMb(),
-            mine));
+            order.profile().lanes(),
+            (long) (hold.from() * 1e6),
+            (long) (hold.until() * 1e6),
+            (long) (order.profile().loadSeconds() * 1e6),
+            order.profile().memoryMb(),
+            owned));
       }
-      plans.add(new Plan(1, version, until, items));
+      plans.add(new Plan(1, version, expiresAt, items));
     }
     return plans;
   }
 
-  PlanMaker maker() {
-    return maker;
+  PlanMaker planMaker() {
+    return planMaker;
   }
 }
--- a/emulator/src/main/java/gorseladder/emulator/EmulatedRunner.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedRunner.java
@@ -14,97 +14,109 @@
 import java.util.Set;
 
 /**
- * A runner: copies with lanes, memory, a few loads at once, cores that calls share. A copy that nobody used for the
- * keep-alive is unloaded, the longest idle one sooner where a load needs the room.
+ * A runner with limited memory, a limited number of parallel loads and cores that its calls share. The copies of a
+ * function are unloaded when it was not used for the keep-alive time; if a load needs memory, idle copies of the least
+ * recently used functions are unloaded earlier.
  */
 final class EmulatedRunner {
-  /** What a call or an order is told at its end. */
-  record Result(Outcome outcome, CopyStatus note, int crowd, int held) {}
+  /**
+   * Result of a call.
+   *
+   * @param concurrency calls of the same function that the runner held when this one arrived; -1 if it was down
+   * @param callsHeld calls that the runner holds after this one
+   */
+  record Result(Outcome outcome, CopyStatus copyStatus, int concurrency, int callsHeld) {}
 
-  /** Hears the end of a call. */
-  interface Hearer {
+  /** Receives the result of a call. */
+  interface CallListener {
     void ended(Result result);
   }
 
-  /** Hears how many copies stand at the end of an order. */
-  interface OrderHearer {
+  /** Receives the result of a load order and the number of loaded copies. */
+  interface OrderListener {
     void ended(Outcome outcome, int copies);
   }
 
   private static final class Call {
-    private final Drawn function;
-    private final double work;
-    private final Hearer hearer;
-    private final int crowd;
-    private CopyStatus note;
-    private boolean runs;
+    private final EmulatedFunction function;
+    private final double workMicros;
+    private final CallListener listener;
+    private final int concurrency;
+    private CopyStatus copyStatus;
+    private boolean started;
 
-    Call(Drawn function, double work, Hearer hearer, int crowd, CopyStatus note) {
+    Call(
+        EmulatedFunction function,
+        double workMicros,
+        CallListener listener,
+        int concurrency,
+        CopyStatus copyStatus) {
       this.function = function;
-      this.work = work;
-      this.hearer = hearer;
-      this.crowd = crowd;
-      this.note = note;
+      this.workMicros = workMicros;
+      this.listener = listener;
+      this.concurrency = concurrency;
+      this.copyStatus = copyStatus;
     }
   }
 
-  private record Order(int copies, OrderHearer hearer) {}
+  private record Order(int copies, OrderListener listener) {}
 
-  private static final class Copies {
-    private final Drawn function;
-    private int copies;
+  private static final class FunctionCopies {
+    private final EmulatedFunction function;
+    private int loaded;
     private int loading;
     private int running;
     private long lastUsed;
     private final ArrayDeque<Call> queue = new ArrayDeque<>();
     private final List<Order> orders = new ArrayList<>();
 
-    Copies(Drawn function) {
+    FunctionCopies(EmulatedFunction function) {
       this.function = function;
     }
 
-    private int idle() {
+    private int idleCopies() {
       int lanes = function.lanes();
-      return copies - (running + lanes - 1) / lanes;
+      return loaded - (running + lanes - 1) / lanes;
     }
   }
 
-  private static final class Loading {
-    private final Copies set;
+  private static final class PendingLoad {
+    private final FunctionCopies copies;
 
-    Loading(Copies set) {
-      this.set = set;
+    PendingLoad(FunctionCopies copies) {
+      this.copies = copies;
     }
   }
 
   private final String name;
-  private final Agenda agenda;
+  private final EventScheduler scheduler;
   private final Fleet fleet;
-  private final double fetchPart;
+  private final double fetchFraction;
   private final EmulatedArchive archive;
-  private final SharedRate<Call> cores;
-  private final Map<String, Copies> sets = new LinkedHashMap<>();
+  private final ProcessorSharing<Call> cores;
+  private final Map<String, FunctionCopies> copiesByFunction = new LinkedHashMap<>();
   private final Map<Integer, Call> calls = new HashMap<>();
-  private final ArrayDeque<Loading> waitingLoads = new ArrayDeque<>();
-  private final Set<Loading> loads = new LinkedHashSet<>();
+  private final ArrayDeque<PendingLoad> queuedLoads = new ArrayDeque<>();
+  private final Set<PendingLoad> activeLoads = new LinkedHashSet<>();
   private double usedMb;
-  private int life;
+  private int incarnation;
   private boolean up = true;
-  private int numbers;
+  private int nextNumber;
 
   EmulatedRunner(
       String name,
-      Agenda agenda,
+      EventScheduler scheduler,
       Fleet fleet,
       double speed,
-      double fetchPart,
+      double fetchFraction,
       EmulatedArchive archive) {
     this.name = name;
-    this.agenda = agenda;
+    this.scheduler = scheduler;
     this.fleet = fleet;
-    this.fetchPart = fetchPart;
+    this.fetchFraction = fetchFraction;
     this.archive = archive;
-    this.cores = new SharedRate<>(agenda, n -> speed * Math.min(1, fleet.getCores() / (double) n));
+    this.cores =
+        new ProcessorSharing<>(scheduler, n -> speed * Math.min(1, fleet.getCores() / (double) n));
   }
 
   String name() {
@@ -112,252 +124,266 @@
   }
 
   /**
-   * Takes a call; returns a number by which it can be cancelled. The hearer hears exactly one end, unless it is
-   * cancelled.
+   * Accepts or rejects a call. The listener receives exactly one result, unless the call is cancelled.
+   *
+   * @return the number to pass to {@link #cancel}
    */
-  int call(Drawn function, double work, boolean loadsOnMiss, Hearer hearer) {
-    int number = numbers++;
+  int call(
+      EmulatedFunction function, double workMicros, boolean loadsOnMiss, CallListener listener) {
+    int number = nextNumber++;
     if (!up) {
-      hearer.ended(new Result(Outcome.CONNECT_FAILED, CopyStatus.NONE, -1, 0));
+      listener.ended(new Result(Outcome.CONNECT_FAILED, CopyStatus.NONE, -1, 0));
       return number;
     }
-    Copies s = sets.computeIfAbsent(function.name(), f -> new Copies(function));
-    int crowd = s.running + s.queue.size();
+    FunctionCopies copies =
+        copiesByFunction.computeIfAbsent(function.name(), f -> new FunctionCopies(function));
+    int concurrency = copies.running + copies.queue.size();
     if (calls.size() >= fleet.getMostCalls()) {
-      hearer.ended(new Result(Outcome.FULL, CopyStatus.NONE, crowd, calls.size()));
+      listener.ended(new Result(Outcome.FULL, CopyStatus.NONE, concurrency, calls.size()));
       return number;
     }
-    if (s.copies + s.loading == 0 && !loadsOnMiss) {
-      hearer.ended(new Result(Outcome.MISS, CopyStatus.NONE, crowd, calls.size()));
+    if (copies.loaded + copies.loading == 0 && !loadsOnMiss) {
+      listener.ended(new Result(Outcome.MISS, CopyStatus.NONE, concurrency, calls.size()));
       return number;
     }
-    CopyStatus note =
-        s.copies > 0 ? CopyStatus.WARM : s.loading > 0 ? CopyStatus.WAITED : CopyStatus.BEGAN;
-    int[] mine = {number};
-    Call c = new Call(
+    CopyStatus copyStatus = copies.loaded > 0
+        ? CopyStatus.WARM
+        : copies.loading > 0 ? CopyStatus.WAITED : CopyStatus.BEGAN;
+    int[] ownNumber = {number};
+    Call call = new Call(
         function,
-        work,
+        workMicros,
         result -> {
-          calls.remove(mine[0]);
-          hearer.ended(result);
+          calls.remove(ownNumber[0]);
+          listener.ended(result);
         },
-        crowd,
-        note);
-    calls.put(number, c);
-    s.queue.addLast(c);
-    serve(s);
-    if (!c.runs
+        concurrency,
+        copyStatus);
+    calls.put(number, call);
+    copies.queue.addLast(call);
+    startCalls(copies);
+    if (!call.started
         && loadsOnMiss
-        && s.queue.size() > (s.copies + s.loading) * function.lanes()
-        && !load(s, s.copies > 0)
-        && s.copies + s.loading == 0) {
-      s.queue.remove(c);
-      end(c, Outcome.FULL);
+        && copies.queue.size() > (copies.loaded + copies.loading) * function.lanes()
+        && !load(copies, copies.loaded > 0)
+        && copies.loaded + copies.loading == 0) {
+      copies.queue.remove(call);
+      finish(call, Outcome.FULL);
     }
     return number;
   }
 
-  private void end(Call c, Outcome outcome) {
-    c.hearer.ended(new Result(
-        outcome, outcome == Outcome.OK ? c.note : CopyStatus.NONE, c.crowd, calls.size() - 1));
+  private void finish(Call call, Outcome outcome) {
+    call.listener.ended(new Result(
+        outcome,
+        outcome == Outcome.OK ? call.copyStatus : CopyStatus.NONE,
+        call.concurrency,
+        calls.size() - 1));
   }
 
-  /** Ends a call whose caller does not wait any more; nobody hears of it. */
+  /** Ends a call whose caller no longer waits, without a result. Has no effect if the fleet does not support it. */
   void cancel(int number) {
-    Call c = calls.get(number);
-    if (c == null || !fleet.getCancelling()) {
+    Call call = calls.get(number);
+    if (call == null || !fleet.getCancelling()) {
       return;
     }
     calls.remove(number);
-    Copies s = sets.get(c.function.name());
-    if (c.runs) {
-      cores.drop(c);
-      s.running--;
-      serve(s);
+    FunctionCopies copies = copiesByFunction.get(call.function.name());
+    if (call.started) {
+      cores.remove(call);
+      copies.running--;
+      startCalls(copies);
     } else {
-      s.queue.remove(c);
+      copies.queue.remove(call);
     }
   }
 
-  private void serve(Copies s) {
-    while (!s.queue.isEmpty() && s.running < s.copies * s.function.lanes()) {
-      Call c = s.queue.pollFirst();
-      c.runs = true;
-      s.running++;
-      s.lastUsed = agenda.now();
-      int mine = life;
-      cores.begin(c, c.work, () -> {
-        if (mine == life) {
-          s.running--;
-          s.lastUsed = agenda.now();
-          expireLater(s);
-          end(c, Outcome.OK);
-          serve(s);
+  private void startCalls(FunctionCopies copies) {
+    while (!copies.queue.isEmpty() && copies.running < copies.loaded * copies.function.lanes()) {
+      Call call = copies.queue.pollFirst();
+      call.started = true;
+      copies.running++;
+      copies.lastUsed = scheduler.now();
+      int current = incarnation;
+      cores.start(call, call.workMicros, () -> {
+        if (current == incarnation) {
+          copies.running--;
+          copies.lastUsed = scheduler.now();
+          scheduleExpiry(copies);
+          finish(call, Outcome.OK);
+          startCalls(copies);
         }
       });
     }
   }
 
-  /** Orders that so many copies stand, which also renews their idle time. */
-  void order(Drawn function, int copies, OrderHearer hearer) {
+  /** Loads copies of a function until the requested number is loaded, and restarts its keep-alive time. */
+  void order(EmulatedFunction function, int requested, OrderListener listener) {
     if (!up) {
-      hearer.ended(Outcome.CONNECT_FAILED, 0);
+      listener.ended(Outcome.CONNECT_FAILED, 0);
       return;
     }
-    Copies s = sets.computeIfAbsent(function.name(), f -> new Copies(function));
-    s.lastUsed = agenda.now();
-    while (s.copies + s.loading < copies) {
-      if (!load(s, false)) {
-        hearer.ended(Outcome.FULL, s.copies);
+    FunctionCopies copies =
+        copiesByFunction.computeIfAbsent(function.name(), f -> new FunctionCopies(function));
+    copies.lastUsed = scheduler.now();
+    while (copies.loaded + copies.loading < requested) {
+      if (!load(copies, false)) {
+        listener.ended(Outcome.FULL, copies.loaded);
         return;
       }
     }
-    if (s.copies >= copies) {
-      expireLater(s);
-      hearer.ended(Outcome.OK, s.copies);
+    if (copies.loaded >= requested) {
+      scheduleExpiry(copies);
+      listener.ended(Outcome.OK, copies.loaded);
     } else {
-      s.orders.add(new Order(copies, hearer));
+      copies.orders.add(new Order(requested, listener));
     }
   }
 
-  /** Begins a load where there is memory for it; an additional copy pushes nothing out. */
-  private boolean load(Copies s, boolean additional) {
-    double need = s.function.memoryMb();
-    if (additional ? usedMb + need > fleet.getMemoryMb() : !makeRoom(need)) {
+  /** Starts or queues a load if there is memory for it. An additional copy evicts no other copies. */
+  private boolean load(FunctionCopies copies, boolean additional) {
+    double neededMb = copies.function.memoryMb();
+    if (additional ? usedMb + neededMb > fleet.getMemoryMb() : !freeMemory(neededMb)) {
       return false;
     }
-    usedMb += need;
-    s.loading++;
-    Loading l = new Loading(s);
-    if (loads.size() < fleet.getParallelLoads()) {
-      fetch(l);
+    usedMb += neededMb;
+    copies.loading++;
+    PendingLoad load = new PendingLoad(copies);
+    if (activeLoads.size() < fleet.getParallelLoads()) {
+      fetch(load);
     } else {
-      waitingLoads.addLast(l);
+      queuedLoads.addLast(load);
     }
     return true;
   }
 
-  private boolean makeRoom(double need) {
-    if (usedMb + need <= fleet.getMemoryMb()) {
+  private boolean freeMemory(double neededMb) {
+    if (usedMb + neededMb <= fleet.getMemoryMb()) {
       return true;
     }
-    List<Copies> idle = sets.values().stream()
-        .filter(s -> s.idle() > 0)
-        .sorted(Comparator.comparingLong(s -> s.lastUsed))
+    List<FunctionCopies> idle = copiesByFunction.values().stream()
+        .filter(copies -> copies.idleCopies() > 0)
+        .sorted(Comparator.comparingLong(copies -> copies.lastUsed))
         .toList();
-    double free = fleet.getMemoryMb()
+    double freeMb = fleet.getMemoryMb()
         - usedMb
-        + idle.stream().mapToDouble(s -> s.idle() * s.function.memoryMb()).sum();
-    if (free < need) {
+        + idle.stream()
+            .mapToDouble(copies -> copies.idleCopies() * copies.function.memoryMb())
+            .sum();
+    if (freeMb < neededMb) {
       return false;
     }
-    for (Copies s : idle) {
-      while (s.idle() > 0 && usedMb + need > fleet.getMemoryMb()) {
-        s.copies--;
-        usedMb -= s.function.memoryMb();
+    for (FunctionCopies copies : idle) {
+      while (copies.idleCopies() > 0 && usedMb + neededMb > fleet.getMemoryMb()) {
+        copies.loaded--;
+        usedMb -= copies.function.memoryMb();
       }
     }
     return true;
   }
 
-  private void fetch(Loading l) {
-    loads.add(l);
-    double micros = l.set.function.loadMicros();
-    int mine = life;
-    boolean taken = archive.fetch(
-        l,
-        micros * fetchPart,
-        () -> agenda.after((long) (micros * (1 - fetchPart)), () -> {
-          if (mine == life) {
-            loaded(l);
+  private void fetch(PendingLoad load) {
+    activeLoads.add(load);
+    double loadMicros = load.copies.function.loadMicros();
+    int current = incarnation;
+    boolean accepted = archive.fetch(
+        load,
+        loadMicros * fetchFraction,
+        () -> scheduler.after((long) (loadMicros * (1 - fetchFraction)), () -> {
+          if (current == incarnation) {
+            loadCompleted(load);
           }
         }));
-    if (!taken) {
-      agenda.after(1000, () -> {
-        if (mine == life) {
-          failed(l);
+    if (!accepted) {
+      scheduler.after(1000, () -> {
+        if (current == incarnation) {
+          loadFailed(load);
         }
       });
     }
   }
 
-  private void nextLoad(Loading l) {
-    loads.remove(l);
-    if (!waitingLoads.isEmpty()) {
-      fetch(waitingLoads.pollFirst());
+  private void startNextLoad(PendingLoad load) {
+    activeLoads.remove(load);
+    if (!queuedLoads.isEmpty()) {
+      fetch(queuedLoads.pollFirst());
     }
   }
 
-  private void loaded(Loading l) {
-    Copies s = l.set;
-    s.loading--;
-    s.copies++;
-    s.lastUsed = agenda.now();
-    nextLoad(l);
-    serve(s);
-    expireLater(s);
-    for (Order o : List.copyOf(s.orders)) {
-      if (s.copies >= o.copies()) {
-        s.orders.remove(o);
-        o.hearer().ended(Outcome.OK, s.copies);
+  private void loadCompleted(PendingLoad load) {
+    FunctionCopies copies = load.copies;
+    copies.loading--;
+    copies.loaded++;
+    copies.lastUsed = scheduler.now();
+    startNextLoad(load);
+    startCalls(copies);
+    scheduleExpiry(copies);
+    for (Order order : List.copyOf(copies.orders)) {
+      if (copies.loaded >= order.copies()) {
+        copies.orders.remove(order);
+        order.listener().ended(Outcome.OK, copies.loaded);
       }
     }
   }
 
-  /** The archive turned the fetch away: whoever waits for this copy alone hears so. */
-  private void failed(Loading l) {
-    Copies s = l.set;
-    s.loading--;
-    usedMb -= s.function.memoryMb();
-    nextLoad(l);
-    if (s.copies + s.loading == 0) {
-      List<Call> waiting = List.copyOf(s.queue);
-      s.queue.clear();
-      waiting.forEach(c -> end(c, Outcome.FULL));
+  /** Handles a rejected fetch: fails the orders, and the calls too if no copy is loaded or loading. */
+  private void loadFailed(PendingLoad load) {
+    FunctionCopies copies = load.copies;
+    copies.loading--;
+    usedMb -= copies.function.memoryMb();
+    startNextLoad(load);
+    if (copies.loaded + copies.loading == 0) {
+      List<Call> waiting = List.copyOf(copies.queue);
+      copies.queue.clear();
+      waiting.forEach(call -> finish(call, Outcome.FULL));
     }
-    List<Order> orders = List.copyOf(s.orders);
-    s.orders.clear();
-    orders.forEach(o -> o.hearer().ended(Outcome.ERROR, s.copies));
+    List<Order> openOrders = List.copyOf(copies.orders);
+    copies.orders.clear();
+    openOrders.forEach(order -> order.listener().ended(Outcome.ERROR, copies.loaded));
   }
 
-  private void expireLater(Copies s) {
-    long keep = fleet.getKeepAliveMs() * 1000;
-    long used = s.lastUsed;
-    int mine = life;
-    agenda.after(keep, () -> {
-      if (mine == life
-          && s.lastUsed == used
-          && s.running == 0
-          && s.queue.isEmpty()
-          && s.copies > 0) {
-        usedMb -= s.copies * s.function.memoryMb();
-        s.copies = 0;
+  private void scheduleExpiry(FunctionCopies copies) {
+    long keepAliveMicros = fleet.getKeepAliveMs() * 1000;
+    long lastUsedBefore = copies.lastUsed;
+    int current = incarnation;
+    scheduler.after(keepAliveMicros, () -> {
+      if (current == incarnation
+          && copies.lastUsed == lastUsedBefore
+          && copies.running == 0
+          && copies.queue.isEmpty()
+          && copies.loaded > 0) {
+        usedMb -= copies.loaded * copies.function.memoryMb();
+        copies.loaded = 0;
       }
-      if (mine == life && s.copies + s.loading + s.queue.size() == 0 && s.orders.isEmpty()) {
-        sets.remove(s.function.name(), s);
+      if (current == incarnation
+          && copies.loaded + copies.loading + copies.queue.size() == 0
+          && copies.orders.isEmpty()) {
+        copiesByFunction.remove(copies.function.name(), copies);
       }
     });
   }
 
-  /** Stops: what it holds is reset, what it loaded is gone. */
-  void die() {
+  /** Stops: resets all calls and orders and discards all copies. */
+  void crash() {
     up = false;
-    life++;
-    List<Call> held = new ArrayList<>(calls.values());
-    List<Order> orders = sets.values().stream().flatMap(s -> s.orders.stream()).toList();
+    incarnation++;
+    List<Call> heldCalls = new ArrayList<>(calls.values());
+    List<Order> openOrders = copiesByFunction.values().stream()
+        .flatMap(copies -> copies.orders.stream())
+        .toList();
     cores.clear();
-    loads.forEach(archive::drop);
-    loads.clear();
-    waitingLoads.clear();
-    sets.clear();
+    activeLoads.forEach(archive::cancel);
+    activeLoads.clear();
+    queuedLoads.clear();
+    copiesByFunction.clear();
     usedMb = 0;
-    held.forEach(c -> end(c, Outcome.RESET));
+    heldCalls.forEach(call -> finish(call, Outcome.RESET));
     calls.clear();
-    orders.forEach(o -> o.hearer().ended(Outcome.RESET, 0));
+    openOrders.forEach(order -> order.listener().ended(Outcome.RESET, 0));
   }
 
-  /** Starts empty. */
-  void start() {
+  /** Accepts calls again, with no copies loaded. */
+  void restart() {
     up = true;
   }
 }
--- a/emulator/src/main/java/gorseladder/emulator/Experiment.java
+++ b/emulator/src/main/java/gorseladder/emulator/Experiment.java
@@ -26,67 +26,75 @@
 import org.knowm.xchart.CategoryChartBuilder;
 import org.knowm.xchart.style.Styler.LegendPosition;
 
-/** A grid of emulations over seeds, run side by side; tables with intervals, and plots. All figures are simulated. */
+/** A grid of emulations, each with several seeds, run in parallel; means with intervals, and plots. All figures are simulated. */
 public final class Experiment {
-  /** Two-sided 95 % points of Student's distribution for 1 to 10 degrees of freedom; beyond, the normal's. */
-  private static final double[] STUDENT = {
+  /** Two-sided 95 % quantiles of Student's t distribution, for 1 to 10 degrees of freedom. */
+  private static final double[] STUDENT_QUANTILES = {
     12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23
   };
 
-  private static final double NORMAL = 1.96;
+  /** The same of the normal distribution, for more degrees of freedom. */
+  private static final double NORMAL_QUANTILE = 1.96;
 
-  /** What is compared. */
+  /** A figure compared between emulations. */
   public enum Measure {
     SERVICE("service", "part of the worth", Outcomes::service),
     COLD("cold share", "part of the calls", Outcomes::coldShare),
     SURGE_COLD("cold share, first minute", "part of the calls", Outcomes::surgeColdShare),
-    MEAN("mean latency", "ms", Outcomes::meanMillis),
-    P99("p99", "ms", o -> o.latencyMillis(99)),
-    FETCHES("fetches", "fetches a call", o -> o.fetches() / (double) Math.max(1, o.calls())),
-    AHEAD("orders of plans", "orders", o -> (double) o.aheadOrders()),
+    MEAN("mean latency", "ms", Outcomes::meanLatencyMillis),
+    P99("p99", "ms", outcomes -> outcomes.latencyMillis(99)),
+    FETCHES(
+        "fetches",
+        "fetches a call",
+        outcomes -> outcomes.fetches() / (double) Math.max(1, outcomes.calls())),
+    AHEAD("orders of plans", "orders", outcomes -> (double) outcomes.planOrders()),
     WASTED(
         "of them wasted",
         "part of the loads ahead",
-        o -> o.balance().wasted() / (double) Math.max(1, o.balance().loads())),
-    SAVED("waiting saved", "s", o -> o.balance().saved()),
-    PUSHED("waiting caused by what was pushed out", "s", o -> o.balance().pushed()),
-    HELD("held ahead", "GB s", o -> o.balance().gigabyteSeconds()),
-    BROKEN("broken rules", "times", o ->
-        (double) o.broken().values().stream().mapToLong(Long::longValue).sum());
+        outcomes -> outcomes.totalBalance().wasted()
+            / (double) Math.max(1, outcomes.totalBalance().loads())),
+    SAVED("waiting saved", "s", outcomes -> outcomes.totalBalance().savedSeconds()),
+    PUSHED(
+        "waiting caused by what was pushed out",
+        "s",
+        outcomes -> outcomes.totalBalance().evictedLoadSeconds()),
+    HELD("held ahead", "GB s", outcomes -> outcomes.totalBalance().gigabyteSeconds()),
+    BROKEN("broken rules", "times", outcomes -> (double)
+        outcomes.violations().values().stream().mapToLong(Long::longValue).sum());
 
     private final String title;
     private final String unit;
-    private final Function<Outcomes, Double> of;
+    private final Function<Outcomes, Double> extractor;
 
-    Measure(String title, String unit, Function<Outcomes, Double> of) {
+    Measure(String title, String unit, Function<Outcomes, Double> extractor) {
       this.title = title;
       this.unit = unit;
-      this.of = of;
+      this.extractor = extractor;
     }
 
     public String title() {
       return title + ", " + unit;
     }
 
-    public double of(Outcomes o) {
-      return of.apply(o);
+    public double value(Outcomes outcomes) {
+      return extractor.apply(outcomes);
     }
   }
 
-  /** A mean over seeds and half the width of its 95 % interval; NaN from one seed. */
-  public record Interval(double mean, double half) {}
+  /** A mean over seeds and half the width of its 95 % confidence interval, which is NaN for one seed. */
+  public record Interval(double mean, double halfWidth) {}
 
   private final gorseladder.emulator.proto.Experiment settings;
   private final Map<String, Emulation> cells = new LinkedHashMap<>();
-  private final Map<String, List<Outcomes>> results = new LinkedHashMap<>();
+  private final Map<String, List<Outcomes>> resultsByCell = new LinkedHashMap<>();
 
   private Experiment(gorseladder.emulator.proto.Experiment settings) {
     this.settings = settings;
     cells.put("", settings.getBase());
     for (Axis axis : settings.getAxisList()) {
-      Map<String, Emulation> before = new LinkedHashMap<>(cells);
+      Map<String, Emulation> previous = new LinkedHashMap<>(cells);
       cells.clear();
-      before.forEach((name, e) -> {
+      previous.forEach((name, e) -> {
         for (Choice c : axis.getChoiceList()) {
           cells.put(
               name.isEmpty() ? c.getName() : name + ", " + c.getName(),
@@ -96,7 +104,11 @@
     }
   }
 
-  /** Reads an experiment; the text of the error names the line. */
+  /**
+   * Reads an experiment.
+   *
+   * @throws IllegalArgumentException if the file is malformed; the message names the line
+   */
   public static Experiment load(Path file) throws IOException {
     var b = gorseladder.emulator.proto.Experiment.newBuilder();
     parse(file, b);
@@ -106,8 +118,12 @@
     return new Experiment(b.build());
   }
 
-  /** Reads one emulation. */
-  public static Emulation emulation(Path file) throws IOException {
+  /**
+   * Reads an emulation.
+   *
+   * @throws IllegalArgumentException if the file is malformed; the message names the line
+   */
+  public static Emulation loadEmulation(Path file) throws IOException {
     Emulation.Builder b = Emulation.newBuilder();
     parse(file, b);
     return b.build();
@@ -121,24 +137,24 @@
     }
   }
 
-  /** Runs all, so many at once, with a bar of progress on the standard error. */
-  public void run(int atOnce) throws InterruptedException {
-    ExecutorService threads = Executors.newFixedThreadPool(atOnce);
+  /** Runs all emulations and shows a progress bar on standard error. */
+  public void run(int threadCount) throws InterruptedException {
+    ExecutorService threads = Executors.newFixedThreadPool(threadCount);
     Map<String, List<Future<Outcomes>>> running = new LinkedHashMap<>();
-    int parts = 100;
+    int stepsPerRun = 100;
     try (ProgressBar bar = new ProgressBarBuilder()
         .setTaskName("emulating")
         .setUpdateIntervalMillis(500)
-        .setInitialMax((long) cells.size() * settings.getSeedCount() * parts)
+        .setInitialMax((long) cells.size() * settings.getSeedCount() * stepsPerRun)
         .build()) {
       cells.forEach((name, e) -> running.put(
           name,
           settings.getSeedList().stream()
               .map(seed -> threads.submit(() -> {
-                int[] told = {0};
+                int[] reported = {0};
                 return EmulatedFleet.run(e.toBuilder().setSeed(seed).build(), done -> {
-                  bar.stepBy((int) (done * parts) - told[0]);
-                  told[0] = (int) (done * parts);
+                  bar.stepBy((int) (done * stepsPerRun) - reported[0]);
+                  reported[0] = (int) (done * stepsPerRun);
                 });
               }))
               .toList()));
@@ -147,7 +163,7 @@
         for (Future<Outcomes> f : e.getValue()) {
           all.add(f.get());
         }
-        results.put(e.getKey(), all);
+        resultsByCell.put(e.getKey(), all);
       }
     } catch (ExecutionException e) {
       throw new IllegalArgumentException(e.getCause().getMessage(), e.getCause());
@@ -156,38 +172,44 @@
     }
   }
 
-  /** Results by the names of the choices, one for each seed. */
+  /** Results by the names of a cell's choices, one for each seed. */
   public Map<String, List<Outcomes>> results() {
-    return results;
+    return resultsByCell;
   }
 
-  /** Mean and interval of a measure for a cell. */
-  public Interval interval(String cell, Measure m) {
-    double[] values = results.get(cell).stream().mapToDouble(m::of).toArray();
+  /** Mean and confidence interval of a measure for a cell. */
+  public Interval interval(String cell, Measure measure) {
+    double[] values =
+        resultsByCell.get(cell).stream().mapToDouble(measure::value).toArray();
     double mean = Arrays.stream(values).average().orElse(Double.NaN);
-    double squares = Arrays.stream(values).map(v -> (v - mean) * (v - mean)).sum();
-    int free = values.length - 1;
-    double t = free < 1 ? Double.NaN : free <= STUDENT.length ? STUDENT[free - 1] : NORMAL;
-    return new Interval(mean, t * Math.sqrt(squares / Math.max(1, free) / values.length));
+    double squareSum = Arrays.stream(values).map(v -> (v - mean) * (v - mean)).sum();
+    int degreesOfFreedom = values.length - 1;
+    double t = degreesOfFreedom < 1
+        ? Double.NaN
+        : degreesOfFreedom <= STUDENT_QUANTILES.length
+            ? STUDENT_QUANTILES[degreesOfFreedom - 1]
+            : NORMAL_QUANTILE;
+    return new Interval(
+        mean, t * Math.sqrt(squareSum / Math.max(1, degreesOfFreedom) / values.length));
   }
 
-  /** Draws one measure as bars with intervals. */
-  public void plot(Measure m, Path png) throws IOException {
+  /** Writes a bar chart of a measure with its intervals. */
+  public void plot(Measure measure, Path png) throws IOException {
     CategoryChart chart = new CategoryChartBuilder()
         .width(1000)
         .height(520)
-        .title(m.title() + " (simulated)")
-        .yAxisTitle(m.title())
+        .title(measure.title() + " (simulated)")
+        .yAxisTitle(measure.title())
         .build();
     chart.getStyler().setLegendPosition(LegendPosition.InsideNE).setLegendVisible(false);
     chart.getStyler().setXAxisLabelRotation(20);
-    List<String> names = List.copyOf(results.keySet());
-    List<Double> means = names.stream().map(n -> interval(n, m).mean()).toList();
-    List<Double> halves = names.stream()
-        .map(n -> interval(n, m).half())
-        .map(h -> h.isNaN() ? 0 : h)
+    List<String> names = List.copyOf(resultsByCell.keySet());
+    List<Double> means = names.stream().map(n -> interval(n, measure).mean()).toList();
+    List<Double> halfWidths = names.stream()
+        .map(n -> interval(n, measure).halfWidth())
+        .map(width -> width.isNaN() ? 0 : width)
         .toList();
-    chart.addSeries(m.title(), names, means, halves);
+    chart.addSeries(measure.title(), names, means, halfWidths);
     BitmapEncoder.saveBitmap(chart, png.toString(), BitmapFormat.PNG);
   }
 }
--- a/emulator/src/main/java/gorseladder/emulator/Outcomes.java
+++ b/emulator/src/main/java/gorseladder/emulator/Outcomes.java
@@ -7,40 +7,40 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** What an emulation counted. Latencies in microseconds, from a call's arrival at its edge. */
-public final class Outcomes implements EmulatedEdge.Judge {
-  /** One function's balance of loads ahead. Times in seconds. */
+/** Counts of an emulation. A latency is measured from a call's arrival at its edge. */
+public final class Outcomes implements EmulatedEdge.CallObserver {
+  /** Costs and benefits of loads ahead. A load is wasted if no call found its copy. */
   public static final class Balance {
     private long loads;
     private long wasted;
     private long found;
-    private long pushedOut;
-    private double saved;
-    private double loading;
-    private double pushed;
+    private long evictions;
+    private double savedSeconds;
+    private double loadSeconds;
+    private double evictedLoadSeconds;
     private double gigabyteSeconds;
 
-    void add(LoadAheadAccounting.Entry e) {
+    void add(LoadAheadAccounting.Entry entry) {
       loads++;
-      wasted += e.found() == 0 ? 1 : 0;
-      found += e.found();
-      pushedOut += e.evictions();
-      saved += e.savedMicros() / 1e6;
-      loading += e.loadMicros() / 1e6;
-      pushed += e.evictedLoadMicros() / 1e6;
-      gigabyteSeconds += e.megabyteSeconds() / 1024;
+      wasted += entry.found() == 0 ? 1 : 0;
+      found += entry.found();
+      evictions += entry.evictions();
+      savedSeconds += entry.savedMicros() / 1e6;
+      loadSeconds += entry.loadMicros() / 1e6;
+      evictedLoadSeconds += entry.evictedLoadMicros() / 1e6;
+      gigabyteSeconds += entry.megabyteSeconds() / 1024;
     }
 
     /** Adds another balance. */
-    public void add(Balance b) {
-      loads += b.loads;
-      wasted += b.wasted;
-      found += b.found;
-      pushedOut += b.pushedOut;
-      saved += b.saved;
-      loading += b.loading;
-      pushed += b.pushed;
-      gigabyteSeconds += b.gigabyteSeconds;
+    public void add(Balance other) {
+      loads += other.loads;
+      wasted += other.wasted;
+      found += other.found;
+      evictions += other.evictions;
+      savedSeconds += other.savedSeconds;
+      loadSeconds += other.loadSeconds;
+      evictedLoadSeconds += other.evictedLoadSeconds;
+      gigabyteSeconds += other.gigabyteSeconds;
     }
 
     public long loads() {
@@ -55,20 +55,20 @@
       return found;
     }
 
-    public long pushedOut() {
-      return pushedOut;
+    public long evictions() {
+      return evictions;
     }
 
-    public double saved() {
-      return saved;
+    public double savedSeconds() {
+      return savedSeconds;
     }
 
-    public double loading() {
-      return loading;
+    public double loadSeconds() {
+      return loadSeconds;
     }
 
-    public double pushed() {
-      return pushed;
+    public double evictedLoadSeconds() {
+      return evictedLoadSeconds;
     }
 
     public double gigabyteSeconds() {
@@ -76,99 +76,104 @@
     }
   }
 
-  private final Histogram latency = new Histogram(60_000_000L, 3);
-  private final Map<String, Long> broken = new TreeMap<>();
-  private final Map<String, Long> judged = new TreeMap<>();
-  private final Map<String, Balance> balances = new TreeMap<>();
-  private final Map<String, long[]> byFunction = new TreeMap<>();
-  private final Agenda agenda;
-  private final long from;
-  private final Surges surges;
+  private final Histogram latencies = new Histogram(60_000_000L, 3);
+  private final Map<String, Long> violations = new TreeMap<>();
+  private final Map<String, Long> occasions = new TreeMap<>();
+  private final Map<String, Balance> balancesByFunction = new TreeMap<>();
+  private final Map<String, long[]> callsByFunction = new TreeMap<>();
+  private final EventScheduler scheduler;
+  private final long countedFrom;
+  private final SurgeStarts surgeStarts;
   private long calls;
   private long served;
   private long refused;
   private long failed;
-  private long cold;
+  private long coldCalls;
   private long surgeCalls;
-  private long surgeCold;
-  private double worth;
-  private double earned;
+  private long surgeColdCalls;
+  private double requestedWorth;
+  private double earnedWorth;
   long fetches;
-  long aheadOrders;
+  long planOrders;
   long events;
 
-  /** Tells whether a call came in the first minute of a surge it belongs to. */
-  interface Surges {
-    boolean firstMinute(long at, Drawn function);
+  /** Tells whether a time is in the first minute of a surge that includes a function. */
+  interface SurgeStarts {
+    boolean contains(long time, EmulatedFunction function);
   }
 
-  /** Counts the calls that arrive from a time on. */
-  Outcomes(Agenda agenda, long from, Surges surges) {
-    this.agenda = agenda;
-    this.from = from;
-    this.surges = surges;
+  /** Counts the calls that arrive at {@code countedFrom} or later. */
+  Outcomes(EventScheduler scheduler, long countedFrom, SurgeStarts surgeStarts) {
+    this.scheduler = scheduler;
+    this.countedFrom = countedFrom;
+    this.surgeStarts = surgeStarts;
   }
 
   @Override
-  public void ended(
-      Drawn function, RequestClass c, long arrivedAt, Outcome outcome, boolean wasCold) {
-    if (arrivedAt < from) {
+  public void callEnded(
+      EmulatedFunction function,
+      RequestClass requestClass,
+      long arrivedAt,
+      Outcome outcome,
+      boolean isCold) {
+    if (arrivedAt < countedFrom) {
       return;
     }
-    boolean surge = surges.firstMinute(arrivedAt, function);
+    boolean inSurgeStart = surgeStarts.contains(arrivedAt, function);
     calls++;
-    worth += c.worth();
+    requestedWorth += requestClass.worth();
     served += outcome == Outcome.OK ? 1 : 0;
     refused += outcome == Outcome.FULL ? 1 : 0;
     failed += outcome != Outcome.OK && outcome != Outcome.FULL ? 1 : 0;
-    cold += wasCold ? 1 : 0;
-    surgeCalls += surge ? 1 : 0;
-    surgeCold += surge && wasCold ? 1 : 0;
-    long[] f = byFunction.computeIfAbsent(
+    coldCalls += isCold ? 1 : 0;
+    surgeCalls += inSurgeStart ? 1 : 0;
+    surgeColdCalls += inSurgeStart && isCold ? 1 : 0;
+    long[] counts = callsByFunction.computeIfAbsent(
         function.population().equals("once") ? "once" : function.name(), n -> new long[2]);
-    f[0]++;
-    f[1] += wasCold ? 1 : 0;
+    counts[0]++;
+    counts[1] += isCold ? 1 : 0;
     if (outcome == Outcome.OK) {
-      long took = agenda.now() - arrivedAt;
-      latency.recordValue(Math.min(took, 59_000_000));
-      earned += c.worth() * (took <= c.latencyTarget() ? 1 : c.lateWorth());
+      long latencyMicros = scheduler.now() - arrivedAt;
+      latencies.recordValue(Math.min(latencyMicros, 59_000_000));
+      earnedWorth += requestClass.worth()
+          * (latencyMicros <= requestClass.latencyTarget() ? 1 : requestClass.lateWorth());
     }
   }
 
   @Override
-  public void broken(String what) {
-    broken.merge(what, 1L, Long::sum);
+  public void countViolation(String description) {
+    violations.merge(description, 1L, Long::sum);
   }
 
   @Override
-  public void judged(String rule) {
-    judged.merge(rule, 1L, Long::sum);
+  public void countOccasion(String rule) {
+    occasions.merge(rule, 1L, Long::sum);
   }
 
-  void add(LoadAheadAccounting.Entry e) {
-    balances.computeIfAbsent(e.function(), f -> new Balance()).add(e);
+  void add(LoadAheadAccounting.Entry entry) {
+    balancesByFunction.computeIfAbsent(entry.function(), f -> new Balance()).add(entry);
   }
 
   public long calls() {
     return calls;
   }
 
-  /** Worth answered in time over worth asked for, 0 to 1. */
+  /** Worth earned by answers over the worth of all calls, 0 to 1. A late answer earns a fraction of the worth. */
   public double service() {
-    return worth == 0 ? 0 : earned / worth;
+    return requestedWorth == 0 ? 0 : earnedWorth / requestedWorth;
   }
 
-  /** Part of the calls that met no copy ready, 0 to 1. */
+  /** Fraction of the calls that found no loaded copy, 0 to 1. */
   public double coldShare() {
-    return calls == 0 ? 0 : (double) cold / calls;
+    return calls == 0 ? 0 : (double) coldCalls / calls;
   }
 
-  /** The same in the first minutes of surges. */
+  /** The cold share of the calls in the first minute of a surge. */
   public double surgeColdShare() {
-    return surgeCalls == 0 ? 0 : (double) surgeCold / surgeCalls;
+    return surgeCalls == 0 ? 0 : (double) surgeColdCalls / surgeCalls;
   }
 
-  /** Calls in the first minutes of surges. */
+  /** Number of calls in the first minute of a surge. */
   public long surgeCalls() {
     return surgeCalls;
   }
@@ -185,55 +190,55 @@
     return failed;
   }
 
-  /** Fetches from the archive. */
+  /** Number of fetches from the archive. */
   public long fetches() {
     return fetches;
   }
 
-  /** Events of the emulation. */
+  /** Number of events of the emulation. */
   public long events() {
     return events;
   }
 
-  /** Orders that came from plans. */
-  public long aheadOrders() {
-    return aheadOrders;
+  /** Number of load orders from plans. */
+  public long planOrders() {
+    return planOrders;
   }
 
-  /** A latency in milliseconds, by its percentile. */
+  /** A percentile of the latency of served calls. */
   public double latencyMillis(double percentile) {
-    return latency.getValueAtPercentile(percentile) / 1000.0;
+    return latencies.getValueAtPercentile(percentile) / 1000.0;
   }
 
-  /** Milliseconds of waiting a served call, in the mean. */
-  public double meanMillis() {
-    return latency.getMean() / 1000;
+  /** Mean latency of served calls. */
+  public double meanLatencyMillis() {
+    return latencies.getMean() / 1000;
   }
 
-  /** Broken rules and how often. */
-  public Map<String, Long> broken() {
-    return broken;
+  /** Number of violations by description. */
+  public Map<String, Long> violations() {
+    return violations;
   }
 
-  /** How often each rule had something to judge. */
-  public Map<String, Long> judged() {
-    return judged;
+  /** How often each rule was checked. */
+  public Map<String, Long> occasions() {
+    return occasions;
   }
 
-  /** Balance of loads ahead by function, every function with any. */
-  public Map<String, Balance> balances() {
-    return balances;
+  /** Balance by function, for each function with a load ahead. */
+  public Map<String, Balance> balancesByFunction() {
+    return balancesByFunction;
   }
 
-  /** Calls and cold ones, by function. */
-  public Map<String, long[]> byFunction() {
-    return byFunction;
+  /** Number of calls and number of cold calls, by function. */
+  public Map<String, long[]> callsByFunction() {
+    return callsByFunction;
   }
 
-  /** The balance of all. */
-  public Balance balance() {
+  /** The balance of all functions. */
+  public Balance totalBalance() {
     Balance all = new Balance();
-    balances.values().forEach(all::add);
+    balancesByFunction.values().forEach(all::add);
     return all;
   }
 }
--- a/emulator/src/main/java/gorseladder/emulator/Recording.java
+++ b/emulator/src/main/java/gorseladder/emulator/Recording.java
@@ -7,54 +7,66 @@
 import java.util.TreeSet;
 
 /**
- * Recorded calls by minute, for an emulation to replay. Minutes are told since 1970; the first day of the record is day
- * 0.
+ * Recorded calls by minute, for an emulation to replay. Minutes are counted from 1970; the first day of the recording is
+ * day 0 of the emulation.
  */
 public final class Recording {
-  private static final long DAY = 1_440;
+  private static final long MINUTES_PER_DAY = 1_440;
 
-  /** Calls of a function in a minute. */
-  record Entry(String function, long calls) {}
+  /** The calls of a function in one minute. */
+  record MinuteCalls(String function, long calls) {}
 
-  private final TreeMap<Long, List<Entry>> minutes = new TreeMap<>();
+  private final TreeMap<Long, List<MinuteCalls>> callsByMinute = new TreeMap<>();
   private long calls;
 
-  /** Adds calls of a function in a stretch of minutes; they are spread evenly over it. */
-  public void add(long from, int length, String function, long count) {
-    for (int i = 0; i < length; i++) {
-      long part = count * (i + 1) / length - count * i / length;
-      if (part > 0) {
-        minutes.computeIfAbsent(from + i, m -> new ArrayList<>()).add(new Entry(function, part));
+  /** Adds calls of a function, spread evenly over a number of minutes. */
+  public void add(long firstMinute, int minutes, String function, long count) {
+    for (int i = 0; i < minutes; i++) {
+      long share = count * (i + 1) / minutes - count * i / minutes;
+      if (share > 0) {
+        callsByMinute
+            .computeIfAbsent(firstMinute + i, minute -> new ArrayList<>())
+            .add(new MinuteCalls(function, share));
       }
     }
     calls += count;
   }
 
-  /** Calls in all. */
+  /** Total number of calls. */
   public long calls() {
     return calls;
   }
 
-  /** Whole days from the first call's midnight (UTC) to the last call. */
+  /** Days from the day of the first call to that of the last, in UTC, both included. */
   public int days() {
-    return minutes.isEmpty() ? 0 : (int) (minutes.lastKey() / DAY - minutes.firstKey() / DAY) + 1;
+    return callsByMinute.isEmpty()
+        ? 0
+        : (int) (callsByMinute.lastKey() / MINUTES_PER_DAY
+                - callsByMinute.firstKey() / MINUTES_PER_DAY)
+            + 1;
   }
 
-  /** The functions named, in a steady order. */
+  /** Names of all functions. */
   TreeSet<String> functions() {
     TreeSet<String> names = new TreeSet<>();
-    minutes.values().forEach(all -> all.forEach(e -> names.add(e.function())));
+    callsByMinute
+        .values()
+        .forEach(entries -> entries.forEach(entry -> names.add(entry.function())));
     return names;
   }
 
-  /** The minutes that begin in a stretch of seconds since the record's first midnight. */
-  Map<Long, List<Entry>> between(double from, double until) {
-    long first = minutes.isEmpty() ? 0 : minutes.firstKey() / DAY * DAY;
-    Map<Long, List<Entry>> out = new TreeMap<>();
-    minutes
+  /** The minutes that begin in a time range; range and keys count from the midnight (UTC) before the first call. */
+  Map<Long, List<MinuteCalls>> between(double fromSeconds, double untilSeconds) {
+    long firstMidnight =
+        callsByMinute.isEmpty() ? 0 : callsByMinute.firstKey() / MINUTES_PER_DAY * MINUTES_PER_DAY;
+    Map<Long, List<MinuteCalls>> result = new TreeMap<>();
+    callsByMinute
         .subMap(
-            first + (long) Math.ceil(from / 60), true, first + (long) Math.ceil(until / 60), false)
-        .forEach((m, all) -> out.put(m - first, all));
-    return out;
+            firstMidnight + (long) Math.ceil(fromSeconds / 60),
+            true,
+            firstMidnight + (long) Math.ceil(untilSeconds / 60),
+            false)
+        .forEach((minute, entries) -> result.put(minute - firstMidnight, entries));
+    return result;
   }
 }
--- a/emulator/src/main/java/gorseladder/emulator/Workload.java
+++ b/emulator/src/main/java/gorseladder/emulator/Workload.java
@@ -11,171 +11,193 @@
 import java.util.Map;
 import java.util.Random;
 
-/** Draws functions and their calls, a stretch of time after the other, by one seed. Times in microseconds. */
+/** Draws functions and their calls from one seed, one time range after the other. Times are in microseconds. */
 final class Workload {
-  /** The office day, and what is left of a rate outside of it and at weekends. */
-  private static final double OPENS = 8;
+  private static final double OFFICE_OPENS_HOUR = 8;
+  private static final double OFFICE_CLOSES_HOUR = 17;
+  /** Fraction of the peak rate outside office hours. */
+  private static final double OFF_HOURS_FACTOR = 0.01;
 
-  private static final double CLOSES = 17;
-  private static final double NIGHT = 0.01;
-  private static final double WEEKEND = 0.2;
+  /** Fraction of a weekday's rate at weekends. */
+  private static final double WEEKEND_FACTOR = 0.2;
 
-  /** A call to come. */
-  record Arrival(long at, Drawn function, double work) {}
+  /** A call and its arrival time. */
+  record Arrival(long time, EmulatedFunction function, double workMicros) {}
 
   private record Member(
       Population population,
       int index,
-      Drawn function,
-      Drawn renamed,
+      EmulatedFunction function,
+      EmulatedFunction renamed,
       double share,
-      double phase) {}
+      double timerPhase) {}
 
-  private final Emulation e;
+  private final Emulation emulation;
   private final Random random;
-  private final double day;
+  private final double dayMicros;
   private final List<Member> members = new ArrayList<>();
-  private final Map<String, Drawn> functions = new HashMap<>();
+  private final Map<String, EmulatedFunction> functions = new HashMap<>();
   private final Recording recording;
-  private long once;
+  private long onceCount;
 
   /**
-   * Calls of the settings' populations, or those of a recording where there is one; then the first population gives the
-   * sizes.
+   * Creates the functions.
+   *
+   * @param recording calls to replay, with functions of the first population's sizes; null to draw calls by the settings
    */
   Workload(Emulation emulation, Recording recording) {
-    this.e = emulation;
+    this.emulation = emulation;
     this.recording = recording;
     this.random = new Random(emulation.getSeed());
-    this.day = emulation.getDayS() * 1e6;
+    this.dayMicros = emulation.getDayS() * 1e6;
     int number = 0;
     if (recording != null) {
       for (String name : recording.functions()) {
-        functions.put(name, draw(e.getPopulation(0), name, number++ % e.getCallClassCount()));
+        functions.put(
+            name,
+            drawFunction(
+                emulation.getPopulation(0), name, number++ % emulation.getCallClassCount()));
       }
       return;
     }
-    for (Population p : e.getPopulationList()) {
+    for (Population population : emulation.getPopulationList()) {
       double sum = 0;
-      for (int i = 0; i < p.getFunctions(); i++) {
-        sum += Math.pow(i + 1, -p.getZipf());
+      for (int i = 0; i < population.getFunctions(); i++) {
+        sum += Math.pow(i + 1, -population.getZipf());
       }
-      for (int i = 0; i < p.getFunctions(); i++) {
-        Drawn f = draw(p, p.getName() + "-" + i, number++ % e.getCallClassCount());
-        Drawn renamed = new Drawn(
-            f.name() + "-new",
-            f.population(),
-            f.requestClass(),
-            f.memoryMb(),
-            f.lanes(),
-            f.workMicros(),
-            f.loadMicros());
-        members.add(
-            new Member(p, i, f, renamed, Math.pow(i + 1, -p.getZipf()) / sum, random.nextDouble()));
-        functions.put(f.name(), f);
+      for (int i = 0; i < population.getFunctions(); i++) {
+        EmulatedFunction function = drawFunction(
+            population, population.getName() + "-" + i, number++ % emulation.getCallClassCount());
+        EmulatedFunction renamed = new EmulatedFunction(
+            function.name() + "-new",
+            function.population(),
+            function.requestClass(),
+            function.memoryMb(),
+            function.lanes(),
+            function.workMicros(),
+            function.loadMicros());
+        members.add(new Member(
+            population,
+            i,
+            function,
+            renamed,
+            Math.pow(i + 1, -population.getZipf()) / sum,
+            random.nextDouble()));
+        functions.put(function.name(), function);
         functions.put(renamed.name(), renamed);
       }
     }
   }
 
-  private double between(double from, double to) {
+  private double drawUniform(double from, double to) {
     return from + (to - from) * random.nextDouble();
   }
 
-  private Drawn draw(Population p, String name, int requestClass) {
-    return new Drawn(
+  private EmulatedFunction drawFunction(Population population, String name, int requestClass) {
+    return new EmulatedFunction(
         name,
-        p.getName(),
+        population.getName(),
         requestClass,
-        between(p.getMemoryFromMb(), p.getMemoryToMb()),
-        p.getLanes(),
-        1000 * between(p.getWorkFromMs(), p.getWorkToMs()),
-        1000 * between(p.getLoadFromMs(), p.getLoadToMs()));
+        drawUniform(population.getMemoryFromMb(), population.getMemoryToMb()),
+        population.getLanes(),
+        1000 * drawUniform(population.getWorkFromMs(), population.getWorkToMs()),
+        1000 * drawUniform(population.getLoadFromMs(), population.getLoadToMs()));
   }
 
-  /** The function of that name, or null. */
-  Drawn function(String name) {
+  /** The function with a name, or null. */
+  EmulatedFunction function(String name) {
     return functions.get(name);
   }
 
-  /** Names a function that is wanted only once may be forgotten by. */
-  void forget(Drawn f) {
-    if (f.name().startsWith("once-")) {
-      functions.remove(f.name());
+  /** Deletes a function that is called only once. */
+  void forget(EmulatedFunction function) {
+    if (function.name().startsWith("once-")) {
+      functions.remove(function.name());
     }
   }
 
-  /** Calls a second of a member at a time. */
-  private double rate(Member m, double time) {
-    Population p = m.population();
-    double hour = time % day / day * 24;
-    int number = (int) (time / day);
-    double rate = p.getCallsPerS() * m.share();
-    if (p.getShape() == Shape.OFFICE) {
-      rate *= (hour >= OPENS && hour < CLOSES ? 1 - 0.6 * Math.abs(hour - 12.5) / 4.5 : NIGHT)
-          * (number % 7 >= 5 ? WEEKEND : 1);
+  private double callsPerSecond(Member member, double time) {
+    Population population = member.population();
+    double hour = time % dayMicros / dayMicros * 24;
+    int dayNumber = (int) (time / dayMicros);
+    double rate = population.getCallsPerS() * member.share();
+    if (population.getShape() == Shape.OFFICE) {
+      rate *= (hour >= OFFICE_OPENS_HOUR && hour < OFFICE_CLOSES_HOUR
+              ? 1 - 0.6 * Math.abs(hour - 12.5) / 4.5
+              : OFF_HOURS_FACTOR)
+          * (dayNumber % 7 >= 5 ? WEEKEND_FACTOR : 1);
     }
-    for (Surge s : e.getSurgeList()) {
-      boolean on = s.getComes()
-          && s.getPopulation().equals(p.getName())
-          && s.getDay() == number
-          && hour >= s.getHour()
-          && hour < s.getHour() + s.getHours();
-      rate *= on ? s.getTimes() : 1;
+    for (Surge surge : emulation.getSurgeList()) {
+      boolean active = surge.getComes()
+          && surge.getPopulation().equals(population.getName())
+          && surge.getDay() == dayNumber
+          && hour >= surge.getHour()
+          && hour < surge.getHour() + surge.getHours();
+      rate *= active ? surge.getTimes() : 1;
     }
     return rate;
   }
 
-  /** The calls of a stretch, in their order; rates are those of its middle. Ask for stretches one after the other. */
-  List<Arrival> draw(long from, long until) {
-    List<Arrival> all = new ArrayList<>();
+  /**
+   * The calls of a time range by arrival time, drawn with the rates at the middle of the range. Ranges have to be drawn in
+   * order.
+   */
+  List<Arrival> drawCalls(long from, long until) {
+    List<Arrival> calls = new ArrayList<>();
     if (recording != null) {
-      recorded(from, until, all);
-      return all;
+      drawRecorded(from, until, calls);
+      return calls;
     }
     double middle = (from + until) / 2.0;
-    for (Member m : members) {
-      Population p = m.population();
-      boolean renamed = p.getRenamedOnDay() > 0 && middle / day >= p.getRenamedOnDay();
-      Drawn f = renamed ? m.renamed() : m.function();
-      if (p.getShape() == Shape.TIMER) {
-        double period = 1e6 / (p.getCallsPerS() * m.share());
-        for (double at = Math.ceil(from / period - m.phase()) * period + m.phase() * period;
+    for (Member member : members) {
+      Population population = member.population();
+      boolean renamed =
+          population.getRenamedOnDay() > 0 && middle / dayMicros >= population.getRenamedOnDay();
+      EmulatedFunction function = renamed ? member.renamed() : member.function();
+      if (population.getShape() == Shape.TIMER) {
+        double period = 1e6 / (population.getCallsPerS() * member.share());
+        for (double at = Math.ceil(from / period - member.timerPhase()) * period
+                + member.timerPhase() * period;
             at < until;
             at += period) {
-          all.add(new Arrival((long) at, f, work(f)));
+          calls.add(new Arrival((long) at, function, drawWorkMicros(function)));
         }
         continue;
       }
-      double rate = rate(m, middle) / 1e6;
-      for (double at = from + gap(rate); at < until; at += gap(rate)) {
-        Drawn called = p.getShape() == Shape.ONCE ? draw(p, "once-" + once++, f.requestClass()) : f;
+      double rate = callsPerSecond(member, middle) / 1e6;
+      for (double at = from + drawGapMicros(rate); at < until; at += drawGapMicros(rate)) {
+        EmulatedFunction called = population.getShape() == Shape.ONCE
+            ? drawFunction(population, "once-" + onceCount++, function.requestClass())
+            : function;
         functions.put(called.name(), called);
-        all.add(new Arrival((long) at, called, work(called)));
+        calls.add(new Arrival((long) at, called, drawWorkMicros(called)));
       }
     }
-    all.sort(Comparator.comparingLong(Arrival::at));
-    return all;
+    calls.sort(Comparator.comparingLong(Arrival::time));
+    return calls;
   }
 
-  /** Calls of a recorded minute come at times drawn evenly over it. */
-  private void recorded(long from, long until, List<Arrival> all) {
+  /** Draws the arrival times of recorded calls, uniformly distributed over their minute. */
+  private void drawRecorded(long from, long until, List<Arrival> calls) {
     recording
         .between(from / 1e6, until / 1e6)
         .forEach((minute, entries) -> entries.forEach(entry -> {
-          Drawn f = functions.get(entry.function());
+          EmulatedFunction function = functions.get(entry.function());
           for (long i = 0; i < entry.calls(); i++) {
-            all.add(new Arrival((long) ((minute + random.nextDouble()) * 60e6), f, work(f)));
+            calls.add(new Arrival(
+                (long) ((minute + random.nextDouble()) * 60e6),
+                function,
+                drawWorkMicros(function)));
           }
         }));
-    all.sort(Comparator.comparingLong(Arrival::at));
+    calls.sort(Comparator.comparingLong(Arrival::time));
   }
 
-  private double gap(double rate) {
+  private double drawGapMicros(double rate) {
     return rate <= 0 ? Double.MAX_VALUE : -Math.log(1 - random.nextDouble()) / rate;
   }
 
-  private double work(Drawn f) {
-    return f.workMicros() * between(0.7, 1.3);
+  private double drawWorkMicros(EmulatedFunction function) {
+    return function.workMicros() * drawUniform(0.7, 1.3);
   }
 }
--- a/emulator/src/test/java/gorseladder/emulator/EmulatedFleetTest.java
+++ b/emulator/src/test/java/gorseladder/emulator/EmulatedFleetTest.java
@@ -26,10 +26,10 @@
       surge { population: "term" day: 10 hour: 9 hours: 3 times: 30 date: "term's end" }
       """;
 
-  private static Outcomes run(String more) {
+  private static Outcomes run(String moreSettings) {
     Emulation.Builder b = Emulation.newBuilder();
     try {
-      TextFormat.merge(BASE + more, b);
+      TextFormat.merge(BASE + moreSettings, b);
     } catch (TextFormat.ParseException e) {
       throw new IllegalArgumentException(e);
     }
@@ -40,77 +40,81 @@
   void oneSeedGivesOneCourseAndTheCallsDoNotDependOnPlans() {
     Outcomes first = run("ahead { mode: FORECAST }");
     Outcomes second = run("ahead { mode: FORECAST }");
-    Outcomes none = run("");
+    Outcomes unplanned = run("");
     assertEquals(first.events(), second.events());
-    assertEquals(first.meanMillis(), second.meanMillis());
-    assertEquals(first.calls(), none.calls());
-    assertEquals(0, none.aheadOrders());
+    assertEquals(first.meanLatencyMillis(), second.meanLatencyMillis());
+    assertEquals(first.calls(), unplanned.calls());
+    assertEquals(0, unplanned.planOrders());
     assertTrue(first.calls() > 5_000);
   }
 
   @Test
   void aKnownSurgeMeetsCopiesAndABadForecastDoesNoHarm() {
-    Outcomes none = run("");
-    Outcomes good = run("ahead { mode: FORECAST }");
+    Outcomes unplanned = run("");
+    Outcomes planned = run("ahead { mode: FORECAST }");
     assertTrue(
-        none.surgeCalls() > 100 && none.surgeColdShare() > 0.08,
-        none.surgeColdShare() + " of " + none.surgeCalls());
+        unplanned.surgeCalls() > 100 && unplanned.surgeColdShare() > 0.08,
+        unplanned.surgeColdShare() + " of " + unplanned.surgeCalls());
     assertTrue(
-        good.surgeColdShare() < none.surgeColdShare() / 3,
-        good.surgeColdShare() + " for " + none.surgeColdShare());
-    assertTrue(good.meanMillis() < none.meanMillis());
-    for (String bad :
+        planned.surgeColdShare() < unplanned.surgeColdShare() / 3,
+        planned.surgeColdShare() + " for " + unplanned.surgeColdShare());
+    assertTrue(planned.meanLatencyMillis() < unplanned.meanLatencyMillis());
+    for (String fault :
         new String[] {"times: 10", "times: 0.1", "shuffled: true", "shifted_slots: 24"}) {
-      Outcomes o = run("ahead { mode: FORECAST " + bad + " }");
+      Outcomes outcomes = run("ahead { mode: FORECAST " + fault + " }");
       assertTrue(
-          o.service() > none.service() - 0.01, bad + ": " + o.service() + " for " + none.service());
-      assertEquals(Map.of(), o.broken());
+          outcomes.service() > unplanned.service() - 0.01,
+          fault + ": " + outcomes.service() + " for " + unplanned.service());
+      assertEquals(Map.of(), outcomes.violations());
     }
   }
 
   @Test
   void aSurgeADayEarlyOrOneThatDoesNotComeDoesNoHarm() {
-    for (String odd : new String[] {"told_day: 11", "comes: false"}) {
+    for (String option : new String[] {"told_day: 11", "comes: false"}) {
       String surge =
-          "surge { population: \"office\" day: 10 hour: 15 hours: 1 times: 10 date: \"odd\" " + odd
+          "surge { population: \"office\" day: 10 hour: 15 hours: 1 times: 10 date: \"odd\" "
+              + option
               + " }"
               + " surge { population: \"office\" day: 4 hour: 15 hours: 1 times: 10 date: \"odd\" }";
       assertTrue(
-          run(surge + "ahead { mode: FORECAST }").service() > run(surge).service() - 0.01, odd);
+          run(surge + "ahead { mode: FORECAST }").service() > run(surge).service() - 0.01, option);
     }
   }
 
-  /** Where everything is warm anyway next to nothing is ordered. */
+  /** Plans order next to no loads for functions that are warm anyway. */
   @Test
   void aWarmFleetIsLeftAlone() {
     String steady = "population { name: \"steady\" functions: 8 zipf: 0 calls_per_s: 8 }";
-    Outcomes o = run(steady + "ahead { mode: FORECAST }");
-    long ofSteady = o.balances().entrySet().stream()
+    Outcomes outcomes = run(steady + "ahead { mode: FORECAST }");
+    long steadyLoads = outcomes.balancesByFunction().entrySet().stream()
         .filter(e -> e.getKey().startsWith("steady"))
         .mapToLong(e -> e.getValue().loads())
         .sum();
-    long calls = o.byFunction().entrySet().stream()
+    long calls = outcomes.callsByFunction().entrySet().stream()
         .filter(e -> e.getKey().startsWith("steady"))
         .mapToLong(e -> e.getValue()[0])
         .sum();
     assertTrue(
-        calls > 200_000 && ofSteady < calls / 500, ofSteady + " loads for " + calls + " calls");
+        calls > 200_000 && steadyLoads < calls / 500,
+        steadyLoads + " loads for " + calls + " calls");
   }
 
-  /** Rules 1, 3 and 5 with plans, drains, deaths and a ration, on fleets that load on order only and on miss. */
+  /** Checks rules 1, 3 and 5 under plans, drains, crashes and a ration, with and without loads on miss. */
   @Test
   void rulesHoldWithPlansOn() {
     String troubles = "trouble { kind: DRAINS runners: 2 day: 9 hour: 10 back_after_s: 30 }"
         + " trouble { kind: DRAINS runners: 1 day: 10 hour: 9 back_after_s: 60 }"
         + " trouble { kind: DIES runners: 2 day: 10 hour: 11 }"
         + " edges { loads_free: 2 load_share: 0.3 load_window_ms: 5000 list_lag_ms: 300 ";
-    for (String site : new String[] {"loads_on_miss: true }", "loads_on_miss: false }"}) {
-      Outcomes o = run(troubles + site + "ahead { mode: FORECAST }");
-      assertEquals(Map.of(), o.broken());
+    for (String loadOnMiss : new String[] {"loads_on_miss: true }", "loads_on_miss: false }"}) {
+      Outcomes outcomes = run(troubles + loadOnMiss + "ahead { mode: FORECAST }");
+      assertEquals(Map.of(), outcomes.violations());
       assertTrue(
-          o.judged().get("rule 5, orders under a ration") > 500, o.judged().toString());
-      assertTrue(o.aheadOrders() > 100, "plans took part: " + o.aheadOrders());
-      assertTrue(o.judged().get("rule 1, final answers") >= o.calls());
+          outcomes.occasions().get("rule 5, orders under a ration") > 500,
+          outcomes.occasions().toString());
+      assertTrue(outcomes.planOrders() > 100, "plans took part: " + outcomes.planOrders());
+      assertTrue(outcomes.occasions().get("rule 1, final answers") >= outcomes.calls());
     }
   }
 
@@ -119,8 +123,8 @@
     Outcomes always = run("ahead { mode: FORECAST }");
     Outcomes away = run("ahead { mode: FORECAST away_from_day: 8 away_days: 2 }");
     assertTrue(
-        away.aheadOrders() < always.aheadOrders() * 0.9,
-        away.aheadOrders() + " of " + always.aheadOrders());
+        away.planOrders() < always.planOrders() * 0.9,
+        away.planOrders() + " of " + always.planOrders());
     assertTrue(
         away.surgeColdShare() < run("").surgeColdShare() / 3,
         "the surge after its return is met: " + away.surgeColdShare());
@@ -133,7 +137,7 @@
   void badSettingsAreNamed(@TempDir Path dir) throws IOException {
     Path file = dir.resolve("e.txtpb");
     Files.writeString(file, "days: 3\nteach_days: x\n");
-    assertTrue(assertThrows(IllegalArgumentException.class, () -> Experiment.emulation(file))
+    assertTrue(assertThrows(IllegalArgumentException.class, () -> Experiment.loadEmulation(file))
         .getMessage()
         .contains(":2:"));
     assertTrue(assertThrows(
@@ -145,7 +149,7 @@
         .contains("teach_days"));
   }
 
-  /** A recorded history is replayed call by call, walk-forward, with every function listed. */
+  /** The calls of a recording are replayed one by one, and the result lists every function. */
   @Test
   void aRecordingIsReplayed() throws Exception {
     Recording recording = new Recording();
@@ -161,10 +165,10 @@
     Outcomes with = EmulatedFleet.run(e.build(), recording, part -> {});
     Outcomes without = EmulatedFleet.run(e.clearAhead().build(), recording, part -> {});
     assertEquals(4 * 50, with.calls(), "four counted days");
-    assertEquals(5, with.byFunction().size());
+    assertEquals(5, with.callsByFunction().size());
     assertEquals(
         4 * 4 * 5,
-        with.byFunction().entrySet().stream()
+        with.callsByFunction().entrySet().stream()
             .filter(f -> f.getKey().startsWith("svc/morning"))
             .mapToLong(f -> f.getValue()[0])
             .sum());
--- a/scale/src/main/java/gorseladder/scale/Report.java
+++ b/scale/src/main/java/gorseladder/scale/Report.java
@@ -29,17 +29,17 @@
     List<String> cells =
         new ArrayList<>(List.of("kind,sweep,size,workers,dispatchers,functions,changes_per_second,"
             + "calls,zipf,seed,measure,value,failure"));
-    scale.results().forEach(cell -> cells.addAll(rows(cell)));
+    scale.results().forEach(cell -> cells.addAll(cellRows(cell)));
     Files.write(directory.resolve("cells.csv"), cells);
     List<String> slopes = new ArrayList<>(List.of(
         "kind,sweep,measure,at_0,slope,half_of_95_percent,exponent,from,to,straight_to,cells"));
-    scale.slopes().forEach(slope -> slopes.add(row(slope)));
+    scale.slopes().forEach(slope -> slopes.add(slopeRow(slope)));
     Files.write(directory.resolve("slopes.csv"), slopes);
   }
 
-  private static List<String> rows(CellResult cell) {
+  private static List<String> cellRows(CellResult cell) {
     Sizes sizes = cell.sizes();
-    String head = String.format(
+    String rowPrefix = String.format(
         Locale.ROOT,
         "%s,%s,%s,%d,%d,%d,%s,%d,%s,%d,",
         cell.kind(),
@@ -53,30 +53,30 @@
         sizes.getZipf(),
         cell.seed());
     if (cell.failure() != null) {
-      return List.of(head + ",,\"" + cell.failure().replace('"', '\'') + "\"");
+      return List.of(rowPrefix + ",,\"" + cell.failure().replace('"', '\'') + "\"");
     }
     return cell.measures().entrySet().stream()
-        .map(entry -> head + entry.getKey() + "," + number(entry.getValue()) + ",")
+        .map(entry -> rowPrefix + entry.getKey() + "," + format(entry.getValue()) + ",")
         .collect(Collectors.toList());
   }
 
-  private static String row(Slope slope) {
+  private static String slopeRow(Slope slope) {
     return String.join(
         ",",
         slope.kind().name(),
         slope.sweep(),
         slope.measure().name(),
-        number(slope.value()),
-        number(slope.slope()),
-        number(slope.half()),
-        number(slope.exponent()),
-        number(slope.from()),
-        number(slope.to()),
-        number(slope.straightTo()),
+        format(slope.intercept()),
+        format(slope.slope()),
+        format(slope.halfWidth()),
+        format(slope.exponent()),
+        format(slope.minSize()),
+        format(slope.maxSize()),
+        format(slope.linearUpTo()),
         Integer.toString(slope.cells()));
   }
 
-  private static String number(double value) {
+  private static String format(double value) {
     return String.format(Locale.ROOT, "%.5g", value);
   }
 
@@ -105,8 +105,8 @@
           }
         }
         if (!chart.getSeriesMap().isEmpty()) {
-          String name = (field + "-" + measure).toLowerCase(Locale.ROOT) + ".png";
-          BitmapEncoder.saveBitmap(chart, directory.resolve(name).toString(), BitmapFormat.PNG);
+          String fileName = (field + "-" + measure).toLowerCase(Locale.ROOT) + ".png";
+          BitmapEncoder.saveBitmap(chart, directory.resolve(fileName).toString(), BitmapFormat.PNG);
         }
       }
     }
--- a/scale/src/main/java/gorseladder/scale/Slope.java
+++ b/scale/src/main/java/gorseladder/scale/Slope.java
@@ -19,18 +19,18 @@
     CellResult.Kind kind,
     String sweep,
     Measure measure,
-    double value,
+    double intercept,
     double slope,
-    double half,
+    double halfWidth,
     double exponent,
-    double from,
-    double to,
-    double straightTo,
+    double minSize,
+    double maxSize,
+    double linearUpTo,
     int cells) {
   /** A size counts as on the line where it is missed by no more than this part of it. */
-  static final double STRAIGHT = 0.5;
+  static final double MAX_RELATIVE_MISS = 0.5;
 
-  private static final int FEWEST = 3;
+  private static final int MIN_SIZES = 3;
 
   /** One measured point. */
   record Point(double size, double value) {}
@@ -39,7 +39,7 @@
   static Slope fit(CellResult.Kind kind, String sweep, Measure measure, List<Point> points) {
     List<Point> sorted = new ArrayList<>(points);
     sorted.sort(Comparator.comparingDouble(Point::size));
-    if (sorted.stream().mapToDouble(Point::size).distinct().count() < FEWEST) {
+    if (sorted.stream().mapToDouble(Point::size).distinct().count() < MIN_SIZES) {
       return null;
     }
     SimpleRegression line = new SimpleRegression();
@@ -59,28 +59,29 @@
         sorted.stream().allMatch(point -> point.value() > 0) ? logarithms.getSlope() : Double.NaN,
         sorted.get(0).size(),
         sorted.get(sorted.size() - 1).size(),
-        straightTo(sorted),
+        linearUpTo(sorted),
         sorted.size());
   }
 
   /** The largest size whose values the line through all smaller sizes foretells. */
-  private static double straightTo(List<Point> sorted) {
+  private static double linearUpTo(List<Point> sorted) {
     SimpleRegression below = new SimpleRegression();
-    double straight = sorted.get(0).size();
-    int seen = 0;
+    double linearUpTo = sorted.get(0).size();
+    int sizesSeen = 0;
     int next = 0;
     while (next < sorted.size()) {
       double size = sorted.get(next).size();
-      List<Point> here = sorted.stream().filter(point -> point.size() == size).toList();
-      double mean = here.stream().mapToDouble(Point::value).average().orElseThrow();
-      if (seen >= 2 && Math.abs(below.predict(size) - mean) > STRAIGHT * Math.abs(mean)) {
-        return straight;
+      List<Point> atSize = sorted.stream().filter(point -> point.size() == size).toList();
+      double mean = atSize.stream().mapToDouble(Point::value).average().orElseThrow();
+      if (sizesSeen >= 2
+          && Math.abs(below.predict(size) - mean) > MAX_RELATIVE_MISS * Math.abs(mean)) {
+        return linearUpTo;
       }
-      here.forEach(point -> below.addData(point.size(), point.value()));
-      straight = size;
-      seen++;
-      next += here.size();
+      atSize.forEach(point -> below.addData(point.size(), point.value()));
+      linearUpTo = size;
+      sizesSeen++;
+      next += atSize.size();
     }
-    return straight;
+    return linearUpTo;
   }
 }
--- a/scale/src/test/java/gorseladder/scale/SlopeTest.java
+++ b/scale/src/test/java/gorseladder/scale/SlopeTest.java
@@ -18,16 +18,16 @@
   void aLineIsFoundWithItsInterval() {
     Slope slope = fit(new Point(10, 24), new Point(20, 46), new Point(40, 86), new Point(80, 164));
     assertEquals(2, slope.slope(), 0.1);
-    assertEquals(5, slope.value(), 2);
-    assertTrue(slope.half() > 0 && slope.half() < 0.3, "half " + slope.half());
-    assertEquals(80, slope.straightTo());
+    assertEquals(5, slope.intercept(), 2);
+    assertTrue(slope.halfWidth() > 0 && slope.halfWidth() < 0.3, "half " + slope.halfWidth());
+    assertEquals(80, slope.linearUpTo());
   }
 
   @Test
   void aCurveIsStraightOnlySoFar() {
     Slope slope =
         fit(new Point(10, 10), new Point(20, 20), new Point(40, 40), new Point(160, 2560));
-    assertEquals(40, slope.straightTo());
+    assertEquals(40, slope.linearUpTo());
     assertTrue(slope.exponent() > 1.5);
   }
 
@@ -35,7 +35,7 @@
   void aConstantHasNoWidth() {
     Slope slope = fit(new Point(1, 7), new Point(2, 7), new Point(4, 7));
     assertEquals(0, slope.slope(), 1e-12);
-    assertEquals(0, slope.half());
+    assertEquals(0, slope.halfWidth());
     assertEquals(0, slope.exponent(), 1e-12);
   }
 
