--- a/emulator/src/main/java/gorseladder/emulator/EmulatedArchive.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedArchive.java
@@ -1,8 +1,8 @@
 package gorseladder.emulator;
 
 /**
- * The archive that runners fetch functions from. Up to {@code fullSpeedFetches} concurrent fetches run at full speed, more
- * slow each other down; from {@code maxFetches} on a new fetch is rejected.
+ * The archive that runners fetch functions from. Up to {@code fullSpeedFetches} concurrent fetches run at full speed,
+ * more slow each other down; from {@code maxFetches} on a new fetch is rejected.
  */
 final class EmulatedArchive {
   private final ProcessorSharing<Object> fetches;
--- a/emulator/src/main/java/gorseladder/emulator/EmulatedFleet.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedFleet.java
@@ -29,8 +29,8 @@
 
 /**
  * A fleet in simulated time: runners, the archive, the worker list, edges with the real router, clients and, if the
- * settings ask for it, a planner with the real decisions. The same seed gives the same sequence of events, and the calls
- * drawn do not depend on how they are served. An emulation uses one thread; several may run in parallel.
+ * settings ask for it, a planner with the real decisions. The same seed gives the same sequence of events, and the
+ * calls drawn do not depend on how they are served. An emulation uses one thread; several may run in parallel.
  */
 public final class EmulatedFleet {
   private static final long SURGE_START_MICROS = 60_000_000;
--- a/emulator/src/main/java/gorseladder/emulator/Experiment.java
+++ b/emulator/src/main/java/gorseladder/emulator/Experiment.java
@@ -26,7 +26,10 @@
 import org.knowm.xchart.CategoryChartBuilder;
 import org.knowm.xchart.style.Styler.LegendPosition;
 
-/** A grid of emulations, each with several seeds, run in parallel; means with intervals, and plots. All figures are simulated. */
+/**
+ * A grid of emulations, each with several seeds, run in parallel; means with intervals, and plots. All figures are
+ * simulated.
+ */
 public final class Experiment {
   /** Two-sided 95 % quantiles of Student's t distribution, for 1 to 10 degrees of freedom. */
   private static final double[] STUDENT_QUANTILES = {
--- a/emulator/src/main/java/gorseladder/emulator/Recording.java
+++ b/emulator/src/main/java/gorseladder/emulator/Recording.java
@@ -7,8 +7,8 @@
 import java.util.TreeSet;
 
 /**
- * Recorded calls by minute, for an emulation to replay. Minutes are counted from 1970; the first day of the recording is
- * day 0 of the emulation.
+ * Recorded calls by minute, for an emulation to replay. Minutes are counted from 1970; the first day of the recording
+ * is day 0 of the emulation.
  */
 public final class Recording {
   private static final long MINUTES_PER_DAY = 1_440;
--- a/emulator/src/main/java/gorseladder/emulator/Workload.java
+++ b/emulator/src/main/java/gorseladder/emulator/Workload.java
@@ -43,7 +43,7 @@
   /**
    * Creates the functions.
    *
-   * @param recording calls to replay, with functions of the first population's sizes; null to draw calls by the settings
+   * @param recording calls to replay, with functions of the first population's sizes; null to draw the calls
    */
   Workload(Emulation emulation, Recording recording) {
     this.emulation = emulation;
@@ -139,8 +139,8 @@
   }
 
   /**
-   * The calls of a time range by arrival time, drawn with the rates at the middle of the range. Ranges have to be drawn in
-   * order.
+   * The calls of a time range by arrival time, drawn with the rates at the middle of the range. Ranges have to be drawn
+   * in order.
    */
   List<Arrival> drawCalls(long from, long until) {
     List<Arrival> calls = new ArrayList<>();
--- a/scale/src/main/java/gorseladder/scale/CellResult.java
+++ b/scale/src/main/java/gorseladder/scale/CellResult.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 
 /**
- * What one cell measured.
+ * The result of one cell of a scale run.
  *
  * @param kind hollow dispatchers or real processes
  * @param sweep the field that the cell's sweep changes
- * @param size that field's value here
- * @param failure what kept the cell from its measures; null where nothing did
+ * @param size value of that field
+ * @param failure why the cell has no measures; null if it has
  */
 public record CellResult(
     Kind kind,
@@ -20,7 +20,7 @@
     long seed,
     Map<Measure, Double> measures,
     String failure) {
-  /** Whether the dispatchers of a cell are hollow or processes. */
+  /** Whether the dispatchers of a cell are hollow or real processes. */
   public enum Kind {
     HOLLOW,
     REAL
--- a/scale/src/main/java/gorseladder/scale/Heap.java
+++ b/scale/src/main/java/gorseladder/scale/Heap.java
@@ -4,13 +4,13 @@
 
 /** The heap of this process. */
 final class Heap {
-  /** The serial collector leaves some dead objects in place, and counts them, but for every fourth time. */
+  /** Only every fourth collection of the serial collector removes all dead objects; the others leave and count some. */
   private static final int COLLECTIONS = 4;
 
   private Heap() {}
 
-  /** Bytes reachable, after collections that leave nothing dead. */
-  static long used() {
+  /** Bytes in use after all unreachable objects are collected. */
+  static long reachableBytes() {
     for (int i = 0; i < COLLECTIONS; i++) {
       System.gc();
     }
--- a/scale/src/main/java/gorseladder/scale/HollowDispatcher.java
+++ b/scale/src/main/java/gorseladder/scale/HollowDispatcher.java
@@ -27,14 +27,14 @@
 import java.util.Set;
 
 /**
- * One dispatcher without sockets: the real router and the real handling of change log lines, on a clock that its owner
- * moves. Every call is served after {@link #SERVICE_MICROS}. Not thread safe.
+ * A dispatcher without sockets: the real router and the real handling of change log lines, on a simulated clock that
+ * the caller advances. Every call is served after {@link #SERVICE_MICROS}. Not thread safe.
  */
 final class HollowDispatcher {
-  /** How long every call takes at its worker, in microseconds. */
+  /** Duration of every call at its worker. */
   static final long SERVICE_MICROS = 50_000;
 
-  private static final String SWEEP = "sweep";
+  private static final String SWEEP_TOKEN = "sweep";
   private static final long NEVER = Long.MAX_VALUE;
 
   private record Attempt(long id, int number, String worker, long sentAt) {}
@@ -42,7 +42,7 @@
   private final Router router;
   private final StartTimes starts = new StartTimes();
   private final ArrayDeque<Attempt> inFlight = new ArrayDeque<>();
-  private final Map<Long, Integer> attempts = new HashMap<>();
+  private final Map<Long, Integer> attemptCounts = new HashMap<>();
   private final Set<String> contacted = new HashSet<>();
   private long now;
   private long sweepAt = NEVER;
@@ -55,14 +55,15 @@
     now = startMicros;
   }
 
-  /** Reads a line of the change log and tells the router; a line of an unknown form is an error. */
+  /** Reads a change log line and passes it to the router; a malformed line is an error. */
   void changeLogLine(byte[] line) {
     bytesIn += line.length + 1;
     ChangeLine.Fleet change = ChangeLine.read(line).fleet();
-    ClockReading clocks = new ClockReading(Clock.micros(), Clock.wallMicros());
+    ClockReading clockReading = new ClockReading(Clock.micros(), Clock.wallMicros());
     List<WorkerEntry> entries = change.targets().stream()
         .map(target -> PlatformList.ofChangeLog(
-            target, (uid, stamp) -> starts.startedAt(uid, stamp, clocks, StartTimes.ALWAYS_LISTED)))
+            target,
+            (uid, stamp) -> starts.startedAt(uid, stamp, clockReading, StartTimes.ALWAYS_LISTED)))
         .toList();
     router.on(
         now,
@@ -70,7 +71,7 @@
         this::carryOut);
   }
 
-  /** Takes a call; returns the worker it went to first, null where it waits. */
+  /** Accepts a call; returns the worker of its first attempt, null if the call waits. */
   String call(long id, String requestClass, String function) {
     firstWorker = null;
     long deadline = 60 * SERVICE_MICROS;
@@ -81,13 +82,13 @@
     return firstWorker;
   }
 
-  /** Moves the clock on and delivers the answers and the sweeps that are due by then. */
-  void moveTo(long micros) {
+  /** Advances the clock and delivers the answers and sweeps that are due by then. */
+  void advanceTo(long micros) {
     while (nextDue() <= micros) {
       now = Math.max(now, nextDue());
       if (sweepAt <= now) {
         sweepAt = NEVER;
-        router.on(now, new TimerDue(SWEEP), this::carryOut);
+        router.on(now, new TimerDue(SWEEP_TOKEN), this::carryOut);
       } else {
         answer(inFlight.removeFirst());
       }
@@ -101,7 +102,7 @@
   }
 
   private void answer(Attempt attempt) {
-    attempts.remove(attempt.id());
+    attemptCounts.remove(attempt.id());
     router.on(
         now,
         new Answer(
@@ -119,38 +120,38 @@
 
   private void carryOut(Action action) {
     if (action instanceof Send send) {
-      int number = attempts.merge(send.id(), 1, Integer::sum) - 1;
+      int number = attemptCounts.merge(send.id(), 1, Integer::sum) - 1;
       inFlight.addLast(new Attempt(send.id(), number, send.worker(), now));
       contacted.add(send.worker());
       firstWorker = firstWorker == null ? send.worker() : firstWorker;
-    } else if (action instanceof SetTimer timer && timer.token().equals(SWEEP)) {
+    } else if (action instanceof SetTimer timer && timer.token().equals(SWEEP_TOKEN)) {
       sweepAt = now + timer.delay();
     } else if (action instanceof TellPeers) {
       messagesOut++;
     }
   }
 
-  /** Messages to the other dispatchers so far, each counted once. */
+  /** Number of messages to the other dispatchers so far, each counted once for all receivers. */
   long messagesOut() {
     return messagesOut;
   }
 
-  /** Bytes of the change log taken so far. */
+  /** Bytes of the change log read so far. */
   long bytesIn() {
     return bytesIn;
   }
 
-  /** Different workers that calls went to so far: each needs a connection. */
+  /** Number of distinct workers that calls were sent to so far; each needs a connection. */
   int workersContacted() {
     return contacted.size();
   }
 
-  /** Calls so far that looked through a part of the whole fleet. */
+  /** Number of calls so far that searched a part of the whole fleet. */
   long fallThroughs() {
     return router.fallThroughs();
   }
 
-  /** Workers that the router looked at so far. */
+  /** Number of workers that the router examined so far. */
   long workersExamined() {
     return router.workersExamined();
   }
--- a/scale/src/main/java/gorseladder/scale/RealCell.java
+++ b/scale/src/main/java/gorseladder/scale/RealCell.java
@@ -28,29 +28,29 @@
 import java.util.concurrent.Future;
 
 /**
- * One cell of real dispatchers: processes as the deploy file starts them, between stand-in runners, a change log and
- * FastCGI clients on loopback. Every worker of the list is the same stand-in; a list moved to a second stand-in is in
- * force at a dispatcher once its calls arrive there.
+ * One cell of real dispatchers: processes started by the command of the deploy file, with stand-in runners, a change
+ * log and FastCGI clients on loopback. All workers of the list are the same stand-in. A new list names a second stand-in
+ * and is in force at a dispatcher once its calls arrive there.
  */
 final class RealCell implements AutoCloseable {
-  private static final long LIVE_MILLIS = 60_000;
-  private static final long ANSWER_MILLIS = 5_000;
-  private static final long FORCE_MILLIS = 20_000;
-  private static final long PAUSE_MILLIS = 3;
+  private static final long LIVE_TIMEOUT_MILLIS = 60_000;
+  private static final long ANSWER_TIMEOUT_MILLIS = 5_000;
+  private static final long IN_FORCE_TIMEOUT_MILLIS = 20_000;
+  private static final long POLL_INTERVAL_MILLIS = 3;
   private static final long SETTLE_MILLIS = 1_000;
   private static final long IDLE_MILLIS = 3_000;
   private static final long DEADLINE_MILLIS = 3_000;
-  private static final double NANOS_A_MICRO = 1e3;
-  private static final double NANOS_A_MILLI = 1e6;
-  private static final double KILOBYTES_A_MEGABYTE = 1024;
+  private static final double NANOS_PER_MICRO = 1e3;
+  private static final double NANOS_PER_MILLI = 1e6;
+  private static final double KILOBYTES_PER_MEGABYTE = 1024;
 
   private final Sizes sizes;
   private final RealDispatchers real;
   private final Path directory;
-  private final Set<String> atSecond = ConcurrentHashMap.newKeySet();
-  private final PlatformRunner first = new PlatformRunner(arrival -> Reaction.SERVE);
-  private final PlatformRunner second = new PlatformRunner(arrival -> {
-    atSecond.add(arrival.id());
+  private final Set<String> idsAtSecond = ConcurrentHashMap.newKeySet();
+  private final PlatformRunner firstRunner = new PlatformRunner(arrival -> Reaction.SERVE);
+  private final PlatformRunner secondRunner = new PlatformRunner(arrival -> {
+    idsAtSecond.add(arrival.id());
     return Reaction.SERVE;
   });
   private final SyntheticFleet fleet;
@@ -60,11 +60,11 @@
   private final ExecutorService clients = Executors.newCachedThreadPool();
   private long seq = 1;
 
-  /** Lays down the configuration; starts nothing. */
+  /** Writes the configuration; starts no process. */
   RealCell(Sizes sizes, RealDispatchers real, long seed) throws IOException {
     this.sizes = sizes;
     this.real = real;
-    fleet = new SyntheticFleet(sizes, seed, first.address().getPort());
+    fleet = new SyntheticFleet(sizes, seed, firstRunner.address().getPort());
     directory = Files.createTempDirectory("gorseladder-scale-");
     List<String> events = new ArrayList<>(List.of(fleet.wholeList(seq)));
     changeLog = new PlatformChangeLog(events);
@@ -81,11 +81,11 @@
   /**
    * Starts the dispatchers, measures and leaves them running until {@link #close}.
    *
-   * @throws IOException where one does not become live or a call is not answered; the text quotes its log
+   * @throws IOException if a dispatcher does not become live or does not answer a call; the message quotes its log
    */
   Map<Measure, Double> run(Path root) throws IOException, InterruptedException {
     Map<Measure, Double> measures = new EnumMap<>(Measure.class);
-    long begun = System.nanoTime();
+    long startedAt = System.nanoTime();
     String command = RunLine.read(root);
     for (int i = 0; i < sizes.getDispatchers(); i++) {
       start(command, root, i);
@@ -93,28 +93,32 @@
     for (int i = 0; i < sizes.getDispatchers(); i++) {
       awaitLive(i);
     }
-    measures.put(Measure.START_SECONDS, (System.nanoTime() - begun) / 1e9);
+    measures.put(Measure.START_SECONDS, (System.nanoTime() - startedAt) / 1e9);
     Thread.sleep(SETTLE_MILLIS);
-    double idle = processorNanos();
+    double nanosBeforeIdle = processorNanos();
     Thread.sleep(IDLE_MILLIS);
     measures.put(
         Measure.IDLE_CORE_PERCENT,
-        100 * (processorNanos() - idle) / sizes.getDispatchers() / (IDLE_MILLIS * NANOS_A_MILLI));
+        100
+            * (processorNanos() - nanosBeforeIdle)
+            / sizes.getDispatchers()
+            / (IDLE_MILLIS * NANOS_PER_MILLI));
     measures.put(
         Measure.RESIDENT_MEGABYTES,
-        residentKilobytes() / KILOBYTES_A_MEGABYTE / sizes.getDispatchers());
-    double before = processorNanos();
-    forEachDispatcher(this::calls);
-    double madeCalls = (double) real.getCalls() * sizes.getDispatchers();
-    measures.put(Measure.CALL_MICROS, (processorNanos() - before) / NANOS_A_MICRO / madeCalls);
+        residentKilobytes() / KILOBYTES_PER_MEGABYTE / sizes.getDispatchers());
+    double nanosBeforeCalls = processorNanos();
+    forEachDispatcher(this::makeCalls);
+    double callsMade = (double) real.getCalls() * sizes.getDispatchers();
+    measures.put(
+        Measure.CALL_MICROS, (processorNanos() - nanosBeforeCalls) / NANOS_PER_MICRO / callsMade);
     measures.put(
         Measure.LIST_IN_FORCE_MILLIS,
-        inForce(fleet.wholeList(++seq, second.address().getPort())));
-    changeLog.add(fleet.listOfOne(++seq, 0, first.address().getPort()));
+        millisUntilInForce(fleet.wholeList(++seq, secondRunner.address().getPort())));
+    changeLog.add(fleet.listOfOne(++seq, 0, firstRunner.address().getPort()));
     Thread.sleep(SETTLE_MILLIS);
     measures.put(
         Measure.CHANGE_IN_FORCE_MILLIS,
-        inForce(fleet.listOfOne(++seq, 0, second.address().getPort())));
+        millisUntilInForce(fleet.listOfOne(++seq, 0, secondRunner.address().getPort())));
     return measures;
   }
 
@@ -142,90 +146,90 @@
   }
 
   private void awaitLive(int number) throws IOException, InterruptedException {
-    long until = System.nanoTime() + (long) (LIVE_MILLIS * NANOS_A_MILLI);
-    while (!FastCgiClient.isLive(addresses.get(number), ANSWER_MILLIS)) {
-      if (!processes.get(number).isAlive() || System.nanoTime() > until) {
+    long deadlineNanos = System.nanoTime() + (long) (LIVE_TIMEOUT_MILLIS * NANOS_PER_MILLI);
+    while (!FastCgiClient.isLive(addresses.get(number), ANSWER_TIMEOUT_MILLIS)) {
+      if (!processes.get(number).isAlive() || System.nanoTime() > deadlineNanos) {
         throw new IOException("dispatcher " + number + " with " + sizes.getWorkers()
-            + " workers is not live: " + said(number));
+            + " workers is not live: " + firstErrorOrLastLine(number));
       }
-      Thread.sleep(PAUSE_MILLIS);
+      Thread.sleep(POLL_INTERVAL_MILLIS);
     }
   }
 
-  /** The first error that a dispatcher logged, else its last line. */
-  private String said(int number) throws IOException {
+  /** The first error in a dispatcher's log, else the last line. */
+  private String firstErrorOrLastLine(int number) throws IOException {
     List<String> lines = Files.readAllLines(log(number));
     return lines.stream()
         .filter(line -> line.contains("Error"))
         .findFirst()
-        .orElse(lines.isEmpty() ? "it said nothing" : lines.get(lines.size() - 1));
+        .orElse(lines.isEmpty() ? "its log is empty" : lines.get(lines.size() - 1));
   }
 
-  /** One task for each dispatcher, side by side. */
+  /** A task that runs for each dispatcher in parallel. */
   private interface Task {
     void run(int number) throws IOException, InterruptedException;
   }
 
   private void forEachDispatcher(Task task) throws IOException, InterruptedException {
-    List<Future<Void>> all = new ArrayList<>();
+    List<Future<Void>> futures = new ArrayList<>();
     for (int i = 0; i < sizes.getDispatchers(); i++) {
       int number = i;
-      all.add(clients.submit(() -> {
+      futures.add(clients.submit(() -> {
         task.run(number);
         return null;
       }));
     }
-    for (Future<Void> one : all) {
+    for (Future<Void> future : futures) {
       try {
-        one.get();
+        future.get();
       } catch (ExecutionException e) {
         throw new IOException(e.getCause().getMessage(), e.getCause());
       }
     }
   }
 
-  private void calls(int number) throws IOException, InterruptedException {
+  private void makeCalls(int number) throws IOException, InterruptedException {
     ZipfCalls functions = new ZipfCalls(sizes.getFunctions(), sizes.getZipf(), number);
     try (FastCgiClient client = new FastCgiClient(addresses.get(number))) {
       for (int call = 0; call < real.getCalls(); call++) {
-        call(client, number, call, functions.next());
+        makeCall(client, number, call, functions.next());
       }
     }
   }
 
-  /** Makes one call and awaits its answer; returns its id. */
-  private String call(FastCgiClient client, int number, int call, int function)
+  /** Makes a call and waits for its answer; returns the id of the call. */
+  private String makeCall(FastCgiClient client, int number, int call, int function)
       throws IOException, InterruptedException {
     String id = String.format("%08x%08x", number, call);
     String name = String.format("%016x", function);
     client.send(1, FastCgiClient.params("safe", id, name, DEADLINE_MILLIS), new byte[1]);
-    if (client.await(1, ANSWER_MILLIS) == null) {
-      throw new IOException(
-          "dispatcher " + number + " did not answer call " + call + ": " + said(number));
+    if (client.await(1, ANSWER_TIMEOUT_MILLIS) == null) {
+      throw new IOException("dispatcher " + number + " did not answer call " + call + ": "
+          + firstErrorOrLastLine(number));
     }
     client.forget(1);
     return id;
   }
 
-  /** Milliseconds from a new event of the log until calls of every dispatcher arrive at the second stand-in. */
-  private double inForce(String event) throws IOException, InterruptedException {
-    atSecond.clear();
-    long told = System.nanoTime();
+  /** Time from a new change log event until calls of every dispatcher arrive at the second stand-in. */
+  private double millisUntilInForce(String event) throws IOException, InterruptedException {
+    idsAtSecond.clear();
+    long eventSentAt = System.nanoTime();
     changeLog.add(event);
     double[] millis = new double[sizes.getDispatchers()];
     int firstCall = real.getCalls() + (int) seq * 1_000_000;
     forEachDispatcher(number -> {
       try (FastCgiClient client = new FastCgiClient(addresses.get(number))) {
         int call = firstCall;
-        while (!atSecond.contains(call(client, number, call++, 0))) {
-          if (System.nanoTime() - told > FORCE_MILLIS * NANOS_A_MILLI) {
-            throw new IOException(
-                "event " + seq + " of " + event.length() + " bytes is not in force at dispatcher "
-                    + number + " after " + FORCE_MILLIS + " ms: " + said(number));
+        while (!idsAtSecond.contains(makeCall(client, number, call++, 0))) {
+          if (System.nanoTime() - eventSentAt > IN_FORCE_TIMEOUT_MILLIS * NANOS_PER_MILLI) {
+            throw new IOException("event " + seq + " of " + event.length()
+                + " bytes is not in force at dispatcher " + number + " after "
+                + IN_FORCE_TIMEOUT_MILLIS + " ms: " + firstErrorOrLastLine(number));
           }
-          Thread.sleep(PAUSE_MILLIS);
+          Thread.sleep(POLL_INTERVAL_MILLIS);
         }
-        millis[number] = (System.nanoTime() - told) / NANOS_A_MILLI;
+        millis[number] = (System.nanoTime() - eventSentAt) / NANOS_PER_MILLI;
       }
     });
     return Arrays.stream(millis).max().orElse(0);
@@ -238,7 +242,7 @@
         .sum();
   }
 
-  /** Kilobytes resident, summed over the processes, as the system's status files tell. */
+  /** Total resident memory of the processes, from their status files in {@code /proc}. */
   private double residentKilobytes() throws IOException {
     double sum = 0;
     for (ChildProcess process : processes) {
@@ -256,8 +260,8 @@
     processes.forEach(ChildProcess::close);
     clients.shutdownNow();
     changeLog.close();
-    first.close();
-    second.close();
+    firstRunner.close();
+    secondRunner.close();
     try (var files = Files.list(directory)) {
       for (Path file : files.toList()) {
         Files.delete(file);
--- a/scale/src/main/java/gorseladder/scale/Report.java
+++ b/scale/src/main/java/gorseladder/scale/Report.java
@@ -16,14 +16,14 @@
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYChartBuilder;
 
-/** Writes what a scale run measured: {@code cells.csv}, {@code slopes.csv} and plots of each sweep. */
+/** Writes the results of a scale run: {@code cells.csv}, {@code slopes.csv} and plots of each sweep. */
 public final class Report {
   private static final int WIDTH = 900;
   private static final int HEIGHT = 520;
 
   private Report() {}
 
-  /** Writes the two tables into a directory, which is made where it is missing. */
+  /** Writes the two tables to a directory, which is created if it does not exist. */
   public static void write(Scale scale, Path directory) throws IOException {
     Files.createDirectories(directory);
     List<String> cells =
@@ -80,7 +80,7 @@
     return String.format(Locale.ROOT, "%.5g", value);
   }
 
-  /** Draws each measure of each sweep, both axes logarithmic, hollow and real side by side. */
+  /** Plots each measure of each sweep on logarithmic axes, with hollow and real dispatchers as two series. */
   public static void plot(Scale scale, Path directory) throws IOException {
     Files.createDirectories(directory);
     for (Sweep.Field field : Sweep.Field.values()) {
--- a/scale/src/main/java/gorseladder/scale/Scale.java
+++ b/scale/src/main/java/gorseladder/scale/Scale.java
@@ -16,8 +16,8 @@
 import me.tongfei.progressbar.ProgressBarBuilder;
 
 /**
- * Runs the cells of a scale run one after the other, so that none disturbs another, and fits slopes through what they
- * measured. A cell that fails is kept with its reason, and the run goes on.
+ * Runs the cells of a scale run one after the other, so that none disturbs another, and fits slopes to their measures.
+ * A failed cell is recorded with its reason, and the run continues.
  */
 public final class Scale {
   private final ScaleRun settings;
@@ -25,51 +25,52 @@
   private final List<CellResult> results = new ArrayList<>();
 
   /**
-   * A run that starts with {@link #run}.
+   * Creates a run; {@link #run} starts it.
    *
-   * @param root where the deploy file is
+   * @param root directory that holds the deploy file
    */
   public Scale(ScaleRun settings, Path root) {
     this.settings = settings;
     this.root = root;
   }
 
-  /** Runs all cells, with a bar of progress on the standard error. */
+  /** Runs all cells and shows a progress bar on standard error. */
   public void run() throws InterruptedException {
-    int hollow = settings.getSweepList().stream().mapToInt(Sweep::getValueCount).sum()
-        * settings.getSeedCount();
-    int real = settings.getReal().getWorkersCount() + settings.getReal().getDispatchersCount();
+    int hollowCells =
+        settings.getSweepList().stream().mapToInt(Sweep::getValueCount).sum()
+            * settings.getSeedCount();
+    int realCells = settings.getReal().getWorkersCount() + settings.getReal().getDispatchersCount();
     warmUp();
     try (ProgressBar bar = new ProgressBarBuilder()
         .setTaskName("scale")
         .setUpdateIntervalMillis(500)
-        .setInitialMax(hollow + real)
+        .setInitialMax(hollowCells + realCells)
         .build()) {
       for (Sweep sweep : settings.getSweepList()) {
         for (double value : sweep.getValueList()) {
           for (long seed : settings.getSeedList()) {
-            results.add(hollow(sweep.getField(), value, seed));
+            results.add(runHollowCell(sweep.getField(), value, seed));
             bar.step();
           }
         }
       }
       for (int workers : settings.getReal().getWorkersList()) {
-        results.add(real(Sweep.Field.WORKERS, workers, 1));
+        results.add(runRealCell(Sweep.Field.WORKERS, workers, 1));
         bar.step();
       }
       for (int dispatchers : settings.getReal().getDispatchersList()) {
-        results.add(real(Sweep.Field.DISPATCHERS, dispatchers, dispatchers));
+        results.add(runRealCell(Sweep.Field.DISPATCHERS, dispatchers, dispatchers));
         bar.step();
       }
     }
   }
 
-  /** Runs the base cell unrecorded, so that the first cell does not pay for classes and compilation. */
+  /** Runs the base cell unrecorded, so that the first cell does not include class loading and compilation. */
   private void warmUp() {
     new HollowCell(settings.getBase(), settings.getMostSeconds(), settings.getSeed(0)).run();
   }
 
-  private CellResult hollow(Sweep.Field field, double value, long seed) {
+  private CellResult runHollowCell(Sweep.Field field, double value, long seed) {
     Sizes sizes = ScaleFile.sizes(settings.getBase(), field, value);
     try {
       Map<Measure, Double> measures = new HollowCell(sizes, settings.getMostSeconds(), seed).run();
@@ -79,7 +80,7 @@
     }
   }
 
-  private CellResult real(Sweep.Field field, double value, int dispatchers)
+  private CellResult runRealCell(Sweep.Field field, double value, int dispatchers)
       throws InterruptedException {
     Sizes sizes = ScaleFile.sizes(settings.getBase(), field, value).toBuilder()
         .setDispatchers(dispatchers)
@@ -93,12 +94,12 @@
     }
   }
 
-  /** What the cells measured, in the order in which they ran. */
+  /** Results of the cells in the order in which they ran. */
   public List<CellResult> results() {
     return List.copyOf(results);
   }
 
-  /** A line for each kind, sweep and measure that was measured at three sizes or more. */
+  /** A slope for each kind, sweep and measure with values at three sizes or more. */
   public List<Slope> slopes() {
     List<Slope> slopes = new ArrayList<>();
     for (Kind kind : Kind.values()) {
@@ -111,7 +112,7 @@
     return slopes.stream().filter(Objects::nonNull).toList();
   }
 
-  /** The points of one kind, sweep and measure. */
+  /** The measured points of one kind, sweep and measure. */
   List<Point> points(Kind kind, Sweep.Field field, Measure measure) {
     return results.stream()
         .filter(cell -> cell.kind() == kind && cell.sweep() == field)
--- a/scale/src/main/java/gorseladder/scale/ScaleFile.java
+++ b/scale/src/main/java/gorseladder/scale/ScaleFile.java
@@ -10,34 +10,34 @@
 import java.nio.file.Path;
 import java.util.Locale;
 
-/** Reads the file of a scale run and refuses sizes that cannot fit this machine, before anything starts. */
+/** Reads the file of a scale run and rejects sizes that do not fit on this machine before anything starts. */
 public final class ScaleFile {
-  /** Sizes that a sweep needs for a slope, and the factor between its first and its last. */
-  static final int FEWEST_SIZES = 4;
+  /** Sizes that a sweep needs for a slope. */
+  static final int MIN_SIZES = 4;
 
-  static final double LEAST_FACTOR = 64;
-  /** Processes that a run may have at once, of its own and the machine's sake. */
-  static final int MOST_PROCESSES = 300;
-  /**
-   * Upper bounds of the heap that a hollow dispatcher takes, in bytes; {@code docs/CAPACITY.md} has what it does take.
-   */
-  private static final long BYTES_A_WORKER = 700;
+  /** Factor between the smallest and the largest size of a sweep. */
+  static final double MIN_FACTOR = 64;
+  /** Concurrent processes of a run; more would disturb the run and other programs on the machine. */
+  static final int MAX_PROCESSES = 300;
+  /** Upper bounds of the heap that a hollow dispatcher uses; {@code docs/CAPACITY.md} has the measured values. */
+  private static final long MAX_BYTES_PER_WORKER = 700;
 
-  private static final long BYTES_A_FUNCTION = 3_000;
-  private static final long BYTES_A_WORKER_OF_A_LIST_LINE = 2_000;
-  /** Memory of a real dispatcher on the machine, at the most, in bytes. */
-  private static final long BYTES_A_PROCESS = 150L << 20;
+  private static final long MAX_BYTES_PER_FUNCTION = 3_000;
+  private static final long MAX_LIST_LINE_BYTES_PER_WORKER = 2_000;
+  /** Upper bound of the memory of a real dispatcher. */
+  private static final long MAX_BYTES_PER_PROCESS = 150L << 20;
 
   private static final double GIGABYTE = 1 << 30;
 
   private ScaleFile() {}
 
   /**
-   * Reads and checks a file.
+   * Reads and validates a file.
    *
-   * @param heapBytes what this process may take
-   * @param machineBytes the machine's memory
-   * @throws IllegalArgumentException where the file is wrong or too large; the text names the place or the field
+   * @param heapBytes maximum heap of this process
+   * @param machineBytes memory of the machine
+   * @throws IllegalArgumentException if the file is malformed or its sizes do not fit; the message names the line or
+   *     the field
    */
   public static ScaleRun load(Path file, long heapBytes, long machineBytes) throws IOException {
     ScaleRun.Builder run = ScaleRun.newBuilder();
@@ -50,16 +50,16 @@
       run.addSeed(1);
     }
     if (run.getSweepCount() == 0) {
-      throw wrong("sweep", "at least one is needed");
+      throw invalid("sweep", "at least one is needed");
     }
-    run.getSweepList().forEach(sweep -> check(run.getBase(), sweep, heapBytes));
+    run.getSweepList().forEach(sweep -> validate(run.getBase(), sweep, heapBytes));
     if (run.hasReal()) {
-      check(run.getBase(), run.getReal(), machineBytes);
+      validate(run.getBase(), run.getReal(), machineBytes);
     }
     return run.build();
   }
 
-  /** The base sizes with one field changed as a sweep asks. */
+  /** The base sizes with the value of a sweep in one field. */
   static Sizes sizes(Sizes base, Sweep.Field field, double value) {
     Sizes.Builder sizes = base.toBuilder();
     switch (field) {
@@ -71,88 +71,89 @@
     return sizes.build();
   }
 
-  private static void check(Sizes base, Sweep sweep, long heapBytes) {
+  private static void validate(Sizes base, Sweep sweep, long heapBytes) {
     String name = "sweep " + sweep.getField();
-    if (sweep.getValueCount() < FEWEST_SIZES) {
-      throw wrong(name, "has " + sweep.getValueCount() + " sizes, needs " + FEWEST_SIZES);
+    if (sweep.getValueCount() < MIN_SIZES) {
+      throw invalid(name, "has " + sweep.getValueCount() + " sizes, needs " + MIN_SIZES);
     }
     for (int i = 1; i < sweep.getValueCount(); i++) {
       if (sweep.getValue(i) <= sweep.getValue(i - 1)) {
-        throw wrong(name, "sizes must grow; " + sweep.getValue(i) + " does not");
+        throw invalid(name, "sizes must grow; " + sweep.getValue(i) + " does not");
       }
     }
     double factor = sweep.getValue(sweep.getValueCount() - 1) / sweep.getValue(0);
-    if (!(factor >= LEAST_FACTOR)) {
-      throw wrong(
+    if (!(factor >= MIN_FACTOR)) {
+      throw invalid(
           name,
-          String.format(Locale.ROOT, "spans a factor of %.1f, needs %.0f", factor, LEAST_FACTOR));
+          String.format(Locale.ROOT, "spans a factor of %.1f, needs %.0f", factor, MIN_FACTOR));
     }
     sweep
         .getValueList()
-        .forEach(value -> check(name, sizes(base, sweep.getField(), value), heapBytes));
+        .forEach(value -> validate(name, sizes(base, sweep.getField(), value), heapBytes));
   }
 
-  private static void check(String name, Sizes sizes, long heapBytes) {
-    positive(name, "workers", sizes.getWorkers());
-    positive(name, "dispatchers", sizes.getDispatchers());
-    positive(name, "functions", sizes.getFunctions());
-    positive(name, "calls", sizes.getCalls());
-    positive(name, "calls_per_second", sizes.getCallsPerSecond());
-    positive(name, "zones", sizes.getZones());
-    positive(name, "cells", sizes.getCells());
-    positive(name, "weight_from", sizes.getWeightFrom());
+  private static void validate(String name, Sizes sizes, long heapBytes) {
+    requirePositive(name, "workers", sizes.getWorkers());
+    requirePositive(name, "dispatchers", sizes.getDispatchers());
+    requirePositive(name, "functions", sizes.getFunctions());
+    requirePositive(name, "calls", sizes.getCalls());
+    requirePositive(name, "calls_per_second", sizes.getCallsPerSecond());
+    requirePositive(name, "zones", sizes.getZones());
+    requirePositive(name, "cells", sizes.getCells());
+    requirePositive(name, "weight_from", sizes.getWeightFrom());
     if (sizes.getChangesPerSecond() < 0) {
-      throw wrong(name + " changes_per_second", "is " + sizes.getChangesPerSecond());
+      throw invalid(name + " changes_per_second", "is " + sizes.getChangesPerSecond());
     }
     if (sizes.getWeightTo() < sizes.getWeightFrom()) {
-      throw wrong(name + " weight_to", "is below weight_from");
+      throw invalid(name + " weight_to", "is below weight_from");
     }
-    double functionsMet = Math.min(sizes.getFunctions(), sizes.getCalls());
+    double calledFunctions = Math.min(sizes.getFunctions(), sizes.getCalls());
     double bytes = sizes.getDispatchers()
-            * ((double) sizes.getWorkers() * BYTES_A_WORKER + functionsMet * BYTES_A_FUNCTION)
-        + (double) sizes.getWorkers() * BYTES_A_WORKER_OF_A_LIST_LINE;
+            * ((double) sizes.getWorkers() * MAX_BYTES_PER_WORKER
+                + calledFunctions * MAX_BYTES_PER_FUNCTION)
+        + (double) sizes.getWorkers() * MAX_LIST_LINE_BYTES_PER_WORKER;
     if (bytes > heapBytes) {
-      throw wrong(
+      throw invalid(
           name,
           String.format(
               Locale.ROOT,
               "%d dispatchers with %d workers and %.0f functions need %.1f GB; this process may take %.1f GB",
               sizes.getDispatchers(),
               sizes.getWorkers(),
-              functionsMet,
+              calledFunctions,
               bytes / GIGABYTE,
               heapBytes / GIGABYTE));
     }
   }
 
-  private static void check(Sizes base, RealDispatchers real, long machineBytes) {
-    real.getWorkersList().forEach(workers -> positive("real", "workers", workers));
-    positive("real", "calls", real.getCalls());
+  private static void validate(Sizes base, RealDispatchers real, long machineBytes) {
+    real.getWorkersList().forEach(workers -> requirePositive("real", "workers", workers));
+    requirePositive("real", "calls", real.getCalls());
     for (int dispatchers : real.getDispatchersList()) {
-      positive("real", "dispatchers", dispatchers);
-      if (dispatchers > MOST_PROCESSES) {
-        throw wrong("real dispatchers", dispatchers + " is over " + MOST_PROCESSES + " processes");
+      requirePositive("real", "dispatchers", dispatchers);
+      if (dispatchers > MAX_PROCESSES) {
+        throw invalid("real dispatchers", dispatchers + " is over " + MAX_PROCESSES + " processes");
       }
-      if (dispatchers * BYTES_A_PROCESS > machineBytes / 2) {
-        throw wrong(
+      if (dispatchers * MAX_BYTES_PER_PROCESS > machineBytes / 2) {
+        throw invalid(
             "real dispatchers",
             String.format(
                 Locale.ROOT,
                 "%d processes need %.1f GB; half of the machine's memory is %.1f GB",
                 dispatchers,
-                dispatchers * BYTES_A_PROCESS / GIGABYTE,
+                dispatchers * MAX_BYTES_PER_PROCESS / GIGABYTE,
                 machineBytes / 2 / GIGABYTE));
       }
     }
   }
 
-  private static void positive(String where, String field, double value) {
+  private static void requirePositive(String section, String field, double value) {
     if (!(value > 0)) {
-      throw wrong(where + " " + field, "is " + value + ", must be positive");
+      throw invalid(section + " " + field, "is " + value + ", must be positive");
     }
   }
 
-  private static IllegalArgumentException wrong(String field, String why) {
-    return new IllegalArgumentException(field + ": " + why);
+  private static IllegalArgumentException invalid(String field, String reason) {
+    return new IllegalArgumentException(field + ": " + reason);
   }
 }
--- a/scale/src/main/java/gorseladder/scale/Slope.java
+++ b/scale/src/main/java/gorseladder/scale/Slope.java
@@ -6,14 +6,15 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * A straight line through what cells measured, by least squares.
+ * A straight line through a measure of the cells of a sweep, by least squares.
  *
- * @param value at size 0
- * @param slope what one more of the size adds
- * @param half half the width of the slope's 95 % interval
- * @param exponent slope of the logarithms: 0 flat, 1 proportional; NaN where a value is not positive
- * @param from smallest and {@code to} largest size
- * @param straightTo largest size up to which the line from the sizes below misses by no more than {@link #STRAIGHT}
+ * @param intercept value of the line at size 0
+ * @param slope increase per unit of the size
+ * @param halfWidth half the width of the slope's 95 % confidence interval
+ * @param exponent slope of the logarithms: 0 if constant, 1 if proportional; NaN if a value is not positive
+ * @param linearUpTo largest size up to which the line through all smaller sizes misses each size's mean by no more than
+ *     {@link #MAX_RELATIVE_MISS}
+ * @param cells number of points
  */
 public record Slope(
     CellResult.Kind kind,
@@ -27,15 +28,15 @@
     double maxSize,
     double linearUpTo,
     int cells) {
-  /** A size counts as on the line where it is missed by no more than this part of it. */
+  /** Largest miss, relative to the measured mean, at which a size still counts as on the line. */
   static final double MAX_RELATIVE_MISS = 0.5;
 
   private static final int MIN_SIZES = 3;
 
-  /** One measured point. */
+  /** A measured value at a size. */
   record Point(double size, double value) {}
 
-  /** Fits a line; null where there are fewer than three sizes. */
+  /** Fits a line; null if there are fewer than three sizes. */
   static Slope fit(CellResult.Kind kind, String sweep, Measure measure, List<Point> points) {
     List<Point> sorted = new ArrayList<>(points);
     sorted.sort(Comparator.comparingDouble(Point::size));
@@ -63,7 +64,7 @@
         sorted.size());
   }
 
-  /** The largest size whose values the line through all smaller sizes foretells. */
+  /** The largest size up to which the line through all smaller sizes predicts the mean of the values. */
   private static double linearUpTo(List<Point> sorted) {
     SimpleRegression below = new SimpleRegression();
     double linearUpTo = sorted.get(0).size();
--- a/scale/src/main/java/gorseladder/scale/SyntheticFleet.java
+++ b/scale/src/main/java/gorseladder/scale/SyntheticFleet.java
@@ -7,14 +7,17 @@
 import java.util.Random;
 
 /**
- * A fleet drawn from a seed, told in lines of the platform's change log. Worker {@code i} has the same name, zone, cell
- * and weight in every line. Not thread safe.
+ * A fleet drawn from a seed, written as lines of the platform's change log. Worker {@code i} has the same name, zone,
+ * cell and weight in every line. Not thread safe.
  */
 final class SyntheticFleet {
-  /** What the change log calls a worker that takes calls, one that drains and one that is gone. */
+  /** State of a worker that accepts calls, in the change log. */
   static final String ACTIVE = "active";
 
+  /** State of a worker that drains. */
   static final String LEAVING = "leaving";
+
+  /** State of a worker that is gone. */
   static final String LEFT = "left";
 
   private final List<String> names = new ArrayList<>();
@@ -23,7 +26,7 @@
   private final int cells;
   private final int port;
 
-  /** A fleet whose workers all listen on one port of the loopback. */
+  /** Draws a fleet whose workers all listen on one loopback port. */
   SyntheticFleet(Sizes sizes, long seed, int port) {
     this.zones = sizes.getZones();
     this.cells = sizes.getCells();
@@ -49,11 +52,11 @@
     return weights[worker];
   }
 
-  /** The whole fleet as one event, all workers active, at a port of the loopback. */
-  String wholeList(long seq, int atPort) {
+  /** The whole fleet as one event, with all workers active on a loopback port. */
+  String wholeList(long seq, int workerPort) {
     StringBuilder line = new StringBuilder();
     for (int worker = 0; worker < size(); worker++) {
-      line.append(worker == 0 ? "" : ",").append(target(worker, atPort, ACTIVE, 0));
+      line.append(worker == 0 ? "" : ",").append(target(worker, workerPort, ACTIVE, 0));
     }
     return event(seq, true, line.toString());
   }
@@ -63,23 +66,27 @@
     return wholeList(seq, port);
   }
 
-  /** One worker in a new state, as an event of its own; {@code bootMillis} is 0 where its last start was long ago. */
+  /**
+   * The new state of one worker as an event.
+   *
+   * @param bootMillis start time; 0 if the worker started long ago
+   */
   String change(long seq, int worker, String state, long bootMillis) {
     return event(seq, false, target(worker, port, state, bootMillis));
   }
 
-  /** A list of one active worker alone, at a port of the loopback. */
-  String listOfOne(long seq, int worker, int atPort) {
-    return event(seq, true, target(worker, atPort, ACTIVE, 0));
+  /** A whole list that holds only one active worker, on a loopback port. */
+  String listOfOne(long seq, int worker, int workerPort) {
+    return event(seq, true, target(worker, workerPort, ACTIVE, 0));
   }
 
-  private String target(int worker, int atPort, String state, long bootMillis) {
+  private String target(int worker, int workerPort, String state, long bootMillis) {
     return String.format(
         Locale.ROOT,
         "{\"uid\":\"%s\",\"endpoint\":\"127.0.0.1:%d\",\"az\":\"zone%d\",\"model\":\"std\","
             + "\"pod_group\":%d,\"state\":\"%s\",\"capacity_hint\":%.3f,\"boot_ms\":%d}",
         names.get(worker),
-        atPort,
+        workerPort,
         worker % zones,
         worker / zones % cells,
         state,
--- a/scale/src/main/java/gorseladder/scale/ZipfCalls.java
+++ b/scale/src/main/java/gorseladder/scale/ZipfCalls.java
@@ -2,7 +2,7 @@
 
 import java.util.Random;
 
-/** Draws functions by a Zipf law: the function of rank r is called in proportion to r to the power of -exponent. */
+/** Draws functions by a Zipf law: the function of rank r is called in proportion to r^-exponent, with ranks from 1. */
 final class ZipfCalls {
   private final double[] cumulative;
   private final Random random;
@@ -17,7 +17,7 @@
     }
   }
 
-  /** The rank of the next function called, from 0. */
+  /** The next function to call, from 0 for the most frequent one. */
   int next() {
     double point = random.nextDouble() * cumulative[cumulative.length - 1];
     int low = 0;
--- a/scale/src/main/java/gorseladder/scale/package-info.java
+++ b/scale/src/main/java/gorseladder/scale/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The scale run: hollow dispatchers (the real router and list handling, no sockets) beside real processes, over swept
- * sizes, with fitted slopes. Its figures feed {@code docs/CAPACITY.md}.
+ * The scale run: measures hollow dispatchers (the real router and list handling, without sockets) and real processes
+ * over swept sizes and fits slopes. {@code docs/CAPACITY.md} uses its figures.
  */
 package gorseladder.scale;
--- a/scale/src/test/java/gorseladder/scale/HollowCellTest.java
+++ b/scale/src/test/java/gorseladder/scale/HollowCellTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Hollow dispatchers take lists, calls and changes, and count what they cost. */
+/** Hollow dispatchers handle lists, calls and changes and measure their cost. */
 class HollowCellTest {
   private static final Sizes SIZES = Sizes.newBuilder()
       .setWorkers(57)
--- a/scale/src/test/java/gorseladder/scale/ScaleFileTest.java
+++ b/scale/src/test/java/gorseladder/scale/ScaleFileTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a scale file may ask for, and how a refusal names the field and the figure. */
+/** Which scale files are accepted; an error names the field and the value. */
 class ScaleFileTest {
   private static final long GIGABYTE = 1L << 30;
   private static final String SWEEP = "sweep { field: WORKERS value: [10, 40, 160, 640] }";
--- a/scale/src/test/java/gorseladder/scale/SlopeTest.java
+++ b/scale/src/test/java/gorseladder/scale/SlopeTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Fitted lines, their intervals, and how far they were straight. */
+/** Fitted lines, their intervals, and the range in which the values are linear. */
 class SlopeTest {
   private static Slope fit(Point... points) {
     return Slope.fit(CellResult.Kind.HOLLOW, "WORKERS", Measure.CALL_MICROS, List.of(points));
