--- a/soak/src/main/java/gorseladder/soak/SoakDispatcher.java
+++ b/soak/src/main/java/gorseladder/soak/SoakDispatcher.java
@@ -105,7 +105,7 @@
         command, root, environment, folder.resolve("log" + startCount++).toFile());
   }
 
-  /** Waits until the process is live. */
+  /** Waits until the process is live or has ended, at most {@link #READY_TIMEOUT_MILLIS}. */
   void awaitReady() throws InterruptedException {
     long until = Clock.micros() + READY_TIMEOUT_MILLIS * 1_000;
     while (Clock.micros() < until && process.isAlive()) {
--- a/soak/src/main/java/gorseladder/soak/StallMonitor.java
+++ b/soak/src/main/java/gorseladder/soak/StallMonitor.java
@@ -87,7 +87,7 @@
       client.connect(proxy.address());
       client.setTcpNoDelay(true);
       while (!stopped) {
-        sendByte(openConnection, client, Clock.micros());
+        sendProbe(openConnection, client, Clock.micros());
       }
     }
   }
@@ -96,22 +96,22 @@
     try (ServerSocket echo = echoServer();
         FaultProxy proxy = new FaultProxy((InetSocketAddress) echo.getLocalSocketAddress())) {
       while (!stopped) {
-        long before = Clock.micros();
+        long startedAt = Clock.micros();
         try (Socket client = new Socket()) {
           client.connect(proxy.address());
           client.setTcpNoDelay(true);
-          sendByte(newConnections, client, before);
+          sendProbe(newConnections, client, startedAt);
         }
       }
     }
   }
 
-  private static void sendByte(Probe probe, Socket client, long before)
+  private static void sendProbe(Probe probe, Socket client, long startedAt)
       throws IOException, InterruptedException {
     client.getOutputStream().write(1);
     client.getInputStream().read();
     Thread.sleep(PROBE_INTERVAL_MILLIS);
-    probe.record(before, Clock.micros());
+    probe.record(startedAt, Clock.micros());
   }
 
   private static ServerSocket echoServer() throws IOException {
--- a/soak/src/main/java/gorseladder/soak/Troubles.java
+++ b/soak/src/main/java/gorseladder/soak/Troubles.java
@@ -127,7 +127,7 @@
         case PIECES -> dispatcher.clients().sendInPieces(event.duration());
         case SYSTEM_CALLS -> failSocketCalls(dispatcher.control(), event);
         case THREADS -> failThreadStarts(dispatcher, event);
-        case SHORT_IO -> shortIo(dispatcher, event);
+        case SHORT_IO -> disturbIo(dispatcher, event);
         case CLOCK -> stepClock(dispatcher.control(), event);
         default -> throw new IllegalStateException("no such trouble: " + event.trouble());
       }
@@ -404,7 +404,7 @@
     control.set(Fault.OPEN_RATE, 0);
   }
 
-  private void shortIo(SoakDispatcher dispatcher, Event event) throws InterruptedException {
+  private void disturbIo(SoakDispatcher dispatcher, Event event) throws InterruptedException {
     Control control = dispatcher.control();
     if (control == null) {
       return;
--- a/soak/src/main/resources/gorseladder/soak/faults.c
+++ b/soak/src/main/resources/gorseladder/soak/faults.c
@@ -1,10 +1,10 @@
 /*
  * A preloaded library that makes system calls of one process fail in ways that Linux documents, steps its wall clock, and
- * makes files below one folder fail. What fails, and how often, stands in a control file that another process writes while
- * this one runs; without the file every call goes through unchanged.
+ * makes files below one folder fail. A control file, which another process writes while this one runs, sets what fails and
+ * how often; without the file every call passes unchanged.
  *
- * GORSELADDER_FAULTS names the control file: an array of 64-bit integers, see the enum. GORSELADDER_FAULTS_FOLDER names the
- * folder whose files may fail. Rates are in thousandths of the calls.
+ * GORSELADDER_FAULTS names the control file: an array of 64-bit integers, one per slot of the enum.
+ * GORSELADDER_FAULTS_FOLDER names the folder whose files may fail. Rates are in thousandths of the calls.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -24,7 +24,7 @@
 #include <time.h>
 #include <unistd.h>
 
-/* The list of slots is the one of Preload.Fault: the compiler is told it as FAULT_SLOTS, so that there is only one. */
+/* The build passes the constants of Preload.Fault as FAULT_SLOTS, so that the list of slots is defined only once. */
 enum slot { FAULT_SLOTS, SLOTS };
 
 #define MOST_FILES 65536
@@ -52,7 +52,7 @@
   state ^= (uint64_t)control[SEED] * 0x9e3779b97f4a7c15ULL;
 }
 
-/* Threads may race on the state: that makes the draws less even and harms nothing. */
+/* Threads may race on the state, which makes the draws less even and does no other harm. */
 static uint64_t draw(void) {
   uint64_t x = state;
   x ^= x << 13;
@@ -175,7 +175,7 @@
     if (hit(BROKEN_RATE)) return fail(BROKEN_ERRNO);
     if (length > 1 && hit(SHORT_RATE)) length = 1 + draw() % (length - 1);
   } else if (is(fd, FOLDER_FILE) && hit(DISK_WRITE_RATE)) {
-    /* Half of it may have reached the file, as on a disk that runs full. */
+    /* Half of the data may reach the file, as on a disk that runs full. */
     if (length > 1 && draw() % 2) return real_write(fd, from, length / 2);
     return fail(DISK_ERRNO);
   }
@@ -194,7 +194,7 @@
   return at.tv_sec * 1000 + at.tv_nsec / 1000000;
 }
 
-/* Whether this start of a thread falls into the shortage that begins with the one of a number. */
+/* True while thread starts fail: from start number THREAD_FROM on, for THREAD_FAILS_MS after the first failure. */
 static int in_shortage(void) {
   int64_t number = __sync_add_and_fetch(&thread_starts, 1);
   if (control[THREAD_FROM] <= 0 || number < control[THREAD_FROM]) return 0;
@@ -218,7 +218,7 @@
   return fd;
 }
 
-/* In service the program's classes lie in one archive that stays open; a test's class path opens files for each. */
+/* In production the classes are in one archive that stays open; a test's class path opens a file for each class. */
 static int holds_classes(const char *path) {
   const char *dot = path ? strrchr(path, '.') : NULL;
   return dot && (strcmp(dot, ".class") == 0 || strcmp(dot, ".jar") == 0);
--- a/soak/src/test/java/gorseladder/soak/StartWithoutThreadsTest.java
+++ b/soak/src/test/java/gorseladder/soak/StartWithoutThreadsTest.java
@@ -63,7 +63,7 @@
   }
 
   @AfterAll
-  static void forget() {
+  static void clearPreload() {
     preload = null;
   }
 
