--- a/soak/src/main/java/gorseladder/soak/EdgeSoak.java
+++ b/soak/src/main/java/gorseladder/soak/EdgeSoak.java
@@ -7,8 +7,8 @@
 import gorseladder.testbed.RuleChecker;
 import gorseladder.testbed.Tap;
 import gorseladder.testbed.TestFleet;
-import gorseladder.testbed.WebhookClients.Kind;
 import gorseladder.testbed.WebhookClients;
+import gorseladder.testbed.WebhookClients.Kind;
 import gorseladder.testbed.script.DayScript;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -114,7 +114,8 @@
       boolean ended = senders.awaitTermination(30, TimeUnit.SECONDS);
       redeliver(clients);
       List<String> violations = new ArrayList<>(
-          RuleChecker.check(fleet.tap(), fleet.rules(), TestFleet.REPEAT_WINDOW_MICROS, SLACK_MICROS)
+          RuleChecker.check(
+                  fleet.tap(), fleet.rules(), TestFleet.REPEAT_WINDOW_MICROS, SLACK_MICROS)
               .stream()
               .map(Object::toString)
               .toList());
