--- a/testbed/src/main/java/gorseladder/testbed/rehearsal/CallBatch.java
+++ b/testbed/src/main/java/gorseladder/testbed/rehearsal/CallBatch.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Calls sent one after the other over as many connections as they need, whose answers are awaited together. */
+/** Sends calls over as many connections as needed and awaits their answers together. */
 final class CallBatch implements AutoCloseable {
-  /** Below the bound of the platform, so that none is turned away for it. */
-  private static final int A_CONNECTION = 16;
+  /** Below the limit of the platform for open requests on a connection, so that no call is refused for it. */
+  private static final int CALLS_PER_CONNECTION = 16;
 
   private final InetSocketAddress dispatcher;
   private final List<FastCgiClient> connections = new ArrayList<>();
@@ -21,16 +21,16 @@
     this.dispatcher = dispatcher;
   }
 
-  /** The connection for the next call. */
-  private FastCgiClient next() throws IOException {
-    if (sent % A_CONNECTION == 0) {
+  /** Returns the connection for the next call. */
+  private FastCgiClient nextConnection() throws IOException {
+    if (sent % CALLS_PER_CONNECTION == 0) {
       connections.add(new FastCgiClient(dispatcher));
     }
     return connections.get(connections.size() - 1);
   }
 
-  private int number(int call) {
-    return call % A_CONNECTION + 1;
+  private int requestId(int call) {
+    return call % CALLS_PER_CONNECTION + 1;
   }
 
   void send(Map<String, String> params) throws IOException {
@@ -38,23 +38,23 @@
   }
 
   void sendBody(Map<String, String> params, byte[] body) throws IOException {
-    next().send(number(sent), params, body);
+    nextConnection().send(requestId(sent), params, body);
     sent++;
   }
 
   void sendAndAbort(Map<String, String> params) throws IOException {
-    FastCgiClient connection = next();
-    connection.send(number(sent), params, new byte[100]);
-    connection.write(RecordWriter.abort(number(sent)));
+    FastCgiClient connection = nextConnection();
+    connection.send(requestId(sent), params, new byte[100]);
+    connection.write(RecordWriter.abort(requestId(sent)));
     sent++;
   }
 
-  /** How many have no answer after so long for each at the most. */
+  /** Returns the number of calls without an answer, after waiting for each at most the given time. */
   int unanswered(long millis) throws InterruptedException {
     int missing = 0;
     for (int call = 0; call < sent; call++) {
-      FastCgiClient connection = connections.get(call / A_CONNECTION);
-      missing += connection.await(number(call), millis) == null ? 1 : 0;
+      FastCgiClient connection = connections.get(call / CALLS_PER_CONNECTION);
+      missing += connection.await(requestId(call), millis) == null ? 1 : 0;
     }
     return missing;
   }
