--- a/app/src/main/java/gorseladder/app/bench/BenchCommand.java
+++ b/app/src/main/java/gorseladder/app/bench/BenchCommand.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** {@code bench}: measurements; none of them is part of the checks. */
+/** {@code bench}: groups the measurements, none of which is part of the checks. */
 @Command(
     name = "bench",
     mixinStandardHelpOptions = true,
--- a/app/src/main/java/gorseladder/app/bench/EdgeCalls.java
+++ b/app/src/main/java/gorseladder/app/bench/EdgeCalls.java
@@ -24,19 +24,29 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Signed calls to the edge of a fleet, or the same work straight at a runner, over kept connections. Any thread. */
+/**
+ * Sends signed calls to the edge of a fleet, or the same work directly to a runner, over keep-alive connections.
+ *
+ * <p>Thread-safe.
+ */
 final class EdgeCalls {
-  private static final int STACK = 256 << 10;
+  private static final int STACK_BYTES = 256 << 10;
 
   private final TestFleet fleet;
-  private final Map<String, ArrayDeque<HttpConnection>> idle = new ConcurrentHashMap<>();
+  private final Map<String, ArrayDeque<HttpConnection>> idleConnections = new ConcurrentHashMap<>();
 
   EdgeCalls(TestFleet fleet) {
     this.fleet = fleet;
   }
 
-  /** Status of one call: kind 0 to 2 through the edge, -1 straight to a runner; 0 where there was no answer. */
-  int status(int kind, Random random) {
+  /**
+   * Makes one call and returns its HTTP status.
+   *
+   * @param kind an index into {@link WebhookClients#kinds} for a call through the edge; -1 for a direct call to a
+   *     runner
+   * @return 0 without an answer
+   */
+  int call(int kind, Random random) {
     String function = "svc/f" + random.nextInt(16);
     try {
       if (kind < 0) {
@@ -47,20 +57,20 @@
             .with(Oip.request("m" + random.nextLong(), new byte[] {'{', '}'}));
         return exchange(runner.id(), Address.parse(runner.id()), request);
       }
-      WebhookClients.Kind k = WebhookClients.kinds(
+      WebhookClients.Kind webhook = WebhookClients.kinds(
               TestFleet.LATENCY_TARGET_MICROS,
               TestFleet.DEADLINE_MICROS,
               TestFleet.REPEAT_WINDOW_MICROS)
           .get(kind);
-      byte[] body = ("{\"type\":\"" + k.type() + "\",\"data\":{\"lanes\":16,\"function\":\""
+      byte[] body = ("{\"type\":\"" + webhook.type() + "\",\"data\":{\"lanes\":16,\"function\":\""
               + function + "\"}}")
           .getBytes();
       String id = "b" + Long.toHexString(random.nextLong()) + Long.toHexString(System.nanoTime());
-      long stamp = System.currentTimeMillis() / 1000;
+      long timestamp = System.currentTimeMillis() / 1000;
       byte[] request = HeadWriter.request("POST", TestFleet.PATH, "e")
           .field("webhook-id", id)
-          .field("webhook-timestamp", stamp)
-          .field("webhook-signature", Secret.parse(fleet.secret()).sign(id, stamp, body))
+          .field("webhook-timestamp", timestamp)
+          .field("webhook-signature", Secret.parse(fleet.secret()).sign(id, timestamp, body))
           .with(body);
       return exchange("edge", fleet.edgeAddress(0), request);
     } catch (IOException | BadMessage e) {
@@ -68,44 +78,46 @@
     }
   }
 
-  /** Calls a second that were served, with so many callers that each wait for their answer. */
-  double closed(int kind, int callers, int forSeconds) throws InterruptedException {
-    AtomicInteger done = new AtomicInteger();
+  /** Runs a closed loop, in which each caller waits for its answer, and returns the served calls per second. */
+  double closedLoopRate(int kind, int callers, int seconds) throws InterruptedException {
+    AtomicInteger served = new AtomicInteger();
     long began = Clock.micros();
-    long until = began + forSeconds * 1_000_000L;
+    long until = began + seconds * 1_000_000L;
     List<Thread> threads = new ArrayList<>();
     for (int i = 0; i < callers; i++) {
       Random random = new Random(i);
-      threads.add(Threads.start("caller", STACK, () -> {
+      threads.add(Threads.start("caller", STACK_BYTES, () -> {
         while (Clock.micros() < until) {
-          done.addAndGet(status(kind, random) == 200 ? 1 : 0);
+          served.addAndGet(call(kind, random) == 200 ? 1 : 0);
         }
       }));
     }
-    for (Thread t : threads) {
-      t.join();
+    for (Thread thread : threads) {
+      thread.join();
     }
-    return done.get() * 1e6 / (Clock.micros() - began);
+    return served.get() * 1e6 / (Clock.micros() - began);
   }
 
   private int exchange(String peer, InetSocketAddress address, byte[] request)
       throws IOException, BadMessage {
-    ArrayDeque<HttpConnection> kept = idle.computeIfAbsent(peer, p -> new ArrayDeque<>());
-    HttpConnection c;
-    synchronized (kept) {
-      c = kept.pollLast();
+    ArrayDeque<HttpConnection> pool =
+        idleConnections.computeIfAbsent(peer, p -> new ArrayDeque<>());
+    HttpConnection connection;
+    synchronized (pool) {
+      connection = pool.pollLast();
     }
-    c = c == null ? HttpConnection.open(address, 2_000, HttpLimits.INTERNAL) : c;
+    connection =
+        connection == null ? HttpConnection.open(address, 2_000, HttpLimits.INTERNAL) : connection;
     long until = Clock.micros() + 10_000_000;
-    c.write(request);
-    Head head = c.readResponse(until);
-    c.readBody(BodyParser.forResponse(head, HttpLimits.INTERNAL), until);
+    connection.write(request);
+    Head head = connection.readResponse(until);
+    connection.readBody(BodyParser.forResponse(head, HttpLimits.INTERNAL), until);
     if (head.keepsConnection()) {
-      synchronized (kept) {
-        kept.addLast(c);
+      synchronized (pool) {
+        pool.addLast(connection);
       }
     } else {
-      c.close();
+      connection.close();
     }
     return head.status();
   }
--- a/app/src/main/java/gorseladder/app/bench/ForecastBench.java
+++ b/app/src/main/java/gorseladder/app/bench/ForecastBench.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code bench forecast}: forecasts walked forward over drawn days; all figures are simulated. */
+/** {@code bench forecast}: walk-forward evaluation of the forecasts over random days; all figures are simulated. */
 @Command(
     name = "forecast",
     mixinStandardHelpOptions = true,
@@ -21,8 +21,8 @@
         "Walk forward over drawn days: what the chosen way and each way alone miss by, every function listed; then "
             + "time and memory against the number of functions. Simulated.")
 final class ForecastBench implements Runnable {
-  private static final int PER_DAY = 96;
-  private static final int TERMS_END = 28;
+  private static final int SLOTS_PER_DAY = 96;
+  private static final int TERMS_END_DAY = 28;
 
   @Option(
       names = "--days",
@@ -38,8 +38,8 @@
 
   @Override
   public void run() {
-    SlotCalendar told =
-        new SlotCalendar(PER_DAY, 0, Map.of(14, "term's end", TERMS_END, "term's end"));
+    SlotCalendar calendar =
+        new SlotCalendar(SLOTS_PER_DAY, 0, Map.of(14, "term's end", TERMS_END_DAY, "term's end"));
     Map<String, LongToDoubleFunction> rates = rates();
     System.out.printf(
         Locale.ROOT,
@@ -53,44 +53,53 @@
         "seasonal",
         "over",
         "spoke most");
-    walk(told, rates);
+    walkForward(calendar, rates);
     for (int functions : new int[] {100, 1_000, 4_000}) {
-      size(functions);
+      measureSize(functions);
     }
-    sketch();
+    measureSketch();
   }
 
-  private static double wave(long slot) {
-    double hour = 24.0 * (slot % PER_DAY) / PER_DAY;
-    double day = hour > 7 && hour < 18 ? Math.sin(Math.PI * (hour - 7) / 11) : 0.03;
-    return day * (slot / PER_DAY % 7 >= 5 ? 0.3 : 1);
+  private static double officeHoursShare(long slot) {
+    double hour = 24.0 * (slot % SLOTS_PER_DAY) / SLOTS_PER_DAY;
+    double dayShare = hour > 7 && hour < 18 ? Math.sin(Math.PI * (hour - 7) / 11) : 0.03;
+    return dayShare * (slot / SLOTS_PER_DAY % 7 >= 5 ? 0.3 : 1);
   }
 
   private static Map<String, LongToDoubleFunction> rates() {
-    Map<String, LongToDoubleFunction> r = new LinkedHashMap<>();
-    r.put("office-hours", slot -> 60 * wave(slot));
-    r.put("office-hours-quiet", slot -> 3 * wave(slot));
-    r.put("steady", slot -> 12);
-    r.put("timer", slot -> slot % 4 == 0 ? 5 : 0);
-    r.put("sparse", slot -> 0.03);
-    r.put("drifting", slot -> 25 + 20 * Math.sin(slot / 61.0 + 3 * Math.sin(slot / 307.0)));
-    r.put(
+    Map<String, LongToDoubleFunction> rates = new LinkedHashMap<>();
+    rates.put("office-hours", slot -> 60 * officeHoursShare(slot));
+    rates.put("office-hours-quiet", slot -> 3 * officeHoursShare(slot));
+    rates.put("steady", slot -> 12);
+    rates.put("timer", slot -> slot % 4 == 0 ? 5 : 0);
+    rates.put("sparse", slot -> 0.03);
+    rates.put("drifting", slot -> 25 + 20 * Math.sin(slot / 61.0 + 3 * Math.sin(slot / 307.0)));
+    rates.put(
         "terms-end",
         slot -> 30
-            * wave(slot)
-            * (slot / PER_DAY % 14 == 0 && slot / PER_DAY > 0 && slot / PER_DAY <= TERMS_END
+            * officeHoursShare(slot)
+            * (slot / SLOTS_PER_DAY % 14 == 0
+                    && slot / SLOTS_PER_DAY > 0
+                    && slot / SLOTS_PER_DAY <= TERMS_END_DAY
                 ? 5
                 : 1));
-    r.put(
+    rates.put(
         "terms-end-day-early",
-        slot ->
-            30 * wave(slot) * (slot / PER_DAY == 14 || slot / PER_DAY == TERMS_END - 1 ? 5 : 1));
-    r.put("surge-that-stays-away", slot -> 30 * wave(slot) * (slot / PER_DAY == 14 ? 5 : 1));
-    r.put("ten-times-from-day-20", slot -> 6 * wave(slot) * (slot / PER_DAY >= 20 ? 10 : 1));
-    r.put("a-tenth-from-day-20", slot -> 60 * wave(slot) * (slot / PER_DAY >= 20 ? 0.1 : 1));
-    r.put("renamed-old", slot -> slot / PER_DAY < 24 ? 40 * wave(slot) : 0);
-    r.put("renamed-new", slot -> slot / PER_DAY >= 24 ? 40 * wave(slot) : 0);
-    return r;
+        slot -> 30
+            * officeHoursShare(slot)
+            * (slot / SLOTS_PER_DAY == 14 || slot / SLOTS_PER_DAY == TERMS_END_DAY - 1 ? 5 : 1));
+    rates.put(
+        "surge-that-stays-away",
+        slot -> 30 * officeHoursShare(slot) * (slot / SLOTS_PER_DAY == 14 ? 5 : 1));
+    rates.put(
+        "ten-times-from-day-20",
+        slot -> 6 * officeHoursShare(slot) * (slot / SLOTS_PER_DAY >= 20 ? 10 : 1));
+    rates.put(
+        "a-tenth-from-day-20",
+        slot -> 60 * officeHoursShare(slot) * (slot / SLOTS_PER_DAY >= 20 ? 0.1 : 1));
+    rates.put("renamed-old", slot -> slot / SLOTS_PER_DAY < 24 ? 40 * officeHoursShare(slot) : 0);
+    rates.put("renamed-new", slot -> slot / SLOTS_PER_DAY >= 24 ? 40 * officeHoursShare(slot) : 0);
+    return rates;
   }
 
   private static int poisson(double mean, Random random) {
@@ -103,60 +112,62 @@
     return count;
   }
 
-  private void walk(SlotCalendar slots, Map<String, LongToDoubleFunction> rates) {
+  private void walkForward(SlotCalendar calendar, Map<String, LongToDoubleFunction> rates) {
     Random random = new Random(seed);
-    Forecasts forecasts = new Forecasts(slots, 4_096);
+    Forecasts forecasts = new Forecasts(calendar, 4_096);
     Map<String, double[]> sums = new LinkedHashMap<>();
-    Map<String, Map<String, Integer>> spoke = new HashMap<>();
-    Map<String, Map<String, Double>> alone = new HashMap<>();
-    Map<String, Map<String, Double>> before = new HashMap<>();
-    double keep = Math.pow(0.5, 1.0 / (2 * PER_DAY));
-    for (long slot = 0; slot < (long) days * PER_DAY; slot++) {
+    Map<String, Map<String, Integer>> timesUsed = new HashMap<>();
+    Map<String, Map<String, Double>> errors = new HashMap<>();
+    Map<String, Map<String, Double>> previousErrors = new HashMap<>();
+    double decayPerSlot = Math.pow(0.5, 1.0 / (2 * SLOTS_PER_DAY));
+    for (long slot = 0; slot < (long) days * SLOTS_PER_DAY; slot++) {
       Map<String, Integer> calls = new LinkedHashMap<>();
       for (Map.Entry<String, LongToDoubleFunction> e : rates.entrySet()) {
         calls.put(e.getKey(), poisson(e.getValue().applyAsDouble(slot), random));
       }
       for (String function : rates.keySet()) {
-        Forecasts.Forecast expected = forecasts.forecast(function, slot);
-        if (slot >= 7L * PER_DAY) {
+        Forecasts.Forecast forecast = forecasts.forecast(function, slot);
+        if (slot >= 7L * SLOTS_PER_DAY) {
           double[] sum = sums.computeIfAbsent(function, f -> new double[4]);
           sum[0] += calls.get(function);
-          sum[1] += Math.abs(expected.mean() - calls.get(function));
-          sum[2] += calls.get(function) > expected.upper() ? 1 : 0;
+          sum[1] += Math.abs(forecast.mean() - calls.get(function));
+          sum[2] += calls.get(function) > forecast.upper() ? 1 : 0;
           sum[3]++;
-          spoke
+          timesUsed
               .computeIfAbsent(function, f -> new HashMap<>())
-              .merge(expected.forecasterName(), 1, Integer::sum);
+              .merge(forecast.forecasterName(), 1, Integer::sum);
         }
-        before.put(function, forecasts.recentErrors(function));
+        previousErrors.put(function, forecasts.recentErrors(function));
       }
       forecasts.observe(slot, calls);
-      if (slot >= 7L * PER_DAY) {
-        // What a way missed by in this slot alone is what its fading sum grew by.
+      if (slot >= 7L * SLOTS_PER_DAY) {
+        // A forecaster's error in this slot is the growth of its exponentially decaying sum.
         rates
             .keySet()
             .forEach(function -> forecasts
                 .recentErrors(function)
-                .forEach((way, error) -> alone
+                .forEach((forecaster, error) -> errors
                     .computeIfAbsent(function, f -> new HashMap<>())
                     .merge(
-                        way,
-                        error - keep * before.get(function).getOrDefault(way, 0.0),
+                        forecaster,
+                        error
+                            - decayPerSlot
+                                * previousErrors.get(function).getOrDefault(forecaster, 0.0),
                         Double::sum)));
       }
     }
     sums.forEach((function, sum) ->
-        print(function, sum, alone.getOrDefault(function, Map.of()), spoke.get(function)));
+        print(function, sum, errors.getOrDefault(function, Map.of()), timesUsed.get(function)));
   }
 
   private static void print(
-      String function, double[] sum, Map<String, Double> alone, Map<String, Integer> spoke) {
-    StringBuilder ways = new StringBuilder();
-    for (String way : List.of("sparse", "last-slot", "last-week", "seasonal")) {
-      ways.append(
-          String.format(Locale.ROOT, " %9.2f", alone.getOrDefault(way, 0.0) / Math.max(1, sum[0])));
+      String function, double[] sum, Map<String, Double> errors, Map<String, Integer> timesUsed) {
+    StringBuilder errorColumns = new StringBuilder();
+    for (String forecaster : List.of("sparse", "last-slot", "last-week", "seasonal")) {
+      errorColumns.append(String.format(
+          Locale.ROOT, " %9.2f", errors.getOrDefault(forecaster, 0.0) / Math.max(1, sum[0])));
     }
-    String most = spoke.entrySet().stream()
+    String mostUsed = timesUsed.entrySet().stream()
         .max(Map.Entry.comparingByValue())
         .orElseThrow()
         .getKey();
@@ -166,63 +177,64 @@
         function,
         sum[0],
         sum[1] / Math.max(1, sum[0]),
-        ways,
+        errorColumns,
         100 * sum[2] / sum[3],
-        most);
+        mostUsed);
   }
 
-  /** Time of a slot and memory of a forecast, by the number of functions. */
-  private static void size(int functions) {
-    Forecasts forecasts = new Forecasts(new SlotCalendar(PER_DAY, 0, Map.of()), 4 * functions);
+  /** Measures time per slot and memory per function. */
+  private static void measureSize(int functions) {
+    Forecasts forecasts =
+        new Forecasts(new SlotCalendar(SLOTS_PER_DAY, 0, Map.of()), 4 * functions);
     Random random = new Random(3);
     List<String> names = new ArrayList<>();
     for (int i = 0; i < functions; i++) {
       names.add("svc/f" + i);
     }
     System.gc();
-    long before = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
-    int rounds = 2 * PER_DAY;
-    long took = 0;
+    long bytesBefore = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
+    int rounds = 2 * SLOTS_PER_DAY;
+    long tookNanos = 0;
     for (long slot = 0; slot < rounds; slot++) {
       Map<String, Integer> calls = new HashMap<>();
-      names.forEach(n -> calls.put(n, 3 + random.nextInt(5)));
+      names.forEach(name -> calls.put(name, 3 + random.nextInt(5)));
       long began = System.nanoTime();
       forecasts.observe(slot, calls);
-      for (String n : names) {
-        forecasts.forecast(n, slot + 1);
+      for (String name : names) {
+        forecasts.forecast(name, slot + 1);
       }
-      took += System.nanoTime() - began;
+      tookNanos += System.nanoTime() - began;
     }
     System.gc();
-    long after = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
+    long bytesAfter = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     System.out.printf(
         Locale.ROOT,
         "%5d functions: %.2f ms a slot to observe and expect all, %.1f KiB each%n",
         functions,
-        took / 1e6 / rounds,
-        (after - before) / 1024.0 / functions);
+        tookNanos / 1e6 / rounds,
+        (bytesAfter - bytesBefore) / 1024.0 / functions);
     if (forecasts.functions().size() != functions) {
       throw new IllegalStateException("functions were lost");
     }
   }
 
-  /** Entries that one-off names cost, with the sketch and with a table for each name. */
-  private static void sketch() {
-    Forecasts forecasts = new Forecasts(new SlotCalendar(PER_DAY, 0, Map.of()), 65_536);
-    Map<String, Integer> plain = new HashMap<>();
-    for (long slot = 0; slot < PER_DAY; slot++) {
+  /** Counts the table entries that names called once take, with the sketch and with an entry per name. */
+  private static void measureSketch() {
+    Forecasts forecasts = new Forecasts(new SlotCalendar(SLOTS_PER_DAY, 0, Map.of()), 65_536);
+    Map<String, Integer> plainCounts = new HashMap<>();
+    for (long slot = 0; slot < SLOTS_PER_DAY; slot++) {
       Map<String, Integer> calls = new HashMap<>();
       for (int i = 0; i < 1_000; i++) {
         calls.put("once/" + slot + "-" + i, 1);
       }
-      calls.forEach((name, count) -> plain.merge(name, count, Integer::sum));
+      calls.forEach((name, count) -> plainCounts.merge(name, count, Integer::sum));
       forecasts.observe(slot, calls);
     }
     System.out.printf(
         Locale.ROOT,
         "%d names wanted once: %d table entries with the sketch (1 MiB of counters), %d without%n",
-        plain.size(),
+        plainCounts.size(),
         forecasts.functions().size(),
-        plain.size());
+        plainCounts.size());
   }
 }
--- a/app/src/main/java/gorseladder/app/bench/HistoryBench.java
+++ b/app/src/main/java/gorseladder/app/bench/HistoryBench.java
@@ -13,7 +13,7 @@
 import org.h2.mvstore.MVStore;
 import picocli.CommandLine.Command;
 
-/** {@code bench history}: rows of history in the project's segments and in the embedded store, side by side. */
+/** {@code bench history}: compares history segments with the embedded store (MVStore). */
 @Command(
     name = "history",
     mixinStandardHelpOptions = true,
@@ -21,49 +21,49 @@
         "A day of minutes with 200 rows each, forced to disk each minute: own segments against MVStore.")
 final class HistoryBench implements Runnable {
   private static final int MINUTES = 1_440;
-  private static final int ROWS = 200;
+  private static final int ROWS_PER_MINUTE = 200;
 
   @Override
   public void run() {
     try {
       for (int round = 0; round < 2; round++) {
-        segments(round == 1);
-        embedded(round == 1);
+        measureSegments(round == 1);
+        measureMvStore(round == 1);
       }
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private static List<HistoryRow> minute(long minute) {
+  private static List<HistoryRow> rowsOf(long minute) {
     List<HistoryRow> rows = new ArrayList<>();
-    for (int i = 0; i < ROWS; i++) {
+    for (int i = 0; i < ROWS_PER_MINUTE; i++) {
       rows.add(new HistoryRow(
           minute, 1, "svc/function-" + i, "safe", "bygg-sektion", i, i, 0, 0, 0, 0, 0, 0));
     }
     return rows;
   }
 
-  private static void segments(boolean print) throws IOException {
+  private static void measureSegments(boolean print) throws IOException {
     Path directory = Files.createTempDirectory("gorseladder-bench-");
     History.Bounds bounds = new History.Bounds(4 << 20, 20_160, 1L << 30);
     long began = System.nanoTime();
     try (History history = History.open(directory, bounds)) {
-      for (long m = 0; m < MINUTES; m++) {
-        history.append(minute(m));
+      for (long minute = 0; minute < MINUTES; minute++) {
+        history.append(rowsOf(minute));
         history.force();
       }
     }
-    long wrote = System.nanoTime() - began;
+    long writeNanos = System.nanoTime() - began;
     began = System.nanoTime();
     int rows;
     try (History history = History.open(directory, bounds)) {
       rows = history.read(0, Integer.MAX_VALUE).rows().size();
     }
-    report(print, "segments", directory, rows, wrote, System.nanoTime() - began);
+    report(print, "segments", directory, rows, writeNanos, System.nanoTime() - began);
   }
 
-  private static void embedded(boolean print) throws IOException {
+  private static void measureMvStore(boolean print) throws IOException {
     Path directory = Files.createTempDirectory("gorseladder-bench-");
     String file = directory.resolve("history.mv").toString();
     long began = System.nanoTime();
@@ -71,15 +71,15 @@
     try (MVStore store =
         new MVStore.Builder().fileName(file).autoCommitDisabled().open()) {
       MVMap<Long, byte[]> map = store.openMap("rows");
-      for (long m = 0; m < MINUTES; m++) {
-        for (HistoryRow row : minute(m)) {
+      for (long minute = 0; minute < MINUTES; minute++) {
+        for (HistoryRow row : rowsOf(minute)) {
           map.append(next++, row.toBytes());
         }
         store.commit();
         store.sync();
       }
     }
-    long wrote = System.nanoTime() - began;
+    long writeNanos = System.nanoTime() - began;
     began = System.nanoTime();
     int rows = 0;
     try (MVStore store = new MVStore.Builder().fileName(file).readOnly().open()) {
@@ -87,16 +87,16 @@
         rows += bytes.length > 0 ? 1 : 0;
       }
     }
-    report(print, "MVStore", directory, rows, wrote, System.nanoTime() - began);
+    report(print, "MVStore", directory, rows, writeNanos, System.nanoTime() - began);
   }
 
   private static void report(
-      boolean print, String name, Path directory, int rows, long wrote, long read)
+      boolean print, String name, Path directory, int rows, long writeNanos, long readNanos)
       throws IOException {
     long bytes = 0;
     try (Stream<Path> files = Files.list(directory)) {
-      for (Path f : files.toList()) {
-        bytes += Files.size(f);
+      for (Path file : files.toList()) {
+        bytes += Files.size(file);
       }
     }
     if (print) {
@@ -106,8 +106,8 @@
               + " %.0f bytes a row%n",
           name,
           rows,
-          wrote / 1e6 / MINUTES,
-          read / 1e6,
+          writeNanos / 1e6 / MINUTES,
+          readNanos / 1e6,
           (double) bytes / rows);
     }
   }
--- a/app/src/main/java/gorseladder/app/bench/LatencyBench.java
+++ b/app/src/main/java/gorseladder/app/bench/LatencyBench.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code bench latency}: calls through an edge against the same calls straight to a runner, interleaved in one run. */
+/** {@code bench latency}: compares calls through an edge with direct calls to a runner, interleaved in one run. */
 @Command(
     name = "latency",
     mixinStandardHelpOptions = true,
@@ -24,7 +24,7 @@
         "Latency through one edge process against straight to a runner, at 10 %%, 50 %% and 90 %% of what the edge "
             + "holds. Open loop, from the intended send time.")
 final class LatencyBench implements Runnable {
-  private static final int STACK = 256 << 10;
+  private static final int STACK_BYTES = 256 << 10;
 
   @Option(
       names = "--seconds",
@@ -59,14 +59,14 @@
       DayScript script =
           DayScript.parse("edges = 1; runners = 16; lanes = 16; cores = 64; load = 20ms; work = "
               + workMillis + "ms;");
-      try (TestFleet started = new TestFleet(
+      try (TestFleet testFleet = new TestFleet(
           script,
           directory,
           true,
           line -> {},
           cpus == null ? List.of() : List.of("taskset", "-c", cpus))) {
-        fleet = started;
-        calls = new EdgeCalls(started);
+        fleet = testFleet;
+        calls = new EdgeCalls(testFleet);
         measure();
       }
     } catch (IOException | InterruptedException | DayScript.BadScript e) {
@@ -77,66 +77,67 @@
   private void measure() throws InterruptedException {
     for (int kind = 0; kind < 3; kind += 2) {
       String name = kind == 0 ? "safe" : "unsafe";
-      calls.closed(kind, 48, warmup);
-      long processor = fleet.edgeProcessorMicros(0);
-      double holds = calls.closed(kind, 48, seconds);
+      calls.closedLoopRate(kind, 48, warmup);
+      long processorBefore = fleet.edgeProcessorMicros(0);
+      double capacity = calls.closedLoopRate(kind, 48, seconds);
       System.out.printf(
           Locale.ROOT,
           "%s: the edge holds %.0f calls/s (48 callers, work %d ms), %.0f us of processor each%n",
           name,
-          holds,
+          capacity,
           workMillis,
-          (fleet.edgeProcessorMicros(0) - processor) / (holds * seconds));
-      for (double part : new double[] {0.1, 0.5, 0.9}) {
+          (fleet.edgeProcessorMicros(0) - processorBefore) / (capacity * seconds));
+      for (double fraction : new double[] {0.1, 0.5, 0.9}) {
         Histogram direct = new Histogram(60_000_000L, 3);
         Histogram edge = new Histogram(60_000_000L, 3);
         for (int round = 0; round < 3; round++) {
-          direct.add(open(-1, holds * part, seconds / 3.0));
-          edge.add(open(kind, holds * part, seconds / 3.0));
+          direct.add(openLoop(-1, capacity * fraction, seconds / 3.0));
+          edge.add(openLoop(kind, capacity * fraction, seconds / 3.0));
         }
         System.out.printf(
             Locale.ROOT,
             "  %3.0f %%  direct p50 %.2f p99 %.2f ms   edge p50 %.2f p99 %.2f ms   ratio %.2f and"
                 + " %.2f   (%d and %d calls)%n",
-            part * 100,
-            ms(direct, 50),
-            ms(direct, 99),
-            ms(edge, 50),
-            ms(edge, 99),
-            ms(edge, 50) / ms(direct, 50),
-            ms(edge, 99) / ms(direct, 99),
+            fraction * 100,
+            millisAt(direct, 50),
+            millisAt(direct, 99),
+            millisAt(edge, 50),
+            millisAt(edge, 99),
+            millisAt(edge, 50) / millisAt(direct, 50),
+            millisAt(edge, 99) / millisAt(direct, 99),
             direct.getTotalCount(),
             edge.getTotalCount());
       }
     }
   }
 
-  private static double ms(Histogram h, double percentile) {
-    return h.getValueAtPercentile(percentile) / 1000.0;
+  private static double millisAt(Histogram histogram, double percentile) {
+    return histogram.getValueAtPercentile(percentile) / 1000.0;
   }
 
-  /** Latencies of served calls, from the time each was meant for. */
-  private Histogram open(int kind, double rate, double forSeconds) throws InterruptedException {
+  /** Runs an open loop and returns the latencies of served calls in microseconds, from the intended send times. */
+  private Histogram openLoop(int kind, double rate, double durationSeconds)
+      throws InterruptedException {
     Histogram histogram = new Histogram(60_000_000L, 3);
-    ThreadPoolExecutor threads = Threads.pool("open", 4_000, STACK);
+    ThreadPoolExecutor threads = Threads.pool("open", 4_000, STACK_BYTES);
     Random random = new Random(7);
-    double at = Clock.micros() + 50_000;
-    double end = at + forSeconds * 1e6;
-    while (at < end) {
-      long wait = (long) at - Clock.micros();
-      if (wait > 0) {
-        Thread.sleep(wait / 1000, (int) (wait % 1000) * 1000);
+    double nextAt = Clock.micros() + 50_000;
+    double end = nextAt + durationSeconds * 1e6;
+    while (nextAt < end) {
+      long waitMicros = (long) nextAt - Clock.micros();
+      if (waitMicros > 0) {
+        Thread.sleep(waitMicros / 1000, (int) (waitMicros % 1000) * 1000);
       }
-      long meantFor = (long) at;
+      long intendedAt = (long) nextAt;
       long seed = random.nextLong();
       threads.execute(() -> {
-        if (calls.status(kind, new Random(seed)) == 200) {
+        if (calls.call(kind, new Random(seed)) == 200) {
           synchronized (histogram) {
-            histogram.recordValue(Math.max(1, Math.min(60_000_000L, Clock.micros() - meantFor)));
+            histogram.recordValue(Math.max(1, Math.min(60_000_000L, Clock.micros() - intendedAt)));
           }
         }
       });
-      at += -Math.log(1 - random.nextDouble()) * 1e6 / rate;
+      nextAt += -Math.log(1 - random.nextDouble()) * 1e6 / rate;
     }
     threads.shutdown();
     threads.awaitTermination(20, TimeUnit.SECONDS);
--- a/app/src/main/java/gorseladder/app/bench/LedgerBench.java
+++ b/app/src/main/java/gorseladder/app/bench/LedgerBench.java
@@ -18,47 +18,47 @@
 import java.util.concurrent.atomic.AtomicLong;
 import picocli.CommandLine.Command;
 
-/** {@code bench ledger}: what a durable record costs, with and without a flush to disk, by how many wait together. */
+/** {@code bench ledger}: cost of a durable record, with and without a flush to disk, by the number of writers. */
 @Command(
     name = "ledger",
     mixinStandardHelpOptions = true,
     description = "Cost of durable records and of group commit.")
 final class LedgerBench implements Runnable {
-  private static final long SECONDS = 3;
-  private static final long TOLERANCE = 300_000_000;
-  private static final int TABLE = 1_000_000;
-  private static final int[] OF_ONE_SECOND = {1_000, 10_000, 100_000, 1_000_000};
+  private static final long MEASURED_SECONDS = 3;
+  private static final long TOLERANCE_MICROS = 300_000_000;
+  private static final int ENTRIES = 1_000_000;
+  private static final int[] DELIVERIES_IN_ONE_SECOND = {1_000, 10_000, 100_000, 1_000_000};
 
   @Override
   public void run() {
     try {
       for (boolean sync : new boolean[] {false, true}) {
         for (int writers : new int[] {1, 8, 64}) {
-          measure(sync, writers);
+          measureWriters(sync, writers);
         }
       }
-      for (int records : OF_ONE_SECOND) {
-        ofOneSecond(records);
+      for (int records : DELIVERIES_IN_ONE_SECOND) {
+        measureSameSecond(records);
       }
-      opening();
-      tables();
+      measureOpening();
+      compareTables();
     } catch (IOException | InterruptedException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  /** A message and its signed request, as a delivery writes them: all time stamps of one whole second. */
-  private static void ofOneSecond(int records) throws IOException {
+  /** Measures records of webhook deliveries (message and signed request) whose timestamps lie in the same second. */
+  private static void measureSameSecond(int records) throws IOException {
     try (Ledger ledger = Ledger.open(
         Files.createTempDirectory("gorseladder-bench-").resolve("ledger"), false, 5_000_000)) {
-      long second = Clock.wallMicros() / 1_000_000 * 1_000_000;
-      long tenth = 0;
+      long secondAt = Clock.wallMicros() / 1_000_000 * 1_000_000;
+      long lastTenthBegan = 0;
       long began = Clock.micros();
       for (int n = 0; n < records; n++) {
         if (n == records - records / 10) {
-          tenth = Clock.micros();
+          lastTenthBegan = Clock.micros();
         }
-        long taken = second + n % 1_000_000;
+        long acceptedAt = secondAt + n % 1_000_000;
         String message = "/hooks/portal msg_" + n;
         String request = "/hooks/portal v1," + n * 0x9E3779B97F4A7C15L;
         if (ledger.get(message) != null || ledger.containsRequest(request)) {
@@ -69,15 +69,15 @@
             new LedgerEntry(
                 Stage.ACCEPTED,
                 false,
-                taken,
+                acceptedAt,
                 0,
-                taken + 86_400_000_000L,
+                acceptedAt + 86_400_000_000L,
                 new byte[16],
                 "",
                 0,
                 null),
             request,
-            second + 2 * TOLERANCE);
+            secondAt + 2 * TOLERANCE_MICROS);
         if (n % 32 == 0) {
           ledger.await(ticket);
         }
@@ -88,31 +88,31 @@
           "%,9d deliveries of one second: %5.1f us each, the last tenth %5.1f us%n",
           records,
           (ended - began) / (double) records,
-          (ended - tenth) / (records / 10.0));
+          (ended - lastTenthBegan) / (records / 10.0));
     }
   }
 
-  /** What reading a million messages back costs at a start. */
-  private static void opening() throws IOException {
+  /** Measures how long it takes to open a ledger of a million messages. */
+  private static void measureOpening() throws IOException {
     Path folder = Files.createTempDirectory("gorseladder-bench-").resolve("ledger");
-    long wall = Clock.wallMicros();
+    long wallMicros = Clock.wallMicros();
     try (Ledger ledger = Ledger.open(folder, false, 5_000_000)) {
       long ticket = 0;
-      for (int n = 0; n < TABLE; n++) {
+      for (int n = 0; n < ENTRIES; n++) {
         ticket = ledger.put(
             "/hooks/portal msg_" + n,
             new LedgerEntry(
                 Stage.SERVED,
                 true,
-                wall,
-                wall,
-                wall + 86_400_000_000L,
+                wallMicros,
+                wallMicros,
+                wallMicros + 86_400_000_000L,
                 new byte[16],
                 "served",
                 200,
                 new byte[200]),
             "request" + n,
-            wall + 2 * TOLERANCE);
+            wallMicros + 2 * TOLERANCE_MICROS);
         if (n % 10_000 == 0) {
           ledger.await(ticket);
         }
@@ -129,69 +129,67 @@
     }
   }
 
-  /**
-   * The table of digests beside the plain map of boxed keys: a million put, then a million looked up that are not
-   * there.
-   */
-  private static void tables() {
+  /** Compares the digest table with a HashMap of boxed keys: a million insertions, then a million lookups that miss. */
+  private static void compareTables() {
     for (int round = 0; round < 3; round++) {
       SplittableRandom random = new SplittableRandom(1);
-      long before = used();
+      long bytesBefore = usedBytes();
       long began = Clock.micros();
       DigestTable table = new DigestTable();
-      for (int i = 0; i < TABLE; i++) {
+      for (int i = 0; i < ENTRIES; i++) {
         table.put(random.nextLong(), random.nextLong(), i);
       }
-      long put = Clock.micros() - began;
+      long putMicros = Clock.micros() - began;
       began = Clock.micros();
       int found = 0;
-      for (int i = 0; i < TABLE; i++) {
+      for (int i = 0; i < ENTRIES; i++) {
         found += table.get(random.nextLong(), random.nextLong()) >= 0 ? 1 : 0;
       }
-      long missed = Clock.micros() - began;
-      long bytes = used() - before;
+      long missMicros = Clock.micros() - began;
+      long bytes = usedBytes() - bytesBefore;
       random = new SplittableRandom(1);
-      before = used();
+      bytesBefore = usedBytes();
       began = Clock.micros();
-      Map<Key, Integer> plain = new HashMap<>();
-      for (int i = 0; i < TABLE; i++) {
-        plain.put(new Key(random.nextLong(), random.nextLong()), i);
+      Map<Key, Integer> hashMap = new HashMap<>();
+      for (int i = 0; i < ENTRIES; i++) {
+        hashMap.put(new Key(random.nextLong(), random.nextLong()), i);
       }
-      long plainPut = Clock.micros() - began;
+      long hashMapPutMicros = Clock.micros() - began;
       began = Clock.micros();
-      for (int i = 0; i < TABLE; i++) {
-        found += plain.containsKey(new Key(random.nextLong(), random.nextLong())) ? 1 : 0;
+      for (int i = 0; i < ENTRIES; i++) {
+        found += hashMap.containsKey(new Key(random.nextLong(), random.nextLong())) ? 1 : 0;
       }
-      long plainMissed = Clock.micros() - began;
-      long plainBytes = used() - before;
+      long hashMapMissMicros = Clock.micros() - began;
+      long hashMapBytes = usedBytes() - bytesBefore;
       if (round == 2) {
         System.out.printf(
             Locale.ROOT,
             "a million digests (%d found): table %d ns a put, %d ns a miss, %d bytes each; HashMap %d, %d, %d%n",
-            found + table.size() + plain.size() - 2 * TABLE,
-            put * 1000 / TABLE,
-            missed * 1000 / TABLE,
-            bytes / TABLE,
-            plainPut * 1000 / TABLE,
-            plainMissed * 1000 / TABLE,
-            plainBytes / TABLE);
+            found + table.size() + hashMap.size() - 2 * ENTRIES,
+            putMicros * 1000 / ENTRIES,
+            missMicros * 1000 / ENTRIES,
+            bytes / ENTRIES,
+            hashMapPutMicros * 1000 / ENTRIES,
+            hashMapMissMicros * 1000 / ENTRIES,
+            hashMapBytes / ENTRIES);
       }
     }
   }
 
   private record Key(long first, long second) {}
 
-  private static long used() {
+  private static long usedBytes() {
     System.gc();
     return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
   }
 
-  private static void measure(boolean sync, int writers) throws IOException, InterruptedException {
+  private static void measureWriters(boolean sync, int writers)
+      throws IOException, InterruptedException {
     try (Ledger ledger = Ledger.open(
         Files.createTempDirectory("gorseladder-bench-").resolve("ledger"), sync, 5_000_000)) {
       AtomicLong records = new AtomicLong();
-      AtomicLong waited = new AtomicLong();
-      long until = Clock.micros() + SECONDS * 1_000_000;
+      AtomicLong waitedMicros = new AtomicLong();
+      long until = Clock.micros() + MEASURED_SECONDS * 1_000_000;
       List<Thread> threads = new ArrayList<>();
       for (int i = 0; i < writers; i++) {
         int writer = i;
@@ -211,7 +209,7 @@
                       "",
                       0,
                       null)));
-              waited.addAndGet(Clock.micros() - began);
+              waitedMicros.addAndGet(Clock.micros() - began);
               records.incrementAndGet();
             }
           } catch (IOException e) {
@@ -219,16 +217,16 @@
           }
         }));
       }
-      for (Thread t : threads) {
-        t.join();
+      for (Thread thread : threads) {
+        thread.join();
       }
       System.out.printf(
           Locale.ROOT,
           "%-9s %2d writers: %6.0f records/s, %.3f ms wait each, %.1f records a commit%n",
           sync ? "sync" : "no sync",
           writers,
-          records.get() / (double) SECONDS,
-          waited.get() / 1000.0 / records.get(),
+          records.get() / (double) MEASURED_SECONDS,
+          waitedMicros.get() / 1000.0 / records.get(),
           (double) records.get() / Math.max(1, ledger.commitCount()));
     }
   }
--- a/app/src/main/java/gorseladder/app/bench/OrderBench.java
+++ b/app/src/main/java/gorseladder/app/bench/OrderBench.java
@@ -10,7 +10,10 @@
 import java.util.TreeMap;
 import picocli.CommandLine.Command;
 
-/** {@code bench order}: ways to a shared order of workers, by balance, movement and time; all workers of one weight. */
+/**
+ * {@code bench order}: compares algorithms for a shared order of workers by balance, movement and time. All workers
+ * have the same weight.
+ */
 @Command(
     name = "order",
     mixinStandardHelpOptions = true,
@@ -18,76 +21,78 @@
         "Ways to an order of workers that dispatchers share: spread of first places and movement at 240 "
             + "workers, time for the first four at 24,000.")
 final class OrderBench implements Runnable {
-  private static final int SMALL = 240;
-  private static final int LARGE = 24_000;
-  private static final int FUNCTIONS = 100_000;
-  private static final int TIMED = 2_000;
-  private static final int WANTED = 4;
+  private static final int SMALL_FLEET = 240;
+  private static final int LARGE_FLEET = 24_000;
+  private static final int FUNCTION_COUNT = 100_000;
+  private static final int TIMED_CALLS = 2_000;
+  private static final int TIMED_WORKERS = 4;
   private static final int VIRTUAL_NODES = 100;
   private static final int ZONES = 19;
   private static final int PROBES = 64;
 
-  /** One way to an order. Workers and functions are numbers, hashed alike. */
-  private interface Way {
-    /** The first few workers of a function. */
+  /** An algorithm for the order. Workers and functions are numbers that are hashed. */
+  private interface Ordering {
+    /** The first {@code count} workers of a function. */
     int[] first(long function, int count);
   }
 
-  /** Makes a way for so many workers. */
-  private interface Maker {
-    Way make(int workers);
+  /** Creates an ordering of a number of workers. */
+  private interface OrderingFactory {
+    Ordering create(int workers);
   }
 
   @Override
   public void run() {
-    Map<String, Maker> makers = new TreeMap<>();
-    makers.put("1 rendezvous over all, the former", OrderBench::rendezvous);
-    makers.put("2 ring, 100 virtual nodes a worker", OrderBench::ring);
-    makers.put("3 rendezvous over 19 zones, then workers", OrderBench::zones);
-    makers.put("4 multi-probe, 64 probes", OrderBench::multiProbe);
-    makers.put("5 multi-probe, stretched (SharedOrder)", OrderBench::shared);
-    makers.forEach(OrderBench::measure);
-  }
-
-  private static void measure(String name, Maker maker) {
-    Way before = maker.make(SMALL);
-    Way after = maker.make(SMALL + 1);
-    int[] firsts = new int[SMALL];
+    Map<String, OrderingFactory> factories = new TreeMap<>();
+    factories.put("1 rendezvous over all, the former", OrderBench::rendezvous);
+    factories.put("2 ring, 100 virtual nodes a worker", OrderBench::ring);
+    factories.put("3 rendezvous over 19 zones, then workers", OrderBench::zones);
+    factories.put("4 multi-probe, 64 probes", OrderBench::multiProbe);
+    factories.put("5 multi-probe, stretched (SharedOrder)", OrderBench::shared);
+    factories.forEach(OrderBench::measure);
+  }
+
+  private static void measure(String name, OrderingFactory factory) {
+    Ordering before = factory.create(SMALL_FLEET);
+    Ordering after = factory.create(SMALL_FLEET + 1);
+    int[] firstPlaces = new int[SMALL_FLEET];
     int movedElsewhere = 0;
-    int taken = 0;
-    for (int function = 0; function < FUNCTIONS; function++) {
-      int was = before.first(hash(function), 1)[0];
-      int is = after.first(hash(function), 1)[0];
-      firsts[was]++;
-      taken += is == SMALL ? 1 : 0;
-      movedElsewhere += is != SMALL && is != was ? 1 : 0;
+    int movedToNew = 0;
+    for (int function = 0; function < FUNCTION_COUNT; function++) {
+      int firstBefore = before.first(hash(function), 1)[0];
+      int firstAfter = after.first(hash(function), 1)[0];
+      firstPlaces[firstBefore]++;
+      movedToNew += firstAfter == SMALL_FLEET ? 1 : 0;
+      movedElsewhere += firstAfter != SMALL_FLEET && firstAfter != firstBefore ? 1 : 0;
     }
-    double mean = FUNCTIONS / (double) SMALL;
-    double spread = Math.sqrt(
-        Arrays.stream(firsts).mapToDouble(n -> (n / mean - 1) * (n / mean - 1)).sum() / SMALL);
+    double mean = FUNCTION_COUNT / (double) SMALL_FLEET;
+    double spread = Math.sqrt(Arrays.stream(firstPlaces)
+            .mapToDouble(n -> (n / mean - 1) * (n / mean - 1))
+            .sum()
+        / SMALL_FLEET);
     System.out.printf(
         Locale.ROOT,
         "%-42s share: deviation %.3f, least %.2f, most %.2f; a worker joins: takes %.2f of its share, "
             + "moves %.2f of it between others; first %d of %d: %.1f us%n",
         name,
         spread,
-        Arrays.stream(firsts).min().orElse(0) / mean,
-        Arrays.stream(firsts).max().orElse(0) / mean,
-        taken * (SMALL + 1.0) / FUNCTIONS,
-        movedElsewhere * (SMALL + 1.0) / FUNCTIONS,
-        WANTED,
-        LARGE,
-        micros(maker.make(LARGE)));
+        Arrays.stream(firstPlaces).min().orElse(0) / mean,
+        Arrays.stream(firstPlaces).max().orElse(0) / mean,
+        movedToNew * (SMALL_FLEET + 1.0) / FUNCTION_COUNT,
+        movedElsewhere * (SMALL_FLEET + 1.0) / FUNCTION_COUNT,
+        TIMED_WORKERS,
+        LARGE_FLEET,
+        microsPerCall(factory.create(LARGE_FLEET)));
   }
 
-  private static double micros(Way way) {
+  private static double microsPerCall(Ordering ordering) {
     int sum = 0;
-    long begun = 0;
-    for (int call = -TIMED / 2; call < TIMED; call++) {
-      begun = call == 0 ? System.nanoTime() : begun;
-      sum += way.first(hash(call + FUNCTIONS), WANTED)[0];
+    long began = 0;
+    for (int call = -TIMED_CALLS / 2; call < TIMED_CALLS; call++) {
+      began = call == 0 ? System.nanoTime() : began;
+      sum += ordering.first(hash(call + FUNCTION_COUNT), TIMED_WORKERS)[0];
     }
-    return sum < 0 ? 0 : (System.nanoTime() - begun) / 1e3 / TIMED;
+    return sum < 0 ? 0 : (System.nanoTime() - began) / 1e3 / TIMED_CALLS;
   }
 
   private static long hash(long number) {
@@ -96,7 +101,7 @@
     return mixed ^ mixed >>> 32;
   }
 
-  private static double unit(long one, long other) {
+  private static double unitHash(long one, long other) {
     return (hash(one ^ other) >>> 11) / (double) (1L << 53);
   }
 
@@ -122,18 +127,18 @@
     return points;
   }
 
-  private static Way rendezvous(int workers) {
+  private static Ordering rendezvous(int workers) {
     long[] points = points(workers);
     return (function, count) -> {
       double[] keys = new double[workers];
       for (int worker = 0; worker < workers; worker++) {
-        keys[worker] = unit(function, points[worker]);
+        keys[worker] = unitHash(function, points[worker]);
       }
       return lowest(keys, count);
     };
   }
 
-  private static Way ring(int workers) {
+  private static Ordering ring(int workers) {
     TreeMap<Long, Integer> nodes = new TreeMap<>();
     long[] points = points(workers);
     for (int worker = 0; worker < workers; worker++) {
@@ -158,24 +163,24 @@
     };
   }
 
-  private static Way zones(int workers) {
+  private static Ordering zones(int workers) {
     long[] points = points(workers);
     return (function, count) -> {
       double[] zoneKeys = new double[ZONES];
       for (int zone = 0; zone < ZONES; zone++) {
         double weight = (workers - zone + ZONES - 1) / ZONES;
-        zoneKeys[zone] = -Math.log(unit(function, zone)) / weight;
+        zoneKeys[zone] = -Math.log(unitHash(function, zone)) / weight;
       }
       int zone = lowest(zoneKeys, 1)[0];
       double[] keys = new double[(workers - zone + ZONES - 1) / ZONES];
       for (int i = 0; i < keys.length; i++) {
-        keys[i] = unit(function, points[zone + i * ZONES]);
+        keys[i] = unitHash(function, points[zone + i * ZONES]);
       }
       return Arrays.stream(lowest(keys, count)).map(i -> zone + i * ZONES).toArray();
     };
   }
 
-  private static Way multiProbe(int workers) {
+  private static Ordering multiProbe(int workers) {
     TreeMap<Long, Integer> nodes = new TreeMap<>();
     long[] points = points(workers);
     for (int worker = 0; worker < workers; worker++) {
@@ -213,7 +218,7 @@
     }
   }
 
-  private static Way shared(int workers) {
+  private static Ordering shared(int workers) {
     SharedOrder<Worker> order = new SharedOrder<>();
     List<Worker> all = new ArrayList<>();
     for (int worker = 0; worker < workers; worker++) {
--- a/app/src/main/java/gorseladder/app/bench/OverloadBench.java
+++ b/app/src/main/java/gorseladder/app/bench/OverloadBench.java
@@ -25,8 +25,8 @@
 import picocli.CommandLine.Option;
 
 /**
- * {@code bench overload}: answers within the aim against calls offered, with admission, with the fixed bound, with
- * neither.
+ * {@code bench overload}: goodput (answers within the latency target) by offered load, with adaptive admission, with a
+ * fixed bound on calls and with neither.
  */
 @Command(
     name = "overload",
@@ -34,18 +34,18 @@
     description =
         "Goodput of one edge process against offered load, and how it recovers from ten times the load.")
 final class OverloadBench implements Runnable {
-  private static final int STACK = 192 << 10;
-  private static final int CALLERS = 1_800;
-  private static final double[] MULTIPLES = {0.5, 0.9, 1.2, 2, 4, 7, 10};
-  /** How each edge is told to take calls. */
-  private static final Map<String, String> WAYS = new LinkedHashMap<>();
+  private static final int STACK_BYTES = 192 << 10;
+  private static final int MAX_CALLERS = 1_800;
+  private static final double[] LOAD_MULTIPLES = {0.5, 0.9, 1.2, 2, 4, 7, 10};
+  /** The admission settings of the edge, by the name that is printed. */
+  private static final Map<String, String> ADMISSION_SETTINGS = new LinkedHashMap<>();
 
   static {
-    WAYS.put("admission", "limits { max_calls: 1000 max_connections: 2000 }\n");
-    WAYS.put(
+    ADMISSION_SETTINGS.put("admission", "limits { max_calls: 1000 max_connections: 2000 }\n");
+    ADMISSION_SETTINGS.put(
         "fixed bound",
         "adaptive_admission: false limits { max_calls: 1000 max_connections: 2000 }\n");
-    WAYS.put(
+    ADMISSION_SETTINGS.put(
         "neither", "adaptive_admission: false limits { max_calls: 20000 max_connections: 2000 }\n");
   }
 
@@ -91,34 +91,36 @@
           .xAxisTitle("offered load, times what it holds")
           .yAxisTitle("answers within the aim, calls/s")
           .build();
-      for (Map.Entry<String, String> way : WAYS.entrySet()) {
-        List<Double> goods = new ArrayList<>();
-        try (TestFleet fleet = fleet(way.getValue())) {
+      for (Map.Entry<String, String> admission : ADMISSION_SETTINGS.entrySet()) {
+        List<Double> goodputs = new ArrayList<>();
+        try (TestFleet fleet = fleet(admission.getValue())) {
           EdgeCalls calls = new EdgeCalls(fleet);
-          calls.closed(0, 16 * runners, 8);
-          holds = holds > 0 ? holds : calls.closed(0, 16 * runners, seconds);
-          for (double multiple : MULTIPLES) {
-            Run run = open(calls, new double[] {multiple * holds}, seconds);
-            goods.add(run.good(0, seconds) / (double) seconds);
+          calls.closedLoopRate(0, 16 * runners, 8);
+          holds = holds > 0 ? holds : calls.closedLoopRate(0, 16 * runners, seconds);
+          for (double multiple : LOAD_MULTIPLES) {
+            LoopResult result = openLoop(calls, new double[] {multiple * holds}, seconds);
+            goodputs.add(result.onTime(0, seconds) / (double) seconds);
             System.out.printf(
                 Locale.ROOT,
                 "%-11s x%4.1f: offered %6.0f/s, within the aim %5.0f/s (%.2f), refused %6.0f/s, late %5.0f/s,"
                     + " failed %5.0f/s, unsent or unanswered %5.0f/s%n",
-                way.getKey(),
+                admission.getKey(),
                 multiple,
                 multiple * holds,
-                goods.get(goods.size() - 1),
-                goods.get(goods.size() - 1) / holds,
-                run.refused.get() / (double) seconds,
-                run.servedLate.get() / (double) seconds,
-                (run.late.get() - run.servedLate.get()) / (double) seconds,
-                run.unanswered.get() / (double) seconds);
+                goodputs.get(goodputs.size() - 1),
+                goodputs.get(goodputs.size() - 1) / holds,
+                result.refused.get() / (double) seconds,
+                result.servedLate.get() / (double) seconds,
+                (result.late.get() - result.servedLate.get()) / (double) seconds,
+                result.unanswered.get() / (double) seconds);
           }
-          recovery(way.getKey(), calls);
+          measureRecovery(admission.getKey(), calls);
         }
-        double[] x = MULTIPLES.clone();
+        double[] x = LOAD_MULTIPLES.clone();
         chart.addSeries(
-            way.getKey(), x, goods.stream().mapToDouble(Double::doubleValue).toArray());
+            admission.getKey(),
+            x,
+            goodputs.stream().mapToDouble(Double::doubleValue).toArray());
       }
       if (plot != null) {
         BitmapEncoder.saveBitmap(chart, plot.toString(), BitmapEncoder.BitmapFormat.PNG);
@@ -128,7 +130,7 @@
     }
   }
 
-  private TestFleet fleet(String more)
+  private TestFleet fleet(String moreSettings)
       throws IOException, InterruptedException, DayScript.BadScript {
     DayScript script = DayScript.parse("edges = 1; runners = " + runners
         + "; lanes = 16; cores = 64; load = 20ms; work = " + workMillis + "ms;");
@@ -138,79 +140,80 @@
         true,
         line -> {},
         cpus == null ? List.of() : List.of("taskset", "-c", cpus),
-        more);
+        moreSettings);
   }
 
-  /** Half the load, ten times as much for as long, half again: answers within the aim by second. */
-  private void recovery(String way, EdgeCalls calls) throws InterruptedException {
-    Run run = open(calls, new double[] {holds / 2, holds * 10, holds / 2}, 8);
+  /** Prints the goodput of each second while the edge gets half its capacity, ten times its capacity and half again. */
+  private void measureRecovery(String admission, EdgeCalls calls) throws InterruptedException {
+    LoopResult result = openLoop(calls, new double[] {holds / 2, holds * 10, holds / 2}, 8);
     StringBuilder line = new StringBuilder();
-    for (int s = 0; s < 24; s++) {
-      line.append(s % 8 == 0 ? " | " : " ").append(run.good(s, s + 1));
+    for (int second = 0; second < 24; second++) {
+      line.append(second % 8 == 0 ? " | " : " ").append(result.onTime(second, second + 1));
     }
-    System.out.printf(Locale.ROOT, "%-11s half, ten times, half, by second:%s%n", way, line);
+    System.out.printf(Locale.ROOT, "%-11s half, ten times, half, by second:%s%n", admission, line);
   }
 
-  /** What came of an open loop; a call counts in the second it was meant for. */
-  private static final class Run {
-    private final AtomicIntegerArray goodBySecond = new AtomicIntegerArray(600);
+  /** The results of an open loop; a call counts in the second of its intended send time. */
+  private static final class LoopResult {
+    private final AtomicIntegerArray onTimeBySecond = new AtomicIntegerArray(600);
     private final AtomicInteger refused = new AtomicInteger();
     private final AtomicInteger late = new AtomicInteger();
     private final AtomicInteger servedLate = new AtomicInteger();
     private final AtomicInteger unanswered = new AtomicInteger();
 
-    int good(int from, int to) {
+    int onTime(int from, int to) {
       int sum = 0;
-      for (int s = from; s < to; s++) {
-        sum += goodBySecond.get(s);
+      for (int second = from; second < to; second++) {
+        sum += onTimeBySecond.get(second);
       }
       return sum;
     }
   }
 
-  /** Calls at these rates, each for so many seconds; latency counts from the time a call was meant for. */
-  private static Run open(EdgeCalls calls, double[] rates, int eachSeconds)
+  /** Runs an open loop at each rate in turn; latency counts from the intended send time of a call. */
+  private static LoopResult openLoop(EdgeCalls calls, double[] rates, int secondsPerRate)
       throws InterruptedException {
-    Run run = new Run();
-    ThreadPoolExecutor threads = Threads.pool("open", CALLERS, STACK);
+    LoopResult result = new LoopResult();
+    ThreadPoolExecutor threads = Threads.pool("open", MAX_CALLERS, STACK_BYTES);
     Random random = new Random(7);
     double began = Clock.micros() + 50_000;
-    double at = began;
+    double nextAt = began;
     for (int i = 0; i < rates.length; i++) {
-      double end = began + (i + 1) * eachSeconds * 1e6;
-      while (at < end) {
-        long wait = (long) at - Clock.micros();
-        if (wait > 500) {
-          Thread.sleep(wait / 1000, (int) (wait % 1000) * 1000);
+      double end = began + (i + 1) * secondsPerRate * 1e6;
+      while (nextAt < end) {
+        long waitMicros = (long) nextAt - Clock.micros();
+        if (waitMicros > 500) {
+          Thread.sleep(waitMicros / 1000, (int) (waitMicros % 1000) * 1000);
         }
-        long meantFor = (long) at;
-        int second = (int) ((at - began) / 1e6);
+        long intendedAt = (long) nextAt;
+        int second = (int) ((nextAt - began) / 1e6);
         long seed = random.nextLong();
         try {
-          threads.execute(() -> one(calls, run, meantFor, second, seed));
+          threads.execute(() -> callOnce(calls, result, intendedAt, second, seed));
         } catch (RejectedExecutionException e) {
-          run.unanswered.incrementAndGet();
+          result.unanswered.incrementAndGet();
         }
-        at += -Math.log(1 - random.nextDouble()) * 1e6 / rates[i];
+        nextAt += -Math.log(1 - random.nextDouble()) * 1e6 / rates[i];
       }
     }
     threads.shutdown();
     threads.awaitTermination(20, TimeUnit.SECONDS);
-    return run;
+    return result;
   }
 
-  private static void one(EdgeCalls calls, Run run, long meantFor, int second, long seed) {
-    int status = calls.status(0, new Random(seed));
-    long took = Clock.micros() - meantFor;
-    if (status == 200 && took <= TestFleet.LATENCY_TARGET_MICROS) {
-      run.goodBySecond.incrementAndGet(second);
+  private static void callOnce(
+      EdgeCalls calls, LoopResult result, long intendedAt, int second, long seed) {
+    int status = calls.call(0, new Random(seed));
+    long tookMicros = Clock.micros() - intendedAt;
+    if (status == 200 && tookMicros <= TestFleet.LATENCY_TARGET_MICROS) {
+      result.onTimeBySecond.incrementAndGet(second);
     } else if (status == 503 || status == 429) {
-      run.refused.incrementAndGet();
+      result.refused.incrementAndGet();
     } else if (status == 0) {
-      run.unanswered.incrementAndGet();
+      result.unanswered.incrementAndGet();
     } else {
-      run.late.incrementAndGet();
-      run.servedLate.addAndGet(status == 200 ? 1 : 0);
+      result.late.incrementAndGet();
+      result.servedLate.addAndGet(status == 200 ? 1 : 0);
     }
   }
 }
--- a/app/src/main/java/gorseladder/app/bench/PlacementBench.java
+++ b/app/src/main/java/gorseladder/app/bench/PlacementBench.java
@@ -29,7 +29,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code bench placement}: the placement against an exact solver on small fleets, and its time on large ones. */
+/** {@code bench placement}: compares the placement with an exact solver on small fleets and times it on large ones. */
 @Command(
     name = "placement",
     mixinStandardHelpOptions = true,
@@ -37,9 +37,9 @@
         "Placement against an exact solver (ojAlgo) on small drawn fleets; time of forecasts and plans on large ones.")
 final class PlacementBench implements Runnable {
   private static final Prices PRICES = new Prices(0.1, 0.004, 0);
-  private static final double STRETCH = 900;
-  private static final double KEEP = 10;
-  private static final int MOST_COPIES = 3;
+  private static final double PERIOD_SECONDS = 900;
+  private static final double KEEP_ALIVE_SECONDS = 10;
+  private static final int MAX_COPIES = 3;
   private static final long SOLVER_MILLIS = 20_000;
 
   @Option(
@@ -53,33 +53,37 @@
 
   @Override
   public void run() {
-    gap();
+    compareWithSolver();
     try {
-      times();
+      measureTimes();
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private static List<WorkerCapacity> hosts(int count, double freeMb, int loads) {
-    List<WorkerCapacity> hosts = new ArrayList<>();
+  private static List<WorkerCapacity> workers(int count, double freeMb, int maxLoads) {
+    List<WorkerCapacity> workers = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      hosts.add(new WorkerCapacity("runner-" + i, freeMb, loads, 1));
+      workers.add(new WorkerCapacity("runner-" + i, freeMb, maxLoads, 1));
     }
-    return hosts;
+    return workers;
   }
 
-  /** Functions by a Zipf law; one of so many wakes up in this stretch, the others go on as before. */
-  private static List<Demand> demands(int count, int oneOf, Random random) {
+  /**
+   * Random demands with a Zipf-like popularity.
+   *
+   * @param oneInWakes one in this many functions had no calls in the previous period; the others keep their rate
+   */
+  private static List<Demand> demands(int count, int oneInWakes, Random random) {
     List<Demand> all = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       double calls = Math.max(4, 400.0 / Math.pow(i + 1, 0.8)) * (0.5 + random.nextDouble());
-      double before = random.nextInt(oneOf) == 0 ? 0 : calls;
+      double previousCalls = random.nextInt(oneInWakes) == 0 ? 0 : calls;
       all.add(new Demand(
           "svc/f" + i,
           calls,
           1 + random.nextDouble(),
-          before,
+          previousCalls,
           0.5 + random.nextDouble() / 2,
           300 + random.nextInt(500),
           1 + random.nextInt(3),
@@ -89,32 +93,33 @@
     return all;
   }
 
-  private void gap() {
+  private void compareWithSolver() {
     Random random = new Random(1);
-    double worst = 0;
-    double sum = 0;
+    double maxMissing = 0;
+    double missingSum = 0;
     int solved = 0;
-    int bound = 0;
-    double own = 0;
-    double exact = 0;
+    int limited = 0;
+    double placementMillis = 0;
+    double solverMillis = 0;
     for (int i = 0; i < fleets; i++) {
-      List<WorkerCapacity> hosts =
-          hosts(3 + random.nextInt(4), 900 + random.nextInt(1_500), 2 + random.nextInt(3));
+      List<WorkerCapacity> workers =
+          workers(3 + random.nextInt(4), 900 + random.nextInt(1_500), 2 + random.nextInt(3));
       List<Demand> demands = demands(8 + random.nextInt(17), 10, random);
       Limits limits = new Limits(4 + random.nextInt(12), Double.MAX_VALUE);
       long began = System.nanoTime();
-      List<PlacedCopy> placed = Placement.choose(demands, hosts, limits, PRICES, STRETCH, KEEP);
-      own += (System.nanoTime() - began) / 1e6;
-      double got = placed.stream().mapToDouble(PlacedCopy::netBenefit).sum();
+      List<PlacedCopy> placed =
+          Placement.choose(demands, workers, limits, PRICES, PERIOD_SECONDS, KEEP_ALIVE_SECONDS);
+      placementMillis += (System.nanoTime() - began) / 1e6;
+      double netBenefit = placed.stream().mapToDouble(PlacedCopy::netBenefit).sum();
       began = System.nanoTime();
-      double best = solve(demands, hosts, limits);
-      exact += (System.nanoTime() - began) / 1e6;
+      double best = solveExactly(demands, workers, limits);
+      solverMillis += (System.nanoTime() - began) / 1e6;
       if (best > 0) {
-        double missing = 1 - got / best;
+        double missing = 1 - netBenefit / best;
         solved++;
-        sum += missing;
-        worst = Math.max(worst, missing);
-        bound += placed.size() == limits.orders() || missing > 1e-9 ? 1 : 0;
+        missingSum += missing;
+        maxMissing = Math.max(maxMissing, missing);
+        limited += placed.size() == limits.orders() || missing > 1e-9 ? 1 : 0;
       }
     }
     System.out.printf(
@@ -122,65 +127,73 @@
         "%d small fleets solved exactly: the placement brings %.2f %% less in the mean, %.1f %% at worst;"
             + " a limit bound in %d; %.1f ms against %.0f ms each%n",
         solved,
-        100 * sum / Math.max(1, solved),
-        100 * worst,
-        bound,
-        own / fleets,
-        exact / fleets);
+        100 * missingSum / Math.max(1, solved),
+        100 * maxMissing,
+        limited,
+        placementMillis / fleets,
+        solverMillis / fleets);
   }
 
   /**
-   * The best sum by an integer programme: a variable for each copy at each place it may stand; 0 where it was not
-   * solved in time.
+   * Solves the placement exactly as an integer program with a variable for each copy at each candidate position.
+   *
+   * @return the greatest net benefit; 0 when the solver did not finish in time
    */
-  private static double solve(List<Demand> demands, List<WorkerCapacity> hosts, Limits limits) {
+  private static double solveExactly(
+      List<Demand> demands, List<WorkerCapacity> workers, Limits limits) {
     ExpressionsBasedModel model = new ExpressionsBasedModel();
     model.options.time_abort = SOLVER_MILLIS;
     Expression orders = model.newExpression("orders").upper(limits.orders());
     Map<String, Expression> memory = new HashMap<>();
-    Map<String, Expression> loads = new HashMap<>();
-    for (WorkerCapacity h : hosts) {
-      memory.put(h.name(), model.newExpression("memory " + h.name()).upper(h.freeMb()));
-      loads.put(h.name(), model.newExpression("loads " + h.name()).upper(h.maxLoads()));
+    Map<String, Expression> loadLimits = new HashMap<>();
+    for (WorkerCapacity worker : workers) {
+      memory.put(
+          worker.name(), model.newExpression("memory " + worker.name()).upper(worker.freeMb()));
+      loadLimits.put(
+          worker.name(), model.newExpression("loads " + worker.name()).upper(worker.maxLoads()));
     }
     for (Demand d : demands) {
-      List<WorkerCapacity> order = hosts.stream()
-          .sorted(Comparator.comparingDouble(h -> SharedOrder.key(d.function(), h.name(), 1)))
+      List<WorkerCapacity> order = workers.stream()
+          .sorted(
+              Comparator.comparingDouble(worker -> SharedOrder.key(d.function(), worker.name(), 1)))
           .toList();
-      Map<String, Expression> once = new HashMap<>();
-      List<Variable> before = List.of();
-      for (int number = 1; number <= MOST_COPIES; number++) {
-        Expression one = model.newExpression(d.function() + " copy " + number).upper(1);
+      Map<String, Expression> oncePerWorker = new HashMap<>();
+      List<Variable> previousPositions = List.of();
+      for (int copy = 1; copy <= MAX_COPIES; copy++) {
+        Expression oneCopy = model.newExpression(d.function() + " copy " + copy).upper(1);
         Expression follows =
-            model.newExpression(d.function() + " follows " + number).upper(number == 1 ? 1 : 0);
-        List<Variable> mine = new ArrayList<>();
-        for (int place = 0;
-            place < Math.min(order.size(), Placement.candidatePositions(number));
-            place++) {
-          String host = order.get(place).name();
+            model.newExpression(d.function() + " follows " + copy).upper(copy == 1 ? 1 : 0);
+        List<Variable> positions = new ArrayList<>();
+        for (int position = 0;
+            position < Math.min(order.size(), Placement.candidatePositions(copy));
+            position++) {
+          String worker = order.get(position).name();
           Variable v = model
-              .newVariable(d.function() + " " + number + " at " + place)
+              .newVariable(d.function() + " " + copy + " at " + position)
               .binary()
-              .weight(Placement.netBenefit(d, number, place, PRICES, STRETCH, KEEP));
-          one.set(v, 1);
+              .weight(Placement.netBenefit(
+                  d, copy, position, PRICES, PERIOD_SECONDS, KEEP_ALIVE_SECONDS));
+          oneCopy.set(v, 1);
           orders.set(v, 1);
-          memory.get(host).set(v, d.memoryMb());
-          loads.get(host).set(v, 1);
-          once.computeIfAbsent(
-                  host, h -> model.newExpression(d.function() + " once at " + h).upper(1))
+          memory.get(worker).set(v, d.memoryMb());
+          loadLimits.get(worker).set(v, 1);
+          oncePerWorker
+              .computeIfAbsent(
+                  worker,
+                  h -> model.newExpression(d.function() + " once at " + h).upper(1))
               .set(v, 1);
-          mine.add(v);
+          positions.add(v);
           follows.set(v, 1);
         }
-        before.forEach(v -> follows.set(v, -1));
-        before = mine;
+        previousPositions.forEach(v -> follows.set(v, -1));
+        previousPositions = positions;
       }
     }
     Optimisation.Result result = model.maximise();
     return result.getState().isOptimal() ? result.getValue() : 0;
   }
 
-  private void times() throws IOException {
+  private void measureTimes() throws IOException {
     List<Double> functionsAxis = new ArrayList<>();
     Map<Integer, List<Double>> planMillis = new HashMap<>();
     List<Double> forecastMillis = new ArrayList<>();
@@ -200,25 +213,25 @@
       double forecast = (System.nanoTime() - began) / 1e6;
       forecastMillis.add(forecast);
       for (int runners : new int[] {12, 80, 240}) {
-        List<WorkerCapacity> hosts = hosts(runners, 4_096, 24);
+        List<WorkerCapacity> workers = workers(runners, 4_096, 24);
         List<Demand> demands = demands(functions, 1, new Random(2));
-        double least = Double.MAX_VALUE;
+        double minMillis = Double.MAX_VALUE;
         int placed = 0;
-        // Many functions wake at once, as at a known date, and orders or memory bind: the shape
-        // that costs most.
+        // The most expensive case: many functions become active at once, as at a known date, and
+        // the limit on orders or memory binds.
         for (int round = 0; round < 5; round++) {
           began = System.nanoTime();
           placed = Placement.choose(
                   demands,
-                  hosts,
+                  workers,
                   new Limits(functions / 2, Double.MAX_VALUE),
                   PRICES,
-                  STRETCH,
-                  KEEP)
+                  PERIOD_SECONDS,
+                  KEEP_ALIVE_SECONDS)
               .size();
-          least = Math.min(least, (System.nanoTime() - began) / 1e6);
+          minMillis = Math.min(minMillis, (System.nanoTime() - began) / 1e6);
         }
-        planMillis.computeIfAbsent(runners, r -> new ArrayList<>()).add(least);
+        planMillis.computeIfAbsent(runners, r -> new ArrayList<>()).add(minMillis);
         System.out.printf(
             Locale.ROOT,
             "%5d functions, %3d runners: forecasts %.1f ms, placement of %d copies (%d orders allowed) %.1f ms%n",
@@ -227,7 +240,7 @@
             forecast,
             placed,
             functions / 2,
-            least);
+            minMillis);
       }
     }
     if (plot != null) {
--- a/app/src/main/java/gorseladder/app/bench/RouterBench.java
+++ b/app/src/main/java/gorseladder/app/bench/RouterBench.java
@@ -28,7 +28,7 @@
 import java.util.Random;
 import picocli.CommandLine.Command;
 
-/** {@code bench router}: processor time that the decisions take for a call, by the size of the fleet. */
+/** {@code bench router}: time that the router's decisions take for a call, by the size of the fleet. */
 @Command(
     name = "router",
     mixinStandardHelpOptions = true,
@@ -36,9 +36,9 @@
         "Microseconds of the router for each call at 12, 80 and 240 runners, all events of the call included.")
 final class RouterBench implements Runnable {
   private static final int CALLS = 200_000;
-  private static final long GAP = 500;
+  private static final long CALL_GAP_MICROS = 500;
 
-  private record Out(long at, long id, String worker) {}
+  private record PendingAnswer(long at, long id, String worker) {}
 
   @Override
   public void run() {
@@ -50,7 +50,7 @@
   }
 
   private static double measure(int runners, int calls) {
-    RequestClass c =
+    RequestClass requestClass =
         new RequestClass("c", Effect.SAFE, Group.ALL, 0, 1_000_000, 3_000_000, 1, 0.2, false);
     Router router = new Router(
         new Settings(
@@ -65,22 +65,22 @@
             1,
             new Limits(4, false, true, false, true, true, true, 1_000_000, 10_000_000),
             new Rules(500_000, 0.2, 15_000_000, 2.5, 1_500_000, 0, 0, 0),
-            List.of(c),
+            List.of(requestClass),
             List.of()),
         1);
-    List<WorkerEntry> list = new ArrayList<>();
+    List<WorkerEntry> workers = new ArrayList<>();
     for (int i = 0; i < runners; i++) {
-      list.add(new WorkerEntry("w" + i, "z", 0, Phase.RUNNING, 1, 0));
+      workers.add(new WorkerEntry("w" + i, "z", 0, Phase.RUNNING, 1, 0));
     }
     TimerWheel<String> timers = new TimerWheel<>(1_000, 0);
-    ArrayDeque<Out> out = new ArrayDeque<>();
+    ArrayDeque<PendingAnswer> pending = new ArrayDeque<>();
     List<Action> actions = new ArrayList<>();
     Random random = new Random(2);
     long now = 0;
-    router.on(now, new WorkerListUpdate(ListKind.SAVED, list), actions::add);
+    router.on(now, new WorkerListUpdate(ListKind.SAVED, workers), actions::add);
     long began = System.nanoTime();
     for (long id = 1; id <= calls; id++) {
-      now += GAP;
+      now += CALL_GAP_MICROS;
       long at = now;
       timers.advance(now, token -> router.on(at, new TimerDue(token), actions::add));
       router.on(
@@ -97,19 +97,27 @@
               300_000,
               false),
           actions::add);
-      while (!out.isEmpty() && out.peekFirst().at() <= now) {
-        Out o = out.pollFirst();
+      while (!pending.isEmpty() && pending.peekFirst().at() <= now) {
+        PendingAnswer answer = pending.pollFirst();
         router.on(
             now,
             new Answer(
-                o.id(), 0, o.worker(), Outcome.OK, true, 30_000, CopyStatus.WARM, 0, Map.of()),
+                answer.id(),
+                0,
+                answer.worker(),
+                Outcome.OK,
+                true,
+                30_000,
+                CopyStatus.WARM,
+                0,
+                Map.of()),
             actions::add);
       }
-      for (Action a : actions) {
-        if (a instanceof Send s) {
-          out.addLast(new Out(now + 30_000, s.id(), s.worker()));
-        } else if (a instanceof SetTimer t) {
-          timers.schedule(now + t.delay(), t.token());
+      for (Action action : actions) {
+        if (action instanceof Send send) {
+          pending.addLast(new PendingAnswer(now + 30_000, send.id(), send.worker()));
+        } else if (action instanceof SetTimer timer) {
+          timers.schedule(now + timer.delay(), timer.token());
         }
       }
       actions.clear();
--- a/app/src/main/java/gorseladder/app/bench/TimerBench.java
+++ b/app/src/main/java/gorseladder/app/bench/TimerBench.java
@@ -19,14 +19,14 @@
 import org.openjdk.jmh.annotations.TearDown;
 
 /**
- * The work of a gateway's timers: a call sets one, and takes it back when it ends, while so many stand. The oldest
- * standing timer is cancelled and a new one is set, about three seconds ahead.
+ * Benchmarks the timers of a gateway, in which each call sets a timer and cancels it when it ends. An operation sets a
+ * timer about three seconds ahead and cancels the oldest one, while {@link #standing} timers are pending.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
 public class TimerBench {
-  /** Timers that stand. */
+  /** The number of pending timers. */
   @Param({"1000", "100000"})
   public int standing;
 
@@ -35,52 +35,52 @@
   private final ArrayDeque<TimerWheel.Node<Runnable>> wheelNodes = new ArrayDeque<>();
   private final PriorityQueue<long[]> heap =
       new PriorityQueue<>((a, b) -> Long.compare(a[0], b[0]));
-  private final ArrayDeque<long[]> heapNodes = new ArrayDeque<>();
+  private final ArrayDeque<long[]> heapEntries = new ArrayDeque<>();
   private final ScheduledThreadPoolExecutor executor = new ScheduledThreadPoolExecutor(1);
   private final ArrayDeque<ScheduledFuture<?>> futures = new ArrayDeque<>();
-  private long now;
+  private long nowMicros;
 
-  /** Sets the timers that stand. */
+  /** Sets the pending timers. */
   @Setup(Level.Trial)
   public void fill() {
     executor.setRemoveOnCancelPolicy(true);
     for (int i = 0; i < standing; i++) {
-      wheelNodes.addLast(wheel.schedule(due(), () -> {}));
-      long[] entry = {due()};
+      wheelNodes.addLast(wheel.schedule(nextDueAt(), () -> {}));
+      long[] entry = {nextDueAt()};
       heap.add(entry);
-      heapNodes.addLast(entry);
+      heapEntries.addLast(entry);
       futures.addLast(executor.schedule(() -> {}, 3_000 + random.nextInt(1_000), TimeUnit.SECONDS));
     }
   }
 
-  /** Ends the executor's thread. */
+  /** Stops the executor's thread. */
   @TearDown(Level.Trial)
   public void stop() {
     executor.shutdownNow();
   }
 
-  private long due() {
-    now += 10;
-    return now + 3_000_000 + random.nextInt(100_000);
+  private long nextDueAt() {
+    nowMicros += 10;
+    return nowMicros + 3_000_000 + random.nextInt(100_000);
   }
 
-  /** The project's wheel. */
+  /** The timing wheel of this project. */
   @Benchmark
   public boolean wheel() {
-    wheelNodes.addLast(wheel.schedule(due(), () -> {}));
+    wheelNodes.addLast(wheel.schedule(nextDueAt(), () -> {}));
     return wheel.cancel(wheelNodes.pollFirst());
   }
 
-  /** A binary heap, with removal from its middle. */
+  /** A binary heap from which any entry can be removed. */
   @Benchmark
   public boolean binaryHeap() {
-    long[] entry = {due()};
+    long[] entry = {nextDueAt()};
     heap.add(entry);
-    heapNodes.addLast(entry);
-    return heap.remove(heapNodes.pollFirst());
+    heapEntries.addLast(entry);
+    return heap.remove(heapEntries.pollFirst());
   }
 
-  /** The library's scheduled executor. */
+  /** The scheduled executor of the JDK. */
   @Benchmark
   public boolean scheduledExecutor() {
     futures.addLast(executor.schedule(() -> {}, 3_000 + random.nextInt(1_000), TimeUnit.SECONDS));
--- a/app/src/main/java/gorseladder/app/bench/TimersCommand.java
+++ b/app/src/main/java/gorseladder/app/bench/TimersCommand.java
@@ -6,7 +6,7 @@
 import org.openjdk.jmh.runner.options.TimeValue;
 import picocli.CommandLine.Command;
 
-/** {@code bench timers}: the timing wheel against a binary heap and the library's executor. */
+/** {@code bench timers}: compares the timing wheel with a binary heap and the JDK's scheduled executor. */
 @Command(
     name = "timers",
     mixinStandardHelpOptions = true,
