--- a/app/src/main/java/gorseladder/app/archive/ArchiveMaker.java
+++ b/app/src/main/java/gorseladder/app/archive/ArchiveMaker.java
@@ -13,63 +13,66 @@
 import java.util.jar.JarFile;
 
 /**
- * Makes the class archive that dispatchers start with: one dispatcher, started as the deploy file does, lives through a
- * {@link DispatcherDay}, and the Java machine writes down what it uses.
+ * Makes the class data sharing (CDS) archive that dispatchers start with. One dispatcher, started as the deploy file
+ * does, runs through a {@link DispatcherDay} while the JVM records the classes that it uses.
  *
- * <p>A whole archive of the machine's own classes and the program's ({@code -Xshare:dump}), not one on top of the
- * machine's ({@code -XX:ArchiveClassesAtExit}): only the former takes lambdas by name, also those that the run did not
- * come by.
+ * <p>The archive is a static one of JDK and program classes ({@code -Xshare:dump}), not a dynamic one on top of the
+ * JDK's ({@code -XX:ArchiveClassesAtExit}): only a static archive takes lambdas by name, so that it can hold lambdas
+ * which the run did not reach.
  */
 public final class ArchiveMaker {
   private static final String JAR = "app/target/gorseladder.jar";
   private static final String ARCHIVE_OPTION = "-XX:SharedArchiveFile=";
-  private static final long DUMP_MILLIS = 120_000;
+  private static final long DUMP_TIMEOUT_MILLIS = 120_000;
 
   private final Path root;
-  private final Path directory;
+  private final Path workDirectory;
 
   /**
-   * A maker for the jar that was built below the root.
+   * Creates a maker for the built jar.
    *
-   * @param directory an empty one for what is needed meanwhile
+   * @param root the root of the project, below which the jar is
+   * @param workDirectory an empty directory for intermediate files
    */
-  public ArchiveMaker(Path root, Path directory) {
+  public ArchiveMaker(Path root, Path workDirectory) {
     this.root = root;
-    this.directory = directory;
+    this.workDirectory = workDirectory;
   }
 
   /**
-   * Makes it, also where the day did not go as expected: it then lacks what was not met. It takes its place whole or
-   * not at all, and one from before goes first: the Java machine ends at the start where the file is a part of one.
+   * Makes the archive, also when the day did not go as expected; it then lacks the classes that were not reached. An
+   * earlier archive is deleted first and the new one is moved into place when it is complete, since the JVM exits at
+   * its start when the file is incomplete.
    *
-   * @return what went otherwise than expected; empty where the archive is there and nothing did
+   * @param archive the file to write
+   * @return the problems met; empty when the archive exists and the day went as expected
    */
   public List<String> make(Path archive) throws IOException, InterruptedException {
     Files.deleteIfExists(archive);
-    Path used = directory.resolve("used.classlist");
-    List<String> troubles = new ArrayList<>(rehearse(used));
-    if (!Files.exists(used)) {
-      troubles.add("the dispatcher left no list of its classes");
-      return troubles;
+    Path usedList = workDirectory.resolve("used.classlist");
+    List<String> problems = new ArrayList<>(rehearse(usedList));
+    if (!Files.exists(usedList)) {
+      problems.add("the dispatcher left no list of its classes");
+      return problems;
     }
-    Path list = directory.resolve("all.classlist");
+    Path classList = workDirectory.resolve("all.classlist");
     try (JarFile jar = new JarFile(root.resolve(JAR).toFile())) {
-      Files.write(list, ClassList.completed(Files.readAllLines(used), jar));
+      Files.write(classList, ClassList.complete(Files.readAllLines(usedList), jar));
     }
-    List<String> failed = dump(list, archive);
-    troubles.addAll(failed);
-    if (!failed.isEmpty()) {
-      // Without what the run did not meet it is still worth having.
-      troubles.addAll(dump(used, archive));
+    List<String> dumpProblems = dump(classList, archive);
+    problems.addAll(dumpProblems);
+    if (!dumpProblems.isEmpty()) {
+      // An archive of only the classes that the run used is still useful.
+      problems.addAll(dump(usedList, archive));
     }
-    return troubles;
+    return problems;
   }
 
-  private List<String> rehearse(Path used) throws IOException, InterruptedException {
+  private List<String> rehearse(Path usedList) throws IOException, InterruptedException {
     String command = RunLine.ofJar(root)
-        .replaceFirst(ARCHIVE_OPTION + "[^ ]*", "-XX:DumpLoadedClassList=" + used);
-    Path log = directory.resolve("rehearsal.log");
-    try (DispatcherDay day = new DispatcherDay(directory);
+        .replaceFirst(ARCHIVE_OPTION + "[^ ]*", "-XX:DumpLoadedClassList=" + usedList);
+    Path log = workDirectory.resolve("rehearsal.log");
+    try (DispatcherDay day = new DispatcherDay(workDirectory);
         ChildProcess dispatcher =
             new ChildProcess(command, root, day.environment(), log.toFile())) {
       day.play(dispatcher, scene -> {});
@@ -77,25 +80,26 @@
     }
   }
 
-  private List<String> dump(Path list, Path archive) throws IOException, InterruptedException {
+  private List<String> dump(Path classList, Path archive) throws IOException, InterruptedException {
     Path unfinished = archive.resolveSibling(archive.getFileName() + ".part");
     try {
-      return dump(list, unfinished, archive);
+      return dump(classList, unfinished, archive);
     } finally {
       Files.deleteIfExists(unfinished);
     }
   }
 
-  private List<String> dump(Path list, Path unfinished, Path archive)
+  private List<String> dump(Path classList, Path unfinished, Path archive)
       throws IOException, InterruptedException {
     String command = "exec java -XX:+UseSerialGC -Xmx128m -XX:ErrorFile="
-        + directory.resolve("error.log") + " -Xshare:dump -XX:SharedClassListFile=" + list + " "
+        + workDirectory.resolve("error.log") + " -Xshare:dump -XX:SharedClassListFile=" + classList
+        + " "
         + ARCHIVE_OPTION + unfinished.toAbsolutePath() + " -cp " + JAR;
-    Path log = directory.resolve("dump.log");
-    try (ChildProcess dumping = new ChildProcess(command, root, Map.of(), log.toFile())) {
-      int code = dumping.await(DUMP_MILLIS);
-      if (code != 0 || !Files.exists(unfinished)) {
-        return List.of("the dump ended with " + code + ": " + Files.readString(log));
+    Path log = workDirectory.resolve("dump.log");
+    try (ChildProcess dumpProcess = new ChildProcess(command, root, Map.of(), log.toFile())) {
+      int exitCode = dumpProcess.await(DUMP_TIMEOUT_MILLIS);
+      if (exitCode != 0 || !Files.exists(unfinished)) {
+        return List.of("the dump ended with " + exitCode + ": " + Files.readString(log));
       }
       Files.move(unfinished, archive, StandardCopyOption.ATOMIC_MOVE);
       return List.of();
--- a/app/src/main/java/gorseladder/app/archive/ClassFile.java
+++ b/app/src/main/java/gorseladder/app/archive/ClassFile.java
@@ -9,10 +9,11 @@
 import java.util.TreeSet;
 
 /**
- * One class file: the classes that it refers to, and the places at which it makes a lambda or a method reference, as
- * lines of a class list of the Java machine ({@code -XX:SharedClassListFile}), so that an archive holds their classes
- * though no run has come by. Follows "The class File Format" of the Java Virtual Machine Specification, chapter 4.
- * Serializable lambdas and other bootstrap methods are left out: no archive holds them by name.
+ * Parses a class file for the classes that it refers to and for the call sites that create lambdas and method
+ * references. The sites are returned as lines of a JVM class list ({@code -XX:SharedClassListFile}), so that an archive
+ * holds their classes although no run has reached them. Follows "The class File Format" of the Java Virtual Machine
+ * Specification, chapter 4. Serializable lambdas and other bootstrap methods are left out: no archive holds them by
+ * name.
  */
 final class ClassFile {
   private static final int UTF8 = 1;
@@ -28,10 +29,11 @@
   private static final int INVOKE_DYNAMIC = 18;
   private static final int MODULE = 19;
   private static final int PACKAGE = 20;
-  private static final int HEAD_BYTES = 8;
-  private static final String FACTORY = "java/lang/invoke/LambdaMetafactory metafactory ";
-  /** Kinds of method handles by their number (section 4.4.8). */
-  private static final List<String> KINDS = List.of(
+  private static final int HEADER_BYTES = 8;
+  private static final String LAMBDA_METAFACTORY =
+      "java/lang/invoke/LambdaMetafactory metafactory ";
+  /** Reference kinds of method handles by number (section 4.4.8). */
+  private static final List<String> HANDLE_KINDS = List.of(
       "",
       "REF_getField",
       "REF_getStatic",
@@ -43,30 +45,30 @@
       "REF_newInvokeSpecial",
       "REF_invokeInterface");
 
-  /** An entry of the constant pool: its tag, two numbers, a text. */
+  /** An entry of the constant pool; the meaning of {@code first} and {@code second} depends on the tag. */
   private record Constant(int tag, int first, int second, String text) {}
 
-  /** A bootstrap method and its arguments, as indices of the constant pool. */
-  private record Bootstrap(int method, List<Integer> arguments) {}
+  /** A bootstrap method and its arguments, as indices into the constant pool. */
+  private record BootstrapMethod(int method, List<Integer> arguments) {}
 
   private final Constant[] pool;
-  private final List<Bootstrap> bootstraps = new ArrayList<>();
+  private final List<BootstrapMethod> bootstrapMethods = new ArrayList<>();
   private final String className;
 
   private ClassFile(DataInputStream in) throws IOException {
-    in.skipNBytes(HEAD_BYTES);
-    pool = constants(in);
+    in.skipNBytes(HEADER_BYTES);
+    pool = readConstants(in);
     in.readUnsignedShort();
     className = name(in.readUnsignedShort());
     in.readUnsignedShort();
     in.skipNBytes(2L * in.readUnsignedShort());
     skipMembers(in);
     skipMembers(in);
-    for (int left = in.readUnsignedShort(); left > 0; left--) {
+    for (int remaining = in.readUnsignedShort(); remaining > 0; remaining--) {
       String attribute = pool[in.readUnsignedShort()].text();
       int length = in.readInt();
       if (attribute.equals("BootstrapMethods")) {
-        readBootstraps(in);
+        readBootstrapMethods(in);
       } else {
         in.skipNBytes(length);
       }
@@ -74,15 +76,15 @@
   }
 
   /**
-   * Reads one.
+   * Parses a class file.
    *
-   * @throws IOException where it is none
+   * @throws IOException when the stream holds no class file
    */
   static ClassFile read(InputStream in) throws IOException {
     return new ClassFile(new DataInputStream(in));
   }
 
-  /** The names of the classes that it refers to, with slashes; arrays are left out. */
+  /** The internal names (with slashes) of the classes that this one refers to, without arrays. */
   Set<String> references() {
     Set<String> names = new TreeSet<>();
     for (Constant constant : pool) {
@@ -94,17 +96,17 @@
     return names;
   }
 
-  private static Constant[] constants(DataInputStream in) throws IOException {
+  private static Constant[] readConstants(DataInputStream in) throws IOException {
     Constant[] pool = new Constant[in.readUnsignedShort()];
     for (int i = 1; i < pool.length; i++) {
       int tag = in.readUnsignedByte();
-      pool[i] = constant(tag, in);
+      pool[i] = readConstant(tag, in);
       i += tag == LONG || tag == DOUBLE ? 1 : 0;
     }
     return pool;
   }
 
-  private static Constant constant(int tag, DataInputStream in) throws IOException {
+  private static Constant readConstant(int tag, DataInputStream in) throws IOException {
     return switch (tag) {
       case UTF8 -> new Constant(tag, 0, 0, in.readUTF());
       case CLASS, STRING, METHOD_TYPE, MODULE, PACKAGE ->
@@ -122,32 +124,36 @@
   }
 
   private static void skipMembers(DataInputStream in) throws IOException {
-    for (int left = in.readUnsignedShort(); left > 0; left--) {
+    for (int remaining = in.readUnsignedShort(); remaining > 0; remaining--) {
       in.skipNBytes(6);
-      for (int attributes = in.readUnsignedShort(); attributes > 0; attributes--) {
+      for (int remainingAttributes = in.readUnsignedShort();
+          remainingAttributes > 0;
+          remainingAttributes--) {
         in.readUnsignedShort();
         in.skipNBytes(in.readInt());
       }
     }
   }
 
-  private void readBootstraps(DataInputStream in) throws IOException {
-    for (int left = in.readUnsignedShort(); left > 0; left--) {
+  private void readBootstrapMethods(DataInputStream in) throws IOException {
+    for (int remaining = in.readUnsignedShort(); remaining > 0; remaining--) {
       int method = in.readUnsignedShort();
       List<Integer> arguments = new ArrayList<>();
-      for (int more = in.readUnsignedShort(); more > 0; more--) {
+      for (int remainingArguments = in.readUnsignedShort();
+          remainingArguments > 0;
+          remainingArguments--) {
         arguments.add(in.readUnsignedShort());
       }
-      bootstraps.add(new Bootstrap(method, arguments));
+      bootstrapMethods.add(new BootstrapMethod(method, arguments));
     }
   }
 
-  /** The name that a constant refers to. */
+  /** The text that the constant at the index refers to. */
   private String name(int index) {
     return pool[pool[index].first()].text();
   }
 
-  /** Name and type of a constant. */
+  /** Name and descriptor of the member that the constant at the index refers to. */
   private String nameAndType(int index) {
     return name(index) + " " + pool[pool[index].second()].text();
   }
@@ -156,17 +162,17 @@
     return name(pool[index].first()) + " " + nameAndType(pool[index].second());
   }
 
-  private String handle(Constant handle) {
-    return KINDS.get(handle.first()) + " " + member(handle.second());
+  private String describeHandle(Constant handle) {
+    return HANDLE_KINDS.get(handle.first()) + " " + member(handle.second());
   }
 
-  /** The lines of its lambdas, one for each that is made differently. */
-  List<String> lambdas() {
+  /** The class list lines of all sites that create a lambda or a method reference. */
+  List<String> lambdaLines() {
     List<String> lines = new ArrayList<>();
     for (Constant site : pool) {
       if (site != null && site.tag() == INVOKE_DYNAMIC) {
-        Bootstrap bootstrap = bootstraps.get(site.first());
-        if (member(pool[bootstrap.method()].second()).startsWith(FACTORY)) {
+        BootstrapMethod bootstrap = bootstrapMethods.get(site.first());
+        if (member(pool[bootstrap.method()].second()).startsWith(LAMBDA_METAFACTORY)) {
           addSite(site, bootstrap, lines);
         }
       }
@@ -174,23 +180,23 @@
     return lines;
   }
 
-  private void addSite(Constant site, Bootstrap bootstrap, List<String> lines) {
-    String made = pool[pool[site.second()].second()].text();
+  private void addSite(Constant site, BootstrapMethod bootstrap, List<String> lines) {
+    String factoryType = pool[pool[site.second()].second()].text();
     Constant body = pool[bootstrap.arguments().get(1)];
     String bodyType = pool[pool[pool[body.second()].second()].second()].text();
-    lines.addAll(InvokerShapes.ofSite(made));
-    lines.addAll(InvokerShapes.ofHandle(KINDS.get(body.first()), bodyType));
+    lines.addAll(InvokerShapes.ofSite(factoryType));
+    lines.addAll(InvokerShapes.ofHandle(HANDLE_KINDS.get(body.first()), bodyType));
     lines.add(String.join(
         " ",
         "@lambda-proxy",
         className,
         nameAndType(site.second()),
-        type(bootstrap.arguments().get(0)),
-        handle(body),
-        type(bootstrap.arguments().get(2))));
+        methodType(bootstrap.arguments().get(0)),
+        describeHandle(body),
+        methodType(bootstrap.arguments().get(2))));
   }
 
-  private String type(int index) {
+  private String methodType(int index) {
     return name(index);
   }
 }
--- a/app/src/main/java/gorseladder/app/archive/ClassList.java
+++ b/app/src/main/java/gorseladder/app/archive/ClassList.java
@@ -17,24 +17,25 @@
 import java.util.stream.Stream;
 
 /**
- * The classes for the archive of a dispatcher: those that a run has used, and every class of the program that they
- * refer to, directly or through others, with their lambdas. What the run did not meet, or meets by chance only, is then
- * there all the same.
+ * Builds the class list for the archive of a dispatcher: the classes that a run used, and every program class that
+ * these refer to directly or indirectly, with their lambdas. The archive then also holds classes that the run did not
+ * reach, or that a run reaches only by chance.
  */
 final class ClassList {
-  private static final String SUFFIX = ".class";
-  /** The program itself. */
-  private static final String OWN = "gorseladder/";
-  /** The command line, of which a dispatcher uses one class; its library has classes that no archive can hold. */
-  private static final String COMMANDS = "gorseladder/app/";
-  /** How an error is logged. */
-  private static final String LOGGED = "ch/qos/logback/classic/spi/";
-  /** Of the Java machine, whole: a run meets few of its steps. */
-  private static final String STREAMS = "java/util/stream/";
-  /** Of the Java machine, those that the program names, with the classes inside them: iterators, views, nodes. */
-  private static final List<String> COLLECTIONS = List.of("java/util/", "java/util/concurrent/");
-  /** Classes of the Java machine that a run meets by chance: where threads contend, or a connection ends oddly. */
-  private static final List<String> BY_CHANCE = List.of(
+  private static final String CLASS_SUFFIX = ".class";
+  /** Prefix of the program's classes. */
+  private static final String PROGRAM_PREFIX = "gorseladder/";
+  /** Classes of the command line: a dispatcher uses one of them, and picocli has classes that no archive can hold. */
+  private static final String COMMAND_LINE_PREFIX = "gorseladder/app/";
+  /** Logback's classes for events and errors. */
+  private static final String LOGBACK_EVENTS_PREFIX = "ch/qos/logback/classic/spi/";
+  /** A JDK package that is added whole, since a run reaches few of its stream operations. */
+  private static final String STREAM_PACKAGE = "java/util/stream/";
+  /** JDK packages from which the referenced classes are added with their nested classes: iterators, views, nodes. */
+  private static final List<String> COLLECTION_PACKAGES =
+      List.of("java/util/", "java/util/concurrent/");
+  /** JDK classes that a run loads only by chance: when threads contend or a connection ends abnormally. */
+  private static final List<String> RARELY_LOADED = List.of(
       "java/util/concurrent/ThreadLocalRandom",
       "java/util/concurrent/atomic/Striped64",
       "java/util/concurrent/atomic/Striped64$1",
@@ -55,49 +56,53 @@
       "java/nio/channels/ClosedChannelException",
       "java/nio/channels/NotYetConnectedException",
       "sun/nio/ch/NativeThreadSet");
-  /** Each line of a lambda stands for one more site alike in its class; so many are reckoned with. */
-  private static final int SITES_ALIKE = 8;
+  /** The JVM takes each line for one site, so the lines are repeated for up to this many identical sites in a class. */
+  private static final int MAX_IDENTICAL_SITES = 8;
 
   private final List<String> lines;
-  private final List<String> lambdas = new ArrayList<>();
-  private final Set<String> referred = new HashSet<>();
+  private final List<String> lambdaLines = new ArrayList<>();
+  private final Set<String> referenced = new HashSet<>();
 
   private ClassList(List<String> used) {
     lines = new ArrayList<>(used);
   }
 
   /**
-   * The whole list.
+   * Completes the list of a run.
    *
-   * @param used the lines that the Java machine wrote in a run
-   * @throws IOException where the jar or the machine's classes cannot be read
+   * @param used the lines that the JVM wrote in the run
+   * @throws IOException when the jar or the JDK's classes cannot be read
    */
-  static List<String> completed(List<String> used, JarFile jar) throws IOException {
+  static List<String> complete(List<String> used, JarFile jar) throws IOException {
     ClassList list = new ClassList(used);
-    list.addReferred(used, jar);
-    list.addLogged(jar);
-    list.addMachine();
-    return list.all();
+    list.addReferenced(used, jar);
+    list.addLogbackEvents(jar);
+    list.addJdk();
+    return list.allLines();
   }
 
-  /** The classes of the program from those that were used on; of the command line only what was used. */
-  private void addReferred(List<String> used, JarFile jar) throws IOException {
+  /** Adds the program classes that the used ones refer to, except those of the command line. */
+  private void addReferenced(List<String> used, JarFile jar) throws IOException {
     Set<String> seen = new HashSet<>();
-    Deque<String> next = new ArrayDeque<>(used);
-    while (!next.isEmpty()) {
-      String name = next.removeFirst();
-      JarEntry entry = jar.getJarEntry(name + SUFFIX);
-      if (name.startsWith(OWN) && !name.startsWith(COMMANDS) && entry != null && seen.add(name)) {
+    Deque<String> queue = new ArrayDeque<>(used);
+    while (!queue.isEmpty()) {
+      String name = queue.removeFirst();
+      JarEntry entry = jar.getJarEntry(name + CLASS_SUFFIX);
+      if (name.startsWith(PROGRAM_PREFIX)
+          && !name.startsWith(COMMAND_LINE_PREFIX)
+          && entry != null
+          && seen.add(name)) {
         try (InputStream in = jar.getInputStream(entry)) {
-          next.addAll(add(name + SUFFIX, in).references());
+          queue.addAll(add(name + CLASS_SUFFIX, in).references());
         }
       }
     }
   }
 
-  private void addLogged(JarFile jar) throws IOException {
+  private void addLogbackEvents(JarFile jar) throws IOException {
     for (JarEntry entry : jar.stream().toList()) {
-      if (entry.getName().startsWith(LOGGED) && entry.getName().endsWith(SUFFIX)) {
+      if (entry.getName().startsWith(LOGBACK_EVENTS_PREFIX)
+          && entry.getName().endsWith(CLASS_SUFFIX)) {
         try (InputStream in = jar.getInputStream(entry)) {
           add(entry.getName(), in);
         }
@@ -105,45 +110,45 @@
     }
   }
 
-  private void addMachine() throws IOException {
+  private void addJdk() throws IOException {
     Path base = FileSystems.getFileSystem(URI.create("jrt:/")).getPath("modules/java.base");
-    for (String name : classesIn(base, STREAMS)) {
-      try (InputStream in = Files.newInputStream(base.resolve(name + SUFFIX))) {
-        add(name + SUFFIX, in);
+    for (String name : classesIn(base, STREAM_PACKAGE)) {
+      try (InputStream in = Files.newInputStream(base.resolve(name + CLASS_SUFFIX))) {
+        add(name + CLASS_SUFFIX, in);
       }
     }
-    for (String collections : COLLECTIONS) {
-      for (String name : classesIn(base, collections)) {
-        if (referred.contains(name.split("\\$")[0])) {
+    for (String packageName : COLLECTION_PACKAGES) {
+      for (String name : classesIn(base, packageName)) {
+        if (referenced.contains(name.split("\\$")[0])) {
           lines.add(name);
         }
       }
     }
-    lines.addAll(BY_CHANCE);
+    lines.addAll(RARELY_LOADED);
   }
 
-  /** The names of the classes of a package of the Java machine. */
+  /** The names of the classes of a JDK package. */
   private static List<String> classesIn(Path base, String packageName) throws IOException {
     try (Stream<Path> files = Files.list(base.resolve(packageName))) {
       return files
           .map(file -> file.getFileName().toString())
-          .filter(file -> file.endsWith(SUFFIX))
-          .map(file -> packageName + file.substring(0, file.length() - SUFFIX.length()))
+          .filter(file -> file.endsWith(CLASS_SUFFIX))
+          .map(file -> packageName + file.substring(0, file.length() - CLASS_SUFFIX.length()))
           .toList();
     }
   }
 
   private ClassFile add(String name, InputStream in) throws IOException {
     ClassFile file = ClassFile.read(in);
-    lines.add(name.substring(0, name.length() - SUFFIX.length()));
-    lambdas.addAll(file.lambdas());
-    referred.addAll(file.references());
+    lines.add(name.substring(0, name.length() - CLASS_SUFFIX.length()));
+    lambdaLines.addAll(file.lambdaLines());
+    referenced.addAll(file.references());
     return file;
   }
 
-  private List<String> all() {
-    for (int i = 0; i < SITES_ALIKE; i++) {
-      lines.addAll(lambdas);
+  private List<String> allLines() {
+    for (int i = 0; i < MAX_IDENTICAL_SITES; i++) {
+      lines.addAll(lambdaLines);
     }
     return lines;
   }
--- a/app/src/main/java/gorseladder/app/archive/InvokerShapes.java
+++ b/app/src/main/java/gorseladder/app/archive/InvokerShapes.java
@@ -4,53 +4,62 @@
 import java.util.List;
 
 /**
- * Names the invokers that the Java machine needs where it links a lambda, as lines of its class list: without them it
- * makes one at run time for each shape of arguments that it has not met. A shape has a letter for each argument, all
- * references alike, and runs of three and more with their number ({@code L3IJ_V}).
+ * Names the invokers that the JVM needs to link lambdas, as lines of its class list. Without these lines the JVM
+ * generates an invoker at run time for each new shape of arguments. A shape has one letter per argument, {@code L} for
+ * every reference; a run of three or more equal letters is a letter and a count ({@code L3IJ_V}).
  */
 final class InvokerShapes {
-  private static final String LINE = "@lambda-form-invoker [LF_RESOLVE] java.lang.invoke.";
-  private static final String DIRECT = LINE + "DirectMethodHandle$Holder ";
+  private static final String LINE_PREFIX = "@lambda-form-invoker [LF_RESOLVE] java.lang.invoke.";
+  private static final String DIRECT_PREFIX = LINE_PREFIX + "DirectMethodHandle$Holder ";
 
   private InvokerShapes() {}
 
-  /** Those of a site that makes a lambda; {@code type} takes what it captures. */
+  /**
+   * The invokers of a site that creates a lambda.
+   *
+   * @param type the descriptor of the site, whose arguments are the captured values
+   */
   static List<String> ofSite(String type) {
-    String captured = arguments(type);
+    String captured = argumentLetters(type);
     return List.of(
-        DIRECT + "newInvokeSpecial " + shape("L" + captured, 'L'),
-        DIRECT + "invokeSpecial " + shape("LL" + captured, 'L'),
-        LINE + "Invokers$Holder linkToTargetMethod " + shape(captured + "L", 'L'));
+        DIRECT_PREFIX + "newInvokeSpecial " + shape("L" + captured, 'L'),
+        DIRECT_PREFIX + "invokeSpecial " + shape("LL" + captured, 'L'),
+        LINE_PREFIX + "Invokers$Holder linkToTargetMethod " + shape(captured + "L", 'L'));
   }
 
-  /** Those of the handle on a lambda's body, of that kind and type. */
+  /**
+   * The invokers of the method handle of a lambda's body.
+   *
+   * @param kind the reference kind of the handle
+   * @param type the descriptor of the body
+   */
   static List<String> ofHandle(String kind, String type) {
-    String arguments = arguments(type);
-    char result = letter(type.charAt(type.indexOf(')') + 1));
+    String arguments = argumentLetters(type);
+    char result = shapeLetter(type.charAt(type.indexOf(')') + 1));
     List<String> lines = new ArrayList<>();
     switch (kind) {
       case "REF_invokeStatic" -> {
-        lines.add(DIRECT + "invokeStatic " + shape("L" + arguments, result));
-        lines.add(DIRECT + "invokeStaticInit " + shape("L" + arguments, result));
+        lines.add(DIRECT_PREFIX + "invokeStatic " + shape("L" + arguments, result));
+        lines.add(DIRECT_PREFIX + "invokeStaticInit " + shape("L" + arguments, result));
       }
       case "REF_newInvokeSpecial" ->
-        lines.add(DIRECT + "newInvokeSpecial " + shape("L" + arguments, 'L'));
+        lines.add(DIRECT_PREFIX + "newInvokeSpecial " + shape("L" + arguments, 'L'));
       case "REF_invokeInterface" ->
-        lines.add(DIRECT + "invokeInterface " + shape("LL" + arguments, result));
+        lines.add(DIRECT_PREFIX + "invokeInterface " + shape("LL" + arguments, result));
       default -> {
-        // A method that nobody overrides is called as a special one.
-        lines.add(DIRECT + "invokeVirtual " + shape("LL" + arguments, result));
-        lines.add(DIRECT + "invokeSpecial " + shape("LL" + arguments, result));
+        // The JVM links a method that is not overridden as a special call.
+        lines.add(DIRECT_PREFIX + "invokeVirtual " + shape("LL" + arguments, result));
+        lines.add(DIRECT_PREFIX + "invokeSpecial " + shape("LL" + arguments, result));
       }
     }
     return lines;
   }
 
-  /** A letter for each argument of a method's type. */
-  private static String arguments(String type) {
+  /** One letter per argument of a method descriptor. */
+  private static String argumentLetters(String type) {
     StringBuilder letters = new StringBuilder();
     for (int i = 1; type.charAt(i) != ')'; i++) {
-      letters.append(letter(type.charAt(i)));
+      letters.append(shapeLetter(type.charAt(i)));
       while (type.charAt(i) == '[') {
         i++;
       }
@@ -61,7 +70,7 @@
     return letters.toString();
   }
 
-  private static char letter(char type) {
+  private static char shapeLetter(char type) {
     return switch (type) {
       case '[', 'L' -> 'L';
       case 'Z', 'B', 'S', 'C', 'I' -> 'I';
--- a/app/src/test/java/gorseladder/app/archive/ArchiveMakerTest.java
+++ b/app/src/test/java/gorseladder/app/archive/ArchiveMakerTest.java
@@ -14,7 +14,7 @@
   @TempDir
   Path root;
 
-  /** Guards against an archive of an earlier build, or a part of one, that dispatchers are started with. */
+  /** Guards against dispatchers that start with the archive of an earlier build or with an incomplete one. */
   @Test
   void whereNoneCanBeMadeNoneIsLeft() throws Exception {
     Files.createDirectory(root.resolve("deploy"));
@@ -22,11 +22,11 @@
         root.resolve("deploy/balancer.toml"),
         "run = \"sleep 1; exit 3; -jar app/target/gorseladder.jar node\"\n");
     Path archive = Files.writeString(root.resolve("node.jsa"), "a part of one");
-    Path directory = Files.createDirectory(root.resolve("making"));
-    List<String> troubles = new ArchiveMaker(root, directory).make(archive);
-    assertFalse(troubles.isEmpty());
-    try (Stream<Path> left = Files.list(root)) {
-      assertEquals(0, left.filter(file -> file.toString().contains("node.jsa")).count());
+    Path workDirectory = Files.createDirectory(root.resolve("making"));
+    List<String> problems = new ArchiveMaker(root, workDirectory).make(archive);
+    assertFalse(problems.isEmpty());
+    try (Stream<Path> files = Files.list(root)) {
+      assertEquals(0, files.filter(file -> file.toString().contains("node.jsa")).count());
     }
   }
 }
--- a/app/src/test/java/gorseladder/app/archive/ClassArchiveIT.java
+++ b/app/src/test/java/gorseladder/app/archive/ClassArchiveIT.java
@@ -17,42 +17,42 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The class archive as the build makes it, in a dispatcher that is started as the deploy file does. */
+/** Checks the class archive that the build makes, in a dispatcher that is started as the deploy file does. */
 class ClassArchiveIT {
   private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
-  private static final String FROM_ARCHIVE = "shared objects file";
+  private static final String ARCHIVE_SOURCE = "shared objects file";
 
   @TempDir
   Path dir;
 
-  private Path classes;
-  private int seen;
-  private final List<String> outside = new ArrayList<>();
+  private Path classLog;
+  private int linesRead;
+  private final List<String> loadedElsewhere = new ArrayList<>();
 
   /**
-   * Seen in a dispatcher with a tenth of a core: paths that ran for the first time loaded classes from the jar and had
-   * the machine make code, 10 ms of processor and more for each, and the core stood still for seconds meanwhile.
+   * Guards against classes that are loaded from the jar or generated when a code path first runs. In a dispatcher with
+   * a tenth of a core each took 10 ms of processor time or more, and the core loop stood still for seconds.
    */
   @Test
   void afterReadyNoClassComesFromOutsideTheArchive() throws Exception {
     Path archive = dir.resolve("node.jsa");
     assertEquals(List.of(), new ArchiveMaker(ROOT, folder("making")).make(archive));
-    classes = dir.resolve("classes.log");
+    classLog = dir.resolve("classes.log");
     try (DispatcherDay day = new DispatcherDay(folder("day"))) {
       Map<String, String> environment = new HashMap<>(day.environment());
-      environment.put("JAVA_TOOL_OPTIONS", "-Xlog:class+load:file=" + classes);
+      environment.put("JAVA_TOOL_OPTIONS", "-Xlog:class+load:file=" + classLog);
       String command = RunLine.ofJar(ROOT)
           .replaceFirst("-XX:SharedArchiveFile=[^ ]*", "-XX:SharedArchiveFile=" + archive);
       Path log = dir.resolve("dispatcher.log");
       try (ChildProcess dispatcher = new ChildProcess(command, ROOT, environment, log.toFile())) {
-        day.play(dispatcher, this::note);
+        day.play(dispatcher, this::recordLoadedClasses);
       }
       assertEquals(List.of(), day.problems(), () -> read(log));
     }
-    assertEquals(List.of(), outside);
+    assertEquals(List.of(), loadedElsewhere);
   }
 
-  /** The build writes the archive where a dispatcher looks for it; it would start without one and say nothing. */
+  /** Guards against an archive that is written where no dispatcher looks: the JVM starts without one silently. */
   @Test
   void theBuildMakesTheArchiveThatIsRead() throws Exception {
     String deploy = Files.readString(ROOT.resolve("deploy/balancer.toml"));
@@ -72,16 +72,16 @@
     }
   }
 
-  /** Notes the classes from outside since the scene before; what came before ready is passed over. */
-  private void note(String scene) {
+  /** Records the classes loaded from elsewhere since the previous scene; those before ready are skipped. */
+  private void recordLoadedClasses(String scene) {
     try {
-      List<String> all = Files.readAllLines(classes);
-      if (seen > 0) {
-        all.subList(seen, all.size()).stream()
-            .filter(line -> !line.contains(FROM_ARCHIVE))
-            .forEach(line -> outside.add(scene + ": " + line));
+      List<String> lines = Files.readAllLines(classLog);
+      if (linesRead > 0) {
+        lines.subList(linesRead, lines.size()).stream()
+            .filter(line -> !line.contains(ARCHIVE_SOURCE))
+            .forEach(line -> loadedElsewhere.add(scene + ": " + line));
       }
-      seen = all.size();
+      linesRead = lines.size();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
--- a/app/src/test/java/gorseladder/app/archive/ClassFileTest.java
+++ b/app/src/test/java/gorseladder/app/archive/ClassFileTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 class ClassFileTest {
-  /** Lambdas that nobody runs here. */
+  /** Holds lambdas that this test does not run. */
   private static final class Sample {
     private Sample(String text) {}
 
@@ -27,12 +27,12 @@
     }
   }
 
-  /** A line that the machine does not find in the class is passed over, and its lambda is made at run time. */
+  /** Guards against lines that match no site: the JVM skips them and generates the lambda at run time. */
   @Test
   void namesEverySiteAsTheMachineDoes() throws IOException {
     List<String> lines;
     try (InputStream in = Sample.class.getResourceAsStream("ClassFileTest$Sample.class")) {
-      lines = ClassFile.read(in).lambdas();
+      lines = ClassFile.read(in).lambdaLines();
     }
     String sample = "gorseladder/app/archive/ClassFileTest$Sample";
     for (String line : List.of(
