--- a/app/src/main/c/build.sh
+++ b/app/src/main/c/build.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Compiles the program that starts the Java machine into the file that is named; leaves none where that fails.
+# Compiles the launcher of the JVM into the file named by the argument; leaves no file if the compiler fails.
 set -eu
 source="$(dirname "$0")/java_launcher.c"
 if ! cc -O2 -Wall -Wextra -Werror -rdynamic -o "$1.new" "$source" -ldl; then
--- a/app/src/main/c/java_launcher.c
+++ b/app/src/main/c/java_launcher.c
@@ -1,16 +1,14 @@
 /*
- * Starts the Java machine as `java` does, with the same arguments, and has the starts of its threads wait where the
- * system has none.
+ * Starts the JVM as `java` does, with the same arguments, and retries thread creation while the system has no thread.
  *
- * The machine starts a dozen threads before any Java code runs. For each it asks the system four times within a few
- * milliseconds and then ends the process with code 1, so that a shortage of 30 ms costs a dispatcher. This program
- * exports a pthread_create of its own, which the machine's libraries find before the C library's: until the program
- * listens for clients it repeats a start that the system refuses (EAGAIN), with pauses that grow, until 20 s after the
- * start of the process. Once the program listens each start is passed on as it is: clients wait then, and the program
- * has its own ways to go on without a new thread.
+ * The JVM creates a dozen threads before any Java code runs. It tries each four times within a few milliseconds and
+ * then exits with code 1, so that a shortage of 30 ms costs a dispatcher. This program exports its own pthread_create,
+ * which the JVM's libraries find before the C library's. Until the process listens for clients, it retries a creation
+ * that fails with EAGAIN, with growing pauses, until 20 s after the start of the process. Once the process listens,
+ * calls are passed on unchanged: clients are waiting then, and the dispatcher handles a missing thread itself.
  *
- * No process is added: signals, exit code and memory are those of `java`. Signals keep their meaning while a start
- * waits. Threads: pthread_create and listen may be called by any thread.
+ * There is no additional process: signals, exit code and memory are those of `java`. Signals are handled as usual while
+ * a creation is retried. pthread_create and listen may be called by any thread.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -25,7 +23,7 @@
 #include <time.h>
 #include <unistd.h>
 
-/* Leaves ten of the thirty seconds in which a dispatcher has to be ready to the start itself. */
+/* A dispatcher has to be ready within 30 s; the start itself needs the other 10 s. */
 #define MOST_WAIT_NANOS 20000000000LL
 #define FIRST_PAUSE_NANOS 1000000L
 #define MOST_PAUSE_NANOS 50000000L
@@ -37,7 +35,7 @@
 typedef int create_function(pthread_t *, const pthread_attr_t *, void *(*)(void *), void *);
 typedef int listen_function(int, int);
 
-/* The arguments of JLI_Launch, by which every program of the JDK starts the machine. */
+/* The signature of JLI_Launch, with which every program of the JDK starts the JVM. */
 typedef int launch_function(int argc, char **argv, int java_argc, const char **java_argv, int class_path_count,
                             const char **class_path, const char *full_version, const char *dot_version,
                             const char *program, const char *launcher, unsigned char java_args,
@@ -62,12 +60,12 @@
   nanosleep(&pause, NULL);
 }
 
-/* One line where the wait was in vain; later starts of threads are refused at once. */
+/* Prints one line when the retries have failed; later thread creations fail at once. */
 static void tell_once(void) {
   if (!atomic_load(&listening) && !atomic_exchange(&told, 1)) {
     static const char line[] = "gorseladder: cannot start: the system had no thread for the Java machine for 20 s\n";
     if (write(STDERR_FILENO, line, sizeof line - 1) < 0) {
-      /* Nobody reads it. */
+      /* Standard error is closed; there is nowhere else to report to. */
     }
   }
 }
@@ -93,7 +91,7 @@
   return next(socket, backlog);
 }
 
-/* The folder of a JDK, of which `folder` holds the program `java` or a link to it; 0 where it does not. */
+/* Finds the home of the JDK whose `java`, or a link to it, is in `folder`. Returns 0 if there is none. */
 static int home_of_java_in(const char *folder, char home[PATH_MAX]) {
   char program[PATH_MAX];
   int length = snprintf(program, sizeof program, "%s/java", folder);
@@ -109,7 +107,7 @@
   return 1;
 }
 
-/* The folder of the JDK whose `java` the path names first; 0 where it names none. */
+/* Finds the home of the JDK whose `java` comes first on PATH. Returns 0 if there is none. */
 static int find_java_home(char home[PATH_MAX]) {
   const char *path = getenv("PATH");
   char *folders = strdup(path ? path : "");
