--- a/app/src/main/java/gorseladder/app/AccountCommand.java
+++ b/app/src/main/java/gorseladder/app/AccountCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** {@code account DIR}: what loads ahead cost and saved, from the folder of a stopped planner. */
+/** {@code account DIR}: prints what loads ahead cost and saved, from the data directory of a stopped planner. */
 @Command(
     name = "account",
     mixinStandardHelpOptions = true,
@@ -27,18 +27,18 @@
   public Integer call() throws IOException {
     if (!Files.exists(directory.resolve("planner.mv"))) {
       System.err.println("gorseladder: " + directory + " holds no planner's store");
-      return Main.BAD_USAGE;
+      return Main.EXIT_BAD_USAGE;
     }
-    LoadAheadSummary sheet = Planner.account(directory);
-    sheet.byFunction().forEach((f, line) -> print(f, line));
-    print("", sheet.all());
-    return Main.GOOD;
+    LoadAheadSummary summary = Planner.account(directory);
+    summary.byFunction().forEach((function, totals) -> print(function, totals));
+    print("", summary.all());
+    return Main.EXIT_OK;
   }
 
-  private static void print(String function, LoadAheadSummary.Totals line) {
+  private static void print(String function, LoadAheadSummary.Totals totals) {
     Map<String, Object> out = new LinkedHashMap<>();
     out.put(function.isEmpty() ? "all" : "function", function.isEmpty() ? true : function);
-    out.putAll(line.values());
+    out.putAll(totals.values());
     System.out.println(Json.write(out));
   }
 }
--- a/app/src/main/java/gorseladder/app/CheckCommand.java
+++ b/app/src/main/java/gorseladder/app/CheckCommand.java
@@ -10,12 +10,12 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code check FILE}. */
+/** {@code check FILE}: validates the settings of an edge or a planner. */
 @Command(
     name = "check",
     mixinStandardHelpOptions = true,
     description = "Check a settings file and name every fault with file, line, field and reason.")
-final class Check implements Callable<Integer> {
+final class CheckCommand implements Callable<Integer> {
   @Parameters(paramLabel = "FILE", description = "Settings in protobuf text format.")
   private Path file;
 
@@ -30,6 +30,6 @@
     if (faults.isEmpty()) {
       System.out.println(file + ": good");
     }
-    return faults.isEmpty() ? Main.GOOD : Main.BAD_USAGE;
+    return faults.isEmpty() ? Main.EXIT_OK : Main.EXIT_BAD_USAGE;
   }
 }
--- a/app/src/main/java/gorseladder/app/DemoCommand.java
+++ b/app/src/main/java/gorseladder/app/DemoCommand.java
@@ -11,14 +11,14 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** {@code demo}: a bad day of about 20 seconds on loopback, and its verdict. */
+/** {@code demo}: plays a day with faults, about 20 seconds long, on loopback and prints the verdict. */
 @Command(
     name = "demo",
     mixinStandardHelpOptions = true,
     description =
         "Play a bad day of about 20 s on loopback: three edges, twelve stand-in runners, list and archive. "
             + "Prints a table and exits 0 only when no rule was broken.")
-final class Demo implements Callable<Integer> {
+final class DemoCommand implements Callable<Integer> {
   @Override
   public Integer call() throws IOException, InterruptedException, DayScript.BadScript {
     try (InputStream in = TestFleet.class.getResourceAsStream("/days/demo.day")) {
@@ -27,11 +27,12 @@
   }
 
   /**
-   * Plays a script with edges in processes of their own and prints the verdict.
+   * Plays a script, each edge in its own process, and prints the verdict.
    *
-   * @param all true where a rule that the day did not test counts as broken
+   * @param requireAllRules whether a rule that the day did not test counts as broken
    */
-  static int play(DayScript script, boolean all) throws IOException, InterruptedException {
+  static int play(DayScript script, boolean requireAllRules)
+      throws IOException, InterruptedException {
     Path directory = Files.createTempDirectory("gorseladder-");
     System.out.println("starting " + script.count("edges") + " edges and " + script.count("runners")
         + " runners; files in " + directory);
@@ -40,10 +41,10 @@
       verdict = new Play(script, fleet).run(System.out);
     }
     verdict.print(System.out);
-    if (all && !verdict.untested().isEmpty()) {
+    if (requireAllRules && !verdict.untested().isEmpty()) {
       System.out.println("BAD: the day showed nothing about rules " + verdict.untested());
-      return Main.BROKEN;
+      return Main.EXIT_CHECK_FAILED;
     }
-    return verdict.good() ? Main.GOOD : Main.BROKEN;
+    return verdict.good() ? Main.EXIT_OK : Main.EXIT_CHECK_FAILED;
   }
 }
--- a/app/src/main/java/gorseladder/app/EdgeCommand.java
+++ b/app/src/main/java/gorseladder/app/EdgeCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** {@code edge FILE}. */
+/** {@code edge FILE}: runs one edge. */
 @Command(
     name = "edge",
     mixinStandardHelpOptions = true,
--- a/app/src/main/java/gorseladder/app/EmulateCommand.java
+++ b/app/src/main/java/gorseladder/app/EmulateCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code emulate}: one fleet in simulated time. */
+/** {@code emulate}: runs one fleet in simulated time. */
 @Command(
     name = "emulate",
     mixinStandardHelpOptions = true,
@@ -24,55 +24,58 @@
   @Option(
       names = "--functions",
       description = "List every function: calls, cold ones and the balance of its loads ahead.")
-  private boolean functions;
+  private boolean listFunctions;
 
   @Override
   public Integer call() throws IOException {
     long began = System.nanoTime();
-    Outcomes o;
+    Outcomes outcomes;
     try {
-      o = EmulatedFleet.run(Experiment.emulation(file), part -> {});
+      outcomes = EmulatedFleet.run(Experiment.emulation(file), part -> {});
     } catch (IllegalArgumentException e) {
       System.err.println("gorseladder: " + e.getMessage());
-      return Main.BAD_USAGE;
+      return Main.EXIT_BAD_USAGE;
     }
-    double seconds = (System.nanoTime() - began) / 1e9;
+    double wallSeconds = (System.nanoTime() - began) / 1e9;
     System.out.printf(
         Locale.ROOT,
         "%,d calls: %,d served, %,d refused, %,d failed; service %.4f (simulated)%n",
-        o.calls(),
-        o.served(),
-        o.refused(),
-        o.failed(),
-        o.service());
+        outcomes.calls(),
+        outcomes.served(),
+        outcomes.refused(),
+        outcomes.failed(),
+        outcomes.service());
     System.out.printf(
         Locale.ROOT,
         "latency ms: mean %.1f, p50 %.1f, p99 %.1f; met no copy %.4f, in first minutes of surges %.4f of %,d%n",
-        o.meanMillis(),
-        o.latencyMillis(50),
-        o.latencyMillis(99),
-        o.coldShare(),
-        o.surgeColdShare(),
-        o.surgeCalls());
+        outcomes.meanMillis(),
+        outcomes.latencyMillis(50),
+        outcomes.latencyMillis(99),
+        outcomes.coldShare(),
+        outcomes.surgeColdShare(),
+        outcomes.surgeCalls());
     System.out.printf(
         Locale.ROOT,
         "%,d fetches, %,d orders of plans; %,d events in %.1f s of this machine%n",
-        o.fetches(),
-        o.aheadOrders(),
-        o.events(),
-        seconds);
-    Balances.print("all", o.balance());
-    if (functions) {
-      o.byFunction().forEach((f, n) -> {
-        System.out.printf(Locale.ROOT, "%-24s %8d calls %8d cold%n", f, n[0], n[1]);
-        if (o.balances().containsKey(f)) {
-          Balances.print("  its loads ahead", o.balances().get(f));
+        outcomes.fetches(),
+        outcomes.aheadOrders(),
+        outcomes.events(),
+        wallSeconds);
+    BalancePrinter.print("all", outcomes.balance());
+    if (listFunctions) {
+      outcomes.byFunction().forEach((function, calls) -> {
+        System.out.printf(Locale.ROOT, "%-24s %8d calls %8d cold%n", function, calls[0], calls[1]);
+        if (outcomes.balances().containsKey(function)) {
+          BalancePrinter.print("  its loads ahead", outcomes.balances().get(function));
         }
       });
     }
-    o.judged()
-        .forEach((what, times) -> System.out.printf(Locale.ROOT, "judged %s: %,d%n", what, times));
-    o.broken().forEach((what, times) -> System.out.printf("BROKEN %s: %d times%n", what, times));
-    return o.broken().isEmpty() ? Main.GOOD : Main.BROKEN;
+    outcomes
+        .judged()
+        .forEach((text, count) -> System.out.printf(Locale.ROOT, "judged %s: %,d%n", text, count));
+    outcomes
+        .broken()
+        .forEach((text, count) -> System.out.printf("BROKEN %s: %d times%n", text, count));
+    return outcomes.broken().isEmpty() ? Main.EXIT_OK : Main.EXIT_CHECK_FAILED;
   }
 }
--- a/app/src/main/java/gorseladder/app/ExperimentCommand.java
+++ b/app/src/main/java/gorseladder/app/ExperimentCommand.java
@@ -16,7 +16,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code experiment}: a grid of emulations over seeds. */
+/** {@code experiment}: runs a grid of emulations over several seeds. */
 @Command(
     name = "experiment",
     mixinStandardHelpOptions = true,
@@ -41,7 +41,7 @@
   @Option(
       names = "--functions",
       description = "List the balance of every function, summed over the seeds, for each cell.")
-  private boolean functions;
+  private boolean listFunctions;
 
   @Override
   public Integer call() throws IOException, InterruptedException {
@@ -51,34 +51,36 @@
       experiment.run(atOnce);
     } catch (IllegalArgumentException e) {
       System.err.println("gorseladder: " + e.getMessage());
-      return Main.BAD_USAGE;
+      return Main.EXIT_BAD_USAGE;
     }
-    for (Measure m : Measure.values()) {
-      System.out.println(m.title());
+    for (Measure measure : Measure.values()) {
+      System.out.println(measure.title());
       experiment.results().forEach((name, all) -> {
-        Interval i = experiment.interval(name, m);
-        System.out.printf(Locale.ROOT, "  %-40s %12.4f +- %.4f%n", name, i.mean(), i.half());
+        Interval interval = experiment.interval(name, measure);
+        System.out.printf(
+            Locale.ROOT, "  %-40s %12.4f +- %.4f%n", name, interval.mean(), interval.half());
       });
       if (plots != null) {
         Files.createDirectories(plots);
-        experiment.plot(m, plots.resolve(m.name().toLowerCase(Locale.ROOT) + ".png"));
+        experiment.plot(measure, plots.resolve(measure.name().toLowerCase(Locale.ROOT) + ".png"));
       }
     }
-    if (functions) {
-      experiment.results().forEach(ExperimentCommand::list);
+    if (listFunctions) {
+      experiment.results().forEach(ExperimentCommand::printBalances);
     }
     return experiment.results().values().stream()
             .flatMap(List::stream)
-            .allMatch(o -> o.broken().isEmpty())
-        ? Main.GOOD
-        : Main.BROKEN;
+            .allMatch(outcomes -> outcomes.broken().isEmpty())
+        ? Main.EXIT_OK
+        : Main.EXIT_CHECK_FAILED;
   }
 
-  private static void list(String cell, List<Outcomes> all) {
+  private static void printBalances(String cell, List<Outcomes> all) {
     Map<String, Outcomes.Balance> sums = new TreeMap<>();
-    all.forEach(o -> o.balances()
+    all.forEach(outcomes -> outcomes
+        .balances()
         .forEach((f, b) -> sums.computeIfAbsent(f, n -> new Outcomes.Balance()).add(b)));
     System.out.println(cell);
-    sums.forEach((f, b) -> Balances.print("  " + f, b));
+    sums.forEach((f, b) -> BalancePrinter.print("  " + f, b));
   }
 }
--- a/app/src/main/java/gorseladder/app/HistoryCommand.java
+++ b/app/src/main/java/gorseladder/app/HistoryCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code history DIR}: the rows of a history that no edge holds open. */
+/** {@code history DIR}: prints the rows of a history that no edge has open. */
 @Command(
     name = "history",
     mixinStandardHelpOptions = true,
@@ -33,35 +33,35 @@
   public Integer call() throws IOException {
     if (!Files.exists(directory.resolve("identity"))) {
       System.err.println("gorseladder: " + directory + " holds no history");
-      return Main.BAD_USAGE;
+      return Main.EXIT_BAD_USAGE;
     }
     try (History history = History.open(directory, History.Bounds.DEFAULT)) {
       History.Batch batch = history.read(from, Integer.MAX_VALUE);
-      batch.rows().forEach(row -> System.out.println(Json.write(line(row))));
-      Map<String, Object> end = new LinkedHashMap<>();
-      end.put("history", history.identity());
-      end.put("from", batch.from());
-      end.put("next", batch.next());
-      System.out.println(Json.write(end));
+      batch.rows().forEach(row -> System.out.println(Json.write(fields(row))));
+      Map<String, Object> summary = new LinkedHashMap<>();
+      summary.put("history", history.identity());
+      summary.put("from", batch.from());
+      summary.put("next", batch.next());
+      System.out.println(Json.write(summary));
     }
-    return Main.GOOD;
+    return Main.EXIT_OK;
   }
 
-  private static Map<String, Object> line(HistoryRow r) {
-    Map<String, Object> line = new LinkedHashMap<>();
-    line.put("from", java.time.Instant.ofEpochSecond(r.startMinute() * 60).toString());
-    line.put("minutes", r.minutes());
-    line.put("function", r.function());
-    line.put("class", r.requestClass());
-    line.put("tenant", r.tenant());
-    line.put("calls", r.calls());
-    line.put("found", r.found());
-    line.put("began", r.began());
-    line.put("awaited", r.awaited());
-    line.put("refused", r.refused());
-    line.put("failed", r.failed());
-    line.put("loads", r.loads());
-    line.put("load_us", r.loadMicros());
-    return line;
+  private static Map<String, Object> fields(HistoryRow row) {
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("from", java.time.Instant.ofEpochSecond(row.startMinute() * 60).toString());
+    fields.put("minutes", row.minutes());
+    fields.put("function", row.function());
+    fields.put("class", row.requestClass());
+    fields.put("tenant", row.tenant());
+    fields.put("calls", row.calls());
+    fields.put("found", row.found());
+    fields.put("began", row.began());
+    fields.put("awaited", row.awaited());
+    fields.put("refused", row.refused());
+    fields.put("failed", row.failed());
+    fields.put("loads", row.loads());
+    fields.put("load_us", row.loadMicros());
+    return fields;
   }
 }
--- a/app/src/main/java/gorseladder/app/Main.java
+++ b/app/src/main/java/gorseladder/app/Main.java
@@ -6,9 +6,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/**
- * The command line. Exit codes: 0 good, 1 a rule was broken or a check failed, 2 bad usage or settings, 3 cannot start.
- */
+/** The command line. The {@code EXIT_} constants are its exit codes. */
 @Command(
     name = "gorseladder",
     mixinStandardHelpOptions = true,
@@ -16,13 +14,13 @@
     description =
         "A gateway that runs signed webhook calls on workers that load functions on demand.",
     subcommands = {
-      Demo.class,
-      Up.class,
+      DemoCommand.class,
+      UpCommand.class,
       EdgeCommand.class,
-      Check.class,
+      CheckCommand.class,
       RunnerCommand.class,
       PlayCommand.class,
-      Sign.class,
+      SignCommand.class,
       HistoryCommand.class,
       PlannerCommand.class,
       NodeCommand.class,
@@ -46,39 +44,42 @@
       "3:cannot start or failed"
     })
 public final class Main {
-  static final int GOOD = 0;
-  static final int BROKEN = 1;
-  static final int BAD_USAGE = 2;
-  static final int CANNOT_START = 3;
+  static final int EXIT_OK = 0;
+  static final int EXIT_CHECK_FAILED = 1;
+  static final int EXIT_BAD_USAGE = 2;
+  static final int EXIT_CANNOT_START = 3;
 
   private Main() {}
 
   /** Runs a command and exits with its code. */
   public static void main(String[] args) throws InterruptedException {
-    LogProvider.choose();
-    // The dispatcher starts on a part of a core, in little memory: the command line's library
-    // stays out of its way.
+    LogProvider.install();
+    // A dispatcher starts on a fraction of a core and in little memory, so that it does not load
+    // picocli.
     System.exit(args.length == 1 && args[0].equals(NodeCommand.NAME) ? NodeMain.run() : run(args));
   }
 
-  /** Runs a command and returns its code. A first word that is no command is bad usage, whatever stands behind it. */
+  /**
+   * Runs a command and returns its exit code. An unknown command is bad usage whatever follows it, also {@code --help}.
+   */
   static int run(String... args) {
-    CommandLine line = new CommandLine(new Main());
+    CommandLine commandLine = new CommandLine(new Main());
     if (args.length > 0
         && !args[0].startsWith("-")
-        && !line.getSubcommands().containsKey(args[0])) {
-      line.getErr()
+        && !commandLine.getSubcommands().containsKey(args[0])) {
+      commandLine
+          .getErr()
           .println("gorseladder: there is no command '" + args[0] + "'; --help lists them");
-      return BAD_USAGE;
+      return EXIT_BAD_USAGE;
     }
-    line.setExecutionExceptionHandler((e, command, parsed) -> {
+    commandLine.setExecutionExceptionHandler((e, command, parsed) -> {
       command.getErr().println("gorseladder: " + (e.getMessage() == null ? e : e.getMessage()));
-      return CANNOT_START;
+      return EXIT_CANNOT_START;
     });
-    return line.execute(args);
+    return commandLine.execute(args);
   }
 
-  /** The version from the package, or the one being built. */
+  /** The versions of this program and of the Java runtime. */
   static final class Version implements CommandLine.IVersionProvider {
     @Override
     public String[] getVersion() {
@@ -86,7 +87,7 @@
     }
   }
 
-  /** {@code version}. */
+  /** {@code version}: prints the versions. */
   @Command(name = "version", mixinStandardHelpOptions = true, description = "Print the version.")
   static final class VersionCommand implements Runnable {
     @Override
--- a/app/src/main/java/gorseladder/app/NodeCommand.java
+++ b/app/src/main/java/gorseladder/app/NodeCommand.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
-/** {@code node}: one live dispatcher of the users' platform. */
+/** {@code node}: runs a dispatcher of the platform, configured by environment variables. */
 @Command(
     name = NodeCommand.NAME,
     mixinStandardHelpOptions = true,
--- a/app/src/main/java/gorseladder/app/PlannerCommand.java
+++ b/app/src/main/java/gorseladder/app/PlannerCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** {@code planner FILE}. */
+/** {@code planner FILE}: runs the planner. */
 @Command(
     name = "planner",
     mixinStandardHelpOptions = true,
--- a/app/src/main/java/gorseladder/app/PlayCommand.java
+++ b/app/src/main/java/gorseladder/app/PlayCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** {@code play FILE}. */
+/** {@code play FILE}: plays the script of a day and judges it. */
 @Command(
     name = "play",
     mixinStandardHelpOptions = true,
@@ -22,10 +22,11 @@
   @Override
   public Integer call() throws IOException, InterruptedException {
     try {
-      return Demo.play(DayScript.parse(Files.readString(file, StandardCharsets.UTF_8)), false);
+      return DemoCommand.play(
+          DayScript.parse(Files.readString(file, StandardCharsets.UTF_8)), false);
     } catch (DayScript.BadScript e) {
       System.err.println(file + ":" + e.getMessage());
-      return Main.BAD_USAGE;
+      return Main.EXIT_BAD_USAGE;
     }
   }
 }
--- a/app/src/main/java/gorseladder/app/RehearseCommand.java
+++ b/app/src/main/java/gorseladder/app/RehearseCommand.java
@@ -12,8 +12,8 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * {@code rehearse}: a live dispatcher, started as the deploy file does, goes through a short day between stand-ins. The
- * build makes of the classes that it uses the archive that dispatchers start with.
+ * {@code rehearse}: makes the class archive that dispatchers start with. A dispatcher, started as the deploy file does,
+ * goes through a short day against stand-ins, and the classes that it uses are archived. The build runs this command.
  */
 @Command(
     name = RehearseCommand.NAME,
@@ -28,20 +28,20 @@
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    Path directory = Files.createTempDirectory("rehearsal");
+    Path workDirectory = Files.createTempDirectory("rehearsal");
     try {
-      List<String> troubles =
-          new ArchiveMaker(Path.of("").toAbsolutePath(), directory).make(archive);
-      troubles.forEach(trouble -> System.err.println("gorseladder: " + trouble));
-      return troubles.isEmpty() ? Main.GOOD : Main.BROKEN;
+      List<String> problems =
+          new ArchiveMaker(Path.of("").toAbsolutePath(), workDirectory).make(archive);
+      problems.forEach(problem -> System.err.println("gorseladder: " + problem));
+      return problems.isEmpty() ? Main.EXIT_OK : Main.EXIT_CHECK_FAILED;
     } finally {
-      delete(directory);
+      delete(workDirectory);
     }
   }
 
-  private static void delete(Path directory) throws IOException {
-    try (Stream<Path> all = Files.walk(directory)) {
-      for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
+  private static void delete(Path workDirectory) throws IOException {
+    try (Stream<Path> paths = Files.walk(workDirectory)) {
+      for (Path path : paths.sorted(Comparator.reverseOrder()).toList()) {
         Files.delete(path);
       }
     }
--- a/app/src/main/java/gorseladder/app/ReplayCommand.java
+++ b/app/src/main/java/gorseladder/app/ReplayCommand.java
@@ -18,7 +18,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code replay}: a recorded history through forecasts, plans and account, beside the same without plans. */
+/** {@code replay}: compares a recorded history on an emulated fleet without and with loads ahead. */
 @Command(
     name = "replay",
     mixinStandardHelpOptions = true,
@@ -46,7 +46,7 @@
     for (Path directory : histories) {
       if (!Files.exists(directory.resolve("identity"))) {
         System.err.println("gorseladder: " + directory + " holds no history");
-        return Main.BAD_USAGE;
+        return Main.EXIT_BAD_USAGE;
       }
       try (History history = History.open(directory, History.Bounds.DEFAULT)) {
         for (HistoryRow row : history.read(0, Integer.MAX_VALUE).rows()) {
@@ -57,45 +57,52 @@
       }
     }
     try {
-      Emulation e = Experiment.emulation(file);
-      Outcomes without =
-          EmulatedFleet.run(e.toBuilder().clearAhead().build(), recording, part -> {});
-      Emulation.Builder planned = e.toBuilder();
-      planned.getAheadBuilder().setMode(Mode.FORECAST);
-      Outcomes with = EmulatedFleet.run(planned.build(), recording, part -> {});
+      Emulation emulation = Experiment.emulation(file);
+      Outcomes unplanned =
+          EmulatedFleet.run(emulation.toBuilder().clearAhead().build(), recording, part -> {});
+      Emulation.Builder builder = emulation.toBuilder();
+      builder.getAheadBuilder().setMode(Mode.FORECAST);
+      Outcomes planned = EmulatedFleet.run(builder.build(), recording, part -> {});
       System.out.printf(
           Locale.ROOT,
           "%,d calls recorded on %d days, the first %d teach only (simulated)%n",
           recording.calls(),
           recording.days(),
-          e.getTeachDays());
-      print("without", without);
-      print("with loads ahead", with);
-      Balances.print("all", with.balance());
-      with.byFunction().forEach((f, n) -> {
-        long[] before = without.byFunction().getOrDefault(f, new long[2]);
+          emulation.getTeachDays());
+      print("without", unplanned);
+      print("with loads ahead", planned);
+      BalancePrinter.print("all", planned.balance());
+      planned.byFunction().forEach((function, calls) -> {
+        long[] unplannedCalls = unplanned.byFunction().getOrDefault(function, new long[2]);
         System.out.printf(
-            Locale.ROOT, "%-32s %8d calls, cold %d without, %d with%n", f, n[0], before[1], n[1]);
-        if (with.balances().containsKey(f)) {
-          Balances.print("  its loads ahead", with.balances().get(f));
+            Locale.ROOT,
+            "%-32s %8d calls, cold %d without, %d with%n",
+            function,
+            calls[0],
+            unplannedCalls[1],
+            calls[1]);
+        if (planned.balances().containsKey(function)) {
+          BalancePrinter.print("  its loads ahead", planned.balances().get(function));
         }
       });
-      return with.broken().isEmpty() && without.broken().isEmpty() ? Main.GOOD : Main.BROKEN;
+      return planned.broken().isEmpty() && unplanned.broken().isEmpty()
+          ? Main.EXIT_OK
+          : Main.EXIT_CHECK_FAILED;
     } catch (IllegalArgumentException e) {
       System.err.println("gorseladder: " + e.getMessage());
-      return Main.BAD_USAGE;
+      return Main.EXIT_BAD_USAGE;
     }
   }
 
-  private static void print(String name, Outcomes o) {
+  private static void print(String name, Outcomes outcomes) {
     System.out.printf(
         Locale.ROOT,
         "%-18s service %.4f, met no copy %.4f, mean %.1f ms, p99 %.1f ms, %.3f fetches a call%n",
         name,
-        o.service(),
-        o.coldShare(),
-        o.meanMillis(),
-        o.latencyMillis(99),
-        o.fetches() / (double) Math.max(1, o.calls()));
+        outcomes.service(),
+        outcomes.coldShare(),
+        outcomes.meanMillis(),
+        outcomes.latencyMillis(99),
+        outcomes.fetches() / (double) Math.max(1, outcomes.calls()));
   }
 }
--- a/app/src/main/java/gorseladder/app/RunnerCommand.java
+++ b/app/src/main/java/gorseladder/app/RunnerCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code runner}: one stand-in runner. */
+/** {@code runner}: runs one stand-in runner. */
 @Command(
     name = "runner",
     mixinStandardHelpOptions = true,
@@ -33,7 +33,7 @@
   private long loadMillis;
 
   @Option(names = "--miss", description = "Answer a miss instead of loading by itself.")
-  private boolean miss;
+  private boolean answerMiss;
 
   @Override
   public Integer call() throws IOException, InterruptedException {
@@ -47,7 +47,7 @@
         workMillis * 1000,
         loadMillis * 1000,
         8_000_000,
-        !miss,
+        !answerMiss,
         true,
         8_000_000,
         new Rules(500_000, 0.2, 6_000_000, 2.5, 1_500_000, 0, 0, 0));
@@ -60,6 +60,6 @@
         line -> System.out.println(Json.write(line)));
     System.out.println(Json.write(Map.of("ready", true, "runner", runner.id())));
     new CountDownLatch(1).await();
-    return Main.GOOD;
+    return Main.EXIT_OK;
   }
 }
--- a/app/src/main/java/gorseladder/app/SabotageCommand.java
+++ b/app/src/main/java/gorseladder/app/SabotageCommand.java
@@ -29,8 +29,9 @@
 import picocli.CommandLine.Option;
 
 /**
- * {@code sabotage}: plants faults into copies of single classes, plays each on its day with those classes before the
- * program's own, and says which the checker of the rules found. The program itself and its jar stay as they are.
+ * {@code sabotage}: mutation tests of the rule checker. Each fault is compiled into copies of a few classes, which come
+ * first on the class path of a process that plays the fault's day; the output says which faults the checker found.
+ * The program itself and its jar are not changed.
  */
 @Command(
     name = "sabotage",
@@ -40,8 +41,8 @@
             + "Exits 1 where one was "
             + "not found.")
 final class SabotageCommand implements Callable<Integer> {
-  private static final long MOST_SECONDS = 120;
-  private static final Pattern BREAK = Pattern.compile("^  rule ([1-5]): ");
+  private static final long MAX_DAY_SECONDS = 120;
+  private static final Pattern VIOLATION_LINE = Pattern.compile("^  rule ([1-5]): ");
 
   @Option(
       names = "--root",
@@ -67,52 +68,52 @@
   private int seeds;
 
   @Option(names = "--none", description = "Also play each day without any fault; it must be good.")
-  private boolean none;
+  private boolean playUnchanged;
 
   @Option(
       names = "--plant",
       description = "Only see that each fault can still be planted; play nothing.")
   private boolean plantOnly;
 
-  private record Outcome(Set<Integer> rules, boolean good, double seconds) {}
+  private record Outcome(Set<Integer> brokenRules, boolean good, double seconds) {}
 
   @Override
   public Integer call() throws IOException, InterruptedException {
     Sabotage.Builder list = Sabotage.newBuilder();
     Path file = faults != null ? faults : root.resolve("testbed/sabotage/faults.txtpb");
-    List<Fault> unread = new ArrayList<>();
-    TextFile.parse(file.toString(), Files.readString(file), list, unread);
-    if (!unread.isEmpty()) {
-      unread.forEach(System.err::println);
-      return Main.BAD_USAGE;
+    List<Fault> errors = new ArrayList<>();
+    TextFile.parse(file.toString(), Files.readString(file), list, errors);
+    if (!errors.isEmpty()) {
+      errors.forEach(System.err::println);
+      return Main.EXIT_BAD_USAGE;
     }
     Map<String, String> days = new LinkedHashMap<>();
-    for (SabotageDay d : list.getDayList()) {
-      days.put(d.getName(), d.getScript());
+    for (SabotageDay day : list.getDayList()) {
+      days.put(day.getName(), day.getScript());
     }
-    boolean all = true;
-    if (none) {
+    boolean passed = true;
+    if (playUnchanged) {
       for (String day : days.keySet()) {
-        Outcome o = play(days.get(day), 0, null);
+        Outcome outcome = play(days.get(day), 0, null);
         System.out.printf(
             Locale.ROOT,
             "%-42s %-10s %-22s %5.0f s%n",
             "(none)",
             day,
-            o.good() ? "good" : "BAD: rules " + o.rules(),
-            o.seconds());
-        all &= o.good();
+            outcome.good() ? "good" : "BAD: rules " + outcome.brokenRules(),
+            outcome.seconds());
+        passed &= outcome.good();
       }
     }
     for (PlantedFault fault : list.getFaultList()) {
       if (fault.getName().contains(only)) {
-        all &= find(fault, days);
+        passed &= isDetected(fault, days);
       }
     }
-    return all ? Main.GOOD : Main.BROKEN;
+    return passed ? Main.EXIT_OK : Main.EXIT_CHECK_FAILED;
   }
 
-  private boolean find(PlantedFault fault, Map<String, String> days)
+  private boolean isDetected(PlantedFault fault, Map<String, String> days)
       throws IOException, InterruptedException {
     if (!days.containsKey(fault.getDay())) {
       throw new IOException(
@@ -125,12 +126,12 @@
     }
     int found = 0;
     double seconds = 0;
-    Set<Integer> rules = new TreeSet<>();
+    Set<Integer> brokenRules = new TreeSet<>();
     for (int seed = 0; seed < seeds; seed++) {
-      Outcome o = play(days.get(fault.getDay()), seed, classes);
-      found += o.rules().contains(fault.getRule()) ? 1 : 0;
-      rules.addAll(o.rules());
-      seconds += o.seconds();
+      Outcome outcome = play(days.get(fault.getDay()), seed, classes);
+      found += outcome.brokenRules().contains(fault.getRule()) ? 1 : 0;
+      brokenRules.addAll(outcome.brokenRules());
+      seconds += outcome.seconds();
     }
     System.out.printf(
         Locale.ROOT,
@@ -140,34 +141,34 @@
         fault.getRule(),
         found,
         seeds,
-        rules.size() > 1 ? ", rules " + rules : "",
+        brokenRules.size() > 1 ? ", rules " + brokenRules : "",
         seconds);
     return 2 * found > seeds;
   }
 
-  /** Compiles the changed classes into a folder of their own. */
+  /** Compiles the changed classes into a new folder and returns it. */
   private Path plant(PlantedFault fault) throws IOException {
     Map<Path, String> changed = new LinkedHashMap<>();
-    for (Edit e : fault.getEditList()) {
-      Path source = root.resolve(e.getFile());
+    for (Edit edit : fault.getEditList()) {
+      Path source = root.resolve(edit.getFile());
       String text = changed.containsKey(source) ? changed.get(source) : Files.readString(source);
-      int at = text.indexOf(e.getFind());
-      if (at < 0 || text.indexOf(e.getFind(), at + 1) >= 0) {
+      int position = text.indexOf(edit.getFind());
+      if (position < 0 || text.indexOf(edit.getFind(), position + 1) >= 0) {
         throw new IOException("fault '" + fault.getName()
-            + "': its text does not stand exactly once in " + e.getFile());
+            + "': its text does not stand exactly once in " + edit.getFile());
       }
       changed.put(
           source,
-          text.substring(0, at)
-              + e.getReplace()
-              + text.substring(at + e.getFind().length()));
+          text.substring(0, position)
+              + edit.getReplace()
+              + text.substring(position + edit.getFind().length()));
     }
     JavaCompiler compiler = ToolProvider.getSystemJavaCompiler();
     if (compiler == null) {
       throw new IOException("planting a fault needs a JDK, and this is none");
     }
-    Path work = Files.createTempDirectory("gorseladder-sabotage-");
-    Path classes = Files.createDirectories(work.resolve("classes"));
+    Path workDirectory = Files.createTempDirectory("gorseladder-sabotage-");
+    Path classes = Files.createDirectories(workDirectory.resolve("classes"));
     List<String> options = new ArrayList<>(List.of(
         "-proc:none",
         "-nowarn",
@@ -176,53 +177,64 @@
         "-d",
         classes.toString()));
     List<Path> sources = new ArrayList<>();
-    for (Map.Entry<Path, String> e : changed.entrySet()) {
-      sources.add(
-          Files.writeString(work.resolve(e.getKey().getFileName().toString()), e.getValue()));
+    for (Map.Entry<Path, String> entry : changed.entrySet()) {
+      sources.add(Files.writeString(
+          workDirectory.resolve(entry.getKey().getFileName().toString()), entry.getValue()));
     }
-    StringWriter said = new StringWriter();
+    StringWriter compilerOutput = new StringWriter();
     try (var files = compiler.getStandardFileManager(null, Locale.ROOT, StandardCharsets.UTF_8)) {
       if (!compiler
-          .getTask(said, files, null, options, null, files.getJavaFileObjectsFromPaths(sources))
+          .getTask(
+              compilerOutput,
+              files,
+              null,
+              options,
+              null,
+              files.getJavaFileObjectsFromPaths(sources))
           .call()) {
         throw new IOException("fault '" + fault.getName() + "' does not compile: "
-            + said.toString().lines().findFirst().orElse(""));
+            + compilerOutput.toString().lines().findFirst().orElse(""));
       }
     }
     return classes;
   }
 
-  /** Plays a day in a process of its own, with those classes before the program's; null for the program as it is. */
+  /**
+   * Plays a day in its own process.
+   *
+   * @param classes a folder that comes first on the class path; null to play the unchanged program
+   */
   private static Outcome play(String script, int seed, Path classes)
       throws IOException, InterruptedException {
-    String own = System.getProperty("java.class.path");
-    Path day = Files.createTempFile("gorseladder-sabotage-", ".day");
-    // A later setting of the same name counts.
-    Files.writeString(day, seed == 0 ? script : script + " seed = " + (1_000 + seed) + ";");
-    Path out = Files.createTempFile("gorseladder-sabotage-", ".txt");
+    String classPath = System.getProperty("java.class.path");
+    Path scriptFile = Files.createTempFile("gorseladder-sabotage-", ".day");
+    // Of two settings with the same name the later one counts.
+    Files.writeString(scriptFile, seed == 0 ? script : script + " seed = " + (1_000 + seed) + ";");
+    Path output = Files.createTempFile("gorseladder-sabotage-", ".txt");
     long began = System.nanoTime();
     Process process = new ProcessBuilder(
             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
             "-Xmx1g",
             "-XX:+UseSerialGC",
             "-cp",
-            classes == null ? own : classes + File.pathSeparator + own,
+            classes == null ? classPath : classes + File.pathSeparator + classPath,
             Main.class.getName(),
             "play",
-            day.toString())
+            scriptFile.toString())
         .redirectErrorStream(true)
-        .redirectOutput(out.toFile())
+        .redirectOutput(output.toFile())
         .start();
-    boolean ended = process.waitFor(MOST_SECONDS, TimeUnit.SECONDS);
+    boolean exited = process.waitFor(MAX_DAY_SECONDS, TimeUnit.SECONDS);
     process.descendants().forEach(ProcessHandle::destroyForcibly);
     process.destroyForcibly();
-    Set<Integer> rules = new TreeSet<>();
-    for (String line : Files.readAllLines(out)) {
-      Matcher m = BREAK.matcher(line);
-      if (m.find()) {
-        rules.add(Integer.parseInt(m.group(1)));
+    Set<Integer> brokenRules = new TreeSet<>();
+    for (String line : Files.readAllLines(output)) {
+      Matcher matcher = VIOLATION_LINE.matcher(line);
+      if (matcher.find()) {
+        brokenRules.add(Integer.parseInt(matcher.group(1)));
       }
     }
-    return new Outcome(rules, ended && process.exitValue() == 0, (System.nanoTime() - began) / 1e9);
+    return new Outcome(
+        brokenRules, exited && process.exitValue() == 0, (System.nanoTime() - began) / 1e9);
   }
 }
--- a/app/src/main/java/gorseladder/app/ScaleCommand.java
+++ b/app/src/main/java/gorseladder/app/ScaleCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code scale}: hollow and real dispatchers over swept sizes. */
+/** {@code scale}: measures hollow dispatchers (no sockets) and real processes over a sweep of sizes. */
 @Command(
     name = "scale",
     mixinStandardHelpOptions = true,
@@ -48,10 +48,10 @@
   public Integer call() throws IOException, InterruptedException {
     ScaleRun settings;
     try {
-      settings = ScaleFile.load(file, Runtime.getRuntime().maxMemory(), machineBytes());
+      settings = ScaleFile.load(file, Runtime.getRuntime().maxMemory(), machineMemoryBytes());
     } catch (IllegalArgumentException e) {
       System.err.println("gorseladder: " + e.getMessage());
-      return Main.BAD_USAGE;
+      return Main.EXIT_BAD_USAGE;
     }
     Scale scale = new Scale(settings, root);
     scale.run();
@@ -62,10 +62,10 @@
       Report.plot(scale, plots);
     }
     scale.slopes().forEach(ScaleCommand::print);
-    boolean good = true;
+    boolean passed = true;
     for (CellResult cell : scale.results()) {
       if (cell.failure() != null) {
-        good = false;
+        passed = false;
         System.out.printf(
             Locale.ROOT,
             "FAILED %s %s %.0f: %s%n",
@@ -75,7 +75,7 @@
             cell.failure());
       }
     }
-    return good ? Main.GOOD : Main.BROKEN;
+    return passed ? Main.EXIT_OK : Main.EXIT_CHECK_FAILED;
   }
 
   private static void print(Slope slope) {
@@ -91,7 +91,7 @@
         slope.exponent());
   }
 
-  private static long machineBytes() {
+  private static long machineMemoryBytes() {
     return ManagementFactory.getOperatingSystemMXBean()
             instanceof com.sun.management.OperatingSystemMXBean machine
         ? machine.getTotalMemorySize()
--- a/app/src/main/java/gorseladder/app/SignCommand.java
+++ b/app/src/main/java/gorseladder/app/SignCommand.java
@@ -10,13 +10,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code sign}: the headers of a webhook, for trying by hand. */
+/** {@code sign}: prints the signature headers of a webhook, for manual calls. */
 @Command(
     name = "sign",
     mixinStandardHelpOptions = true,
     description =
         "Print the three headers that sign a payload, one a line; the payload is a file or standard input.")
-final class Sign implements Callable<Integer> {
+final class SignCommand implements Callable<Integer> {
   @Option(names = "--secret", required = true, description = "whsec_… or whsk_…")
   private String secret;
 
@@ -35,16 +35,16 @@
   @Override
   public Integer call() throws IOException {
     byte[] body = file == null ? System.in.readAllBytes() : Files.readAllBytes(file);
-    long at = timestamp == null ? System.currentTimeMillis() / 1000 : timestamp;
+    long sentAtSeconds = timestamp == null ? System.currentTimeMillis() / 1000 : timestamp;
     try {
-      String signature = Secret.parse(secret).sign(id, at, body);
+      String signature = Secret.parse(secret).sign(id, sentAtSeconds, body);
       System.out.println(Delivery.ID + ": " + id);
-      System.out.println(Delivery.TIMESTAMP + ": " + at);
+      System.out.println(Delivery.TIMESTAMP + ": " + sentAtSeconds);
       System.out.println(Delivery.SIGNATURE + ": " + signature);
-      return Main.GOOD;
+      return Main.EXIT_OK;
     } catch (IllegalArgumentException | IllegalStateException e) {
       System.err.println("gorseladder: --secret: " + e.getMessage());
-      return Main.BAD_USAGE;
+      return Main.EXIT_BAD_USAGE;
     }
   }
 }
--- a/app/src/main/java/gorseladder/app/SoakCommand.java
+++ b/app/src/main/java/gorseladder/app/SoakCommand.java
@@ -19,7 +19,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** {@code soak}: real dispatchers under troubles drawn from a seed. */
+/** {@code soak}: checks real dispatchers under random faults drawn from a seed. */
 @Command(
     name = "soak",
     mixinStandardHelpOptions = true,
@@ -28,7 +28,7 @@
             + "drawn from a seed, and hold "
             + "them to the rules. Exits 1 where a rule was broken.")
 final class SoakCommand implements Callable<Integer> {
-  private static final int MOST_SHOWN = 20;
+  private static final int MAX_PRINTED_FINDINGS = 20;
 
   @Option(
       names = "--seeds",
@@ -71,7 +71,7 @@
   @Option(
       names = "--planted",
       description = "Try the oracle instead: plant one fault after the other; each must be found.")
-  private boolean planted;
+  private boolean plantFaults;
 
   @Option(
       names = "--faults",
@@ -84,7 +84,7 @@
       names = "--edge",
       description =
           "Play days of an edge with a ledger instead: clock steps, a failing disk, kills.")
-  private boolean edge;
+  private boolean edgeSoak;
 
   @Option(
       names = "--cores",
@@ -95,57 +95,61 @@
 
   @Override
   public Integer call() throws IOException, InterruptedException {
-    String[] range = seeds.split("-", 2);
+    String[] firstAndLast = seeds.split("-", 2);
     if (!seeds.matches("[0-9]{1,9}(-[0-9]{1,9})?")
         || processes < 1
         || processes > 40
         || seconds < 6
         || seconds > 600) {
       System.err.println("gorseladder: --seeds, --processes or --seconds is out of range");
-      return Main.BAD_USAGE;
+      return Main.EXIT_BAD_USAGE;
     }
     Path folder = logs == null ? Files.createTempDirectory("gorseladder-soak-") : logs;
-    if (edge) {
-      return edges(Long.parseLong(range[0]), Long.parseLong(range[range.length - 1]), folder);
+    if (edgeSoak) {
+      return runEdges(
+          Long.parseLong(firstAndLast[0]),
+          Long.parseLong(firstAndLast[firstAndLast.length - 1]),
+          folder);
     }
-    if (planted) {
-      return tryOracle(Long.parseLong(range[0]), folder);
+    if (plantFaults) {
+      return runPlantedFaults(Long.parseLong(firstAndLast[0]), folder);
     }
-    int broken = 0;
-    for (long seed = Long.parseLong(range[0]);
-        seed <= Long.parseLong(range[range.length - 1]);
+    int failedSeeds = 0;
+    for (long seed = Long.parseLong(firstAndLast[0]);
+        seed <= Long.parseLong(firstAndLast[firstAndLast.length - 1]);
         seed++) {
       SoakPlan plan = SoakPlan.draw(seed, processes, seconds * 1_000_000L, troubles);
       try (SoakRun run = new SoakRun(
           plan, root.toAbsolutePath().normalize(), folder.resolve("seed" + seed), command())) {
-        broken += print(run.play()) ? 0 : 1;
+        failedSeeds += print(run.play()) ? 0 : 1;
       }
     }
     System.out.println("logs are in " + folder);
-    return broken == 0 ? Main.GOOD : Main.BROKEN;
+    return failedSeeds == 0 ? Main.EXIT_OK : Main.EXIT_CHECK_FAILED;
   }
 
-  /** The run line, within so many cores; null for the run line as it is. */
+  /** The run line of the deploy file, restricted to {@code --cores}; null where all cores may be used. */
   private String command() throws IOException {
     return cores == 0
         ? null
         : RunLine.read(root).replace("exec ", "exec taskset -c 0-" + (cores - 1) + " ");
   }
 
-  private int edges(long first, long last, Path folder) throws IOException, InterruptedException {
+  private int runEdges(long first, long last, Path folder)
+      throws IOException, InterruptedException {
     Files.createDirectories(folder);
     Optional<Preload> preload = Preload.build(folder);
     if (preload.isEmpty()) {
       System.err.println(
           "gorseladder: no C compiler here, so no disk can fail: nothing was played");
-      return Main.CANNOT_START;
+      return Main.EXIT_CANNOT_START;
     }
-    boolean good = true;
+    boolean passed = true;
     for (long seed = first; seed <= last; seed++) {
       EdgeSoak soak =
           new EdgeSoak(seed, seconds * 1_000_000L, folder.resolve("edge" + seed), preload.get());
       EdgeSoak.Result result = soak.play();
-      good &= result.breaks().isEmpty();
+      passed &= result.breaks().isEmpty();
       System.out.printf(
           Locale.ROOT,
           "edge seed %d: %d troubles; %d messages, %d ended served, %d not; %d calls failed; %d breaks%n",
@@ -156,20 +160,22 @@
           result.refused(),
           result.failed(),
           result.breaks().size());
-      result.breaks().stream().limit(MOST_SHOWN).forEach(text -> System.out.println("  " + text));
+      result.breaks().stream()
+          .limit(MAX_PRINTED_FINDINGS)
+          .forEach(text -> System.out.println("  " + text));
       if (!result.breaks().isEmpty()) {
         result.troubles().forEach(text -> System.out.println("    " + text));
       }
     }
-    return good ? Main.GOOD : Main.BROKEN;
+    return passed ? Main.EXIT_OK : Main.EXIT_CHECK_FAILED;
   }
 
-  private int tryOracle(long seed, Path folder) throws IOException, InterruptedException {
-    boolean all = true;
+  private int runPlantedFaults(long seed, Path folder) throws IOException, InterruptedException {
+    boolean allFound = true;
     for (PlantedFault fault : faults) {
       SoakRun.Result result = fault.play(seed, root.toAbsolutePath().normalize(), folder);
       boolean found = fault.isFound(result);
-      all &= found;
+      allFound &= found;
       System.out.printf(
           Locale.ROOT,
           "%-28s %-14s %s, %d findings%n",
@@ -178,7 +184,7 @@
           found ? "found" : "NOT FOUND",
           result.findings().size());
     }
-    return all ? Main.GOOD : Main.BROKEN;
+    return allFound ? Main.EXIT_OK : Main.EXIT_CHECK_FAILED;
   }
 
   private static boolean print(SoakRun.Result result) {
@@ -201,7 +207,8 @@
         result.endsNotJudged(),
         result.troublesFailed(),
         result.findings().size());
-    for (Finding finding : result.findings().stream().limit(MOST_SHOWN).toList()) {
+    for (Finding finding :
+        result.findings().stream().limit(MAX_PRINTED_FINDINGS).toList()) {
       System.out.printf(
           Locale.ROOT,
           "  %.3f s n%d %s: %s%n",
--- a/app/src/main/java/gorseladder/app/UpCommand.java
+++ b/app/src/main/java/gorseladder/app/UpCommand.java
@@ -15,14 +15,14 @@
 import picocli.CommandLine.Option;
 import sun.misc.Signal;
 
-/** {@code up}: a fleet to try against, until it is stopped. */
+/** {@code up}: runs a fleet with stand-in runners until it is stopped. */
 @Command(
     name = "up",
     mixinStandardHelpOptions = true,
     description =
         "Hold edges, stand-in runners, list and archive in the foreground. Prints one line of JSON when ready. "
             + "An edge that is killed is started again at its address; SIGINT or SIGTERM stops all in order.")
-final class Up implements Callable<Integer> {
+final class UpCommand implements Callable<Integer> {
   @Option(
       names = "--edges",
       defaultValue = "1",
@@ -39,7 +39,7 @@
   public Integer call() throws IOException, InterruptedException, DayScript.BadScript {
     if (edges < 1 || edges > 100 || runners < 1 || runners > 500) {
       System.err.println("gorseladder: --edges takes 1 to 100, --runners 1 to 500");
-      return Main.BAD_USAGE;
+      return Main.EXIT_BAD_USAGE;
     }
     Path directory = Files.createTempDirectory("gorseladder-");
     Path runnerLog = directory.resolve("runners.jsonl");
@@ -55,20 +55,20 @@
     DayScript script = DayScript.parse("edges = " + edges + "; runners = " + runners + "; seed = "
         + (System.nanoTime() & 0xffff) + ";");
     try (Writer log = Files.newBufferedWriter(runnerLog);
-        TestFleet fleet = new TestFleet(script, directory, true, line -> write(log, line))) {
+        TestFleet fleet = new TestFleet(script, directory, true, fields -> write(log, fields))) {
       System.out.println(fleet.readyLine(runnerLog.toFile()));
       System.out.flush();
       while (!stop.await(200, TimeUnit.MILLISECONDS)) {
         fleet.restartEnded();
       }
     }
-    return Main.GOOD;
+    return Main.EXIT_OK;
   }
 
-  private static void write(Writer log, java.util.Map<String, Object> line) {
+  private static void write(Writer log, java.util.Map<String, Object> fields) {
     try {
       synchronized (log) {
-        log.write(Json.write(line) + "\n");
+        log.write(Json.write(fields) + "\n");
         log.flush();
       }
     } catch (IOException e) {
--- a/app/src/main/java/gorseladder/app/log/LogConfigurator.java
+++ b/app/src/main/java/gorseladder/app/log/LogConfigurator.java
@@ -11,57 +11,58 @@
 import ch.qos.logback.core.status.NopStatusListener;
 
 /**
- * Sets up the logging of every command: lines on standard error, written by a thread of their own, since standard
- * output belongs to ready lines. Form and level are system properties, which the settings or the command line set
- * before the first logger is made. Where a file is named by logback's own property {@value #FILE}, that file counts.
+ * Configures logging for every command. Lines go to standard error, since standard output is for ready lines, and a
+ * separate thread writes them. Format and level are system properties, which the settings or the command line set
+ * before the first logger is created. A file named by logback's own property {@value #CONFIG_FILE_PROPERTY} takes
+ * precedence.
  *
- * <p>Logback finds this class as a service, unless {@link LogProvider} runs it.
+ * <p>Logback finds this class as a service, unless {@link LogProvider} calls it.
  */
 public final class LogConfigurator extends ContextAwareBase implements Configurator {
-  /** {@value #JSON} for an object a line; anything else for text. */
-  static final String FORM = "gorseladder.log.form";
+  /** {@value #JSON_FORMAT} for one JSON object per line; anything else for text. */
+  static final String FORMAT_PROPERTY = "gorseladder.log.form";
 
-  /** The least level that is written, as logback names it; WARN where it is not set. */
-  static final String LEVEL = "gorseladder.log.level";
+  /** The lowest level that is written, as logback names it; WARN where the property is not set. */
+  static final String LEVEL_PROPERTY = "gorseladder.log.level";
 
-  static final String JSON = "JSON";
-  private static final String FILE = "logback.configurationFile";
+  static final String JSON_FORMAT = "JSON";
+  private static final String CONFIG_FILE_PROPERTY = "logback.configurationFile";
 
-  /** True where a file is to be read instead. */
-  static boolean hasFile() {
-    return System.getProperty(FILE) != null;
+  /** Whether logback is to be configured by a file instead of this class. */
+  static boolean isConfigFileSet() {
+    return System.getProperty(CONFIG_FILE_PROPERTY) != null;
   }
 
   @Override
   public ExecutionStatus configure(LoggerContext context) {
-    if (hasFile()) {
+    if (isConfigFileSet()) {
       return ExecutionStatus.INVOKE_NEXT_IF_ANY;
     }
-    // Without it logback would print what it finds amiss on standard output.
+    // Without this listener logback prints its own warnings and errors on standard output.
     context.getStatusManager().add(new NopStatusListener());
     Encoder<ILoggingEvent> encoder =
-        JSON.equals(System.getProperty(FORM)) ? json() : new TextEncoder();
+        JSON_FORMAT.equals(System.getProperty(FORMAT_PROPERTY)) ? jsonEncoder() : new TextEncoder();
     encoder.setContext(context);
     encoder.start();
     LogWriter writer = new LogWriter(encoder, () -> System.err);
     writer.setContext(context);
     writer.start();
     Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
-    root.setLevel(Level.toLevel(System.getProperty(LEVEL, "WARN")));
+    root.setLevel(Level.toLevel(System.getProperty(LEVEL_PROPERTY, "WARN")));
     root.addAppender(writer);
     return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
   }
 
-  private static JsonEncoder json() {
-    JsonEncoder json = new JsonEncoder();
-    json.setWithContext(false);
-    json.setWithSequenceNumber(false);
-    json.setWithNanoseconds(false);
-    json.setWithMessage(false);
-    json.setWithFormattedMessage(true);
-    json.setWithArguments(false);
-    json.setWithMarkers(false);
-    json.setWithMDC(false);
-    return json;
+  private static JsonEncoder jsonEncoder() {
+    JsonEncoder encoder = new JsonEncoder();
+    encoder.setWithContext(false);
+    encoder.setWithSequenceNumber(false);
+    encoder.setWithNanoseconds(false);
+    encoder.setWithMessage(false);
+    encoder.setWithFormattedMessage(true);
+    encoder.setWithArguments(false);
+    encoder.setWithMarkers(false);
+    encoder.setWithMDC(false);
+    return encoder;
   }
 }
--- a/app/src/main/java/gorseladder/app/log/LogProvider.java
+++ b/app/src/main/java/gorseladder/app/log/LogProvider.java
@@ -14,22 +14,22 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * Logback without the search for its settings: each process that starts would pay for what that search loads and notes
- * down, a dispatcher with a part of a core for longer than any other.
+ * Provides logback without its search for a configuration. The classes that the search loads and the status messages
+ * that it records would slow each start, most of all that of a dispatcher with a fraction of a core.
  */
 public final class LogProvider implements SLF4JServiceProvider {
-  /** The version of the interface that this class is written for, in the form that slf4j compares. */
-  private static final String REQUESTED_API = "2.0.99";
+  /** The version of the slf4j API that this class is written for, in the form that slf4j compares. */
+  private static final String REQUESTED_API_VERSION = "2.0.99";
 
   private final LoggerContext context = new LoggerContext();
   private final IMarkerFactory markers = new BasicMarkerFactory();
-  private final LogbackMDCAdapter diagnostics = new LogbackMDCAdapter();
+  private final LogbackMDCAdapter mdcAdapter = new LogbackMDCAdapter();
 
-  /** Has slf4j use this class; before the first logger is made. What the command line says counts more. */
-  public static void choose() {
+  /** Makes slf4j use this class, unless a system property already names a provider. Call it before the first logger. */
+  public static void install() {
     if (System.getProperty(LoggerFactory.PROVIDER_PROPERTY_KEY) == null) {
       System.setProperty(LoggerFactory.PROVIDER_PROPERTY_KEY, LogProvider.class.getName());
-      // Otherwise it prints a line that says so.
+      // At the default verbosity slf4j prints a line about the provider that was named.
       System.setProperty(Reporter.SLF4J_INTERNAL_VERBOSITY_KEY, "WARN");
     }
   }
@@ -37,16 +37,16 @@
   @Override
   public void initialize() {
     context.setName(CoreConstants.DEFAULT_CONTEXT_NAME);
-    context.setMDCAdapter(diagnostics);
-    if (LogConfigurator.hasFile()) {
-      readFile();
+    context.setMDCAdapter(mdcAdapter);
+    if (LogConfigurator.isConfigFileSet()) {
+      configureFromFile();
     } else {
       new LogConfigurator().configure(context);
     }
     context.start();
   }
 
-  private void readFile() {
+  private void configureFromFile() {
     try {
       new ContextInitializer(context).autoConfig();
     } catch (JoranException e) {
@@ -66,11 +66,11 @@
 
   @Override
   public MDCAdapter getMDCAdapter() {
-    return diagnostics;
+    return mdcAdapter;
   }
 
   @Override
   public String getRequestedApiVersion() {
-    return REQUESTED_API;
+    return REQUESTED_API_VERSION;
   }
 }
--- a/app/src/main/java/gorseladder/app/log/LogWriter.java
+++ b/app/src/main/java/gorseladder/app/log/LogWriter.java
@@ -12,33 +12,33 @@
 import java.util.function.Supplier;
 
 /**
- * Writes logged events on a thread of its own, so that who logs does not wait for whoever reads. With less than a fifth
- * of the places free, events below WARN are dropped; the others wait for a place.
+ * Asynchronous appender: a separate thread writes the events, so that a thread that logs does not wait for a slow
+ * reader of the log. When less than a fifth of the queue is free, events below WARN are dropped; others wait for space.
  *
- * <p>The same as logback's asynchronous appender with one for the console behind it. Those note their settings down as
- * they start, by text that the Java machine makes code for at run time, in each process anew.
+ * <p>Equivalent to logback's asynchronous appender in front of a console appender. Those record their settings at the
+ * start by string concatenation, for which the JVM generates code at run time in each process.
  *
- * <p>Any thread.
+ * <p>Thread-safe.
  */
 final class LogWriter extends UnsynchronizedAppenderBase<ILoggingEvent> {
-  /** Events that wait for their writing at the most. */
-  static final int PLACES = 8_192;
+  /** Events that may wait to be written. */
+  static final int QUEUE_CAPACITY = 8_192;
 
-  /** With fewer places free than this, events below WARN are dropped. */
-  static final int PLACES_KEPT = PLACES / 5;
+  /** When fewer places in the queue are free, events below WARN are dropped. */
+  static final int DISCARDING_THRESHOLD = QUEUE_CAPACITY / 5;
 
-  /** For so long a stop waits until what was logged is written. */
-  private static final long MOST_FLUSH_MILLIS = 1_000;
+  /** How long a stop waits for queued events to be written. */
+  private static final long MAX_FLUSH_MILLIS = 1_000;
 
   private final Encoder<ILoggingEvent> encoder;
   private final Supplier<PrintStream> out;
-  private final BlockingQueue<ILoggingEvent> events = new ArrayBlockingQueue<>(PLACES);
+  private final BlockingQueue<ILoggingEvent> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
   private final Thread thread = new Thread(this::run, "log");
 
   /**
-   * Writes from {@link #start} on.
+   * Creates a writer that {@link #start} starts.
    *
-   * @param out asked for each event where it goes
+   * @param out supplies the stream, called for each event
    */
   LogWriter(Encoder<ILoggingEvent> encoder, Supplier<PrintStream> out) {
     this.encoder = encoder;
@@ -54,7 +54,7 @@
 
   @Override
   protected void append(ILoggingEvent event) {
-    if (events.remainingCapacity() < PLACES_KEPT
+    if (queue.remainingCapacity() < DISCARDING_THRESHOLD
         && !event.getLevel().isGreaterOrEqual(Level.WARN)) {
       return;
     }
@@ -68,10 +68,10 @@
     }
   }
 
-  /** Waits for a place; false where the thread was interrupted instead. */
+  /** Waits for space in the queue; false when the thread is interrupted. */
   private boolean put(ILoggingEvent event) {
     try {
-      events.put(event);
+      queue.put(event);
       return true;
     } catch (InterruptedException e) {
       return false;
@@ -79,19 +79,19 @@
   }
 
   private void run() {
-    List<ILoggingEvent> next = new ArrayList<>();
+    List<ILoggingEvent> batch = new ArrayList<>();
     try {
       while (isStarted()) {
-        next.add(events.take());
-        events.drainTo(next);
-        next.forEach(this::write);
-        next.clear();
+        batch.add(queue.take());
+        queue.drainTo(batch);
+        batch.forEach(this::write);
+        batch.clear();
       }
     } catch (InterruptedException e) {
-      // Stopped; what is left is written below.
+      // The writer is stopped; the remaining events are written below.
     }
-    events.drainTo(next);
-    next.forEach(this::write);
+    queue.drainTo(batch);
+    batch.forEach(this::write);
   }
 
   private void write(ILoggingEvent event) {
@@ -113,7 +113,7 @@
     super.stop();
     thread.interrupt();
     try {
-      thread.join(MOST_FLUSH_MILLIS);
+      thread.join(MAX_FLUSH_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/app/src/main/java/gorseladder/app/log/TextEncoder.java
+++ b/app/src/main/java/gorseladder/app/log/TextEncoder.java
@@ -10,20 +10,21 @@
 import org.slf4j.event.KeyValuePair;
 
 /**
- * A logged event as text, as logback's pattern {@value #PATTERN} writes it, with the stack trace of an error after it.
- * It is no pattern, since setting one up makes 68 lambdas and loads 40 classes in each process that starts.
+ * Encodes an event as text, exactly as logback's pattern {@value #PATTERN} does, followed by the stack trace of an
+ * error. It does not use that pattern, since setting up a pattern creates 68 lambdas and loads 40 classes in each
+ * process.
  *
- * <p>Any thread.
+ * <p>Thread-safe.
  */
 final class TextEncoder extends EncoderBase<ILoggingEvent> {
-  /** The pattern that this equals. */
+  /** The logback pattern with the same output. */
   static final String PATTERN = "%d{HH:mm:ss.SSS} %-5level %logger{0}: %msg %kvp%n";
 
-  private static final byte[] NOTHING = {};
-  /** The longest name of a level, to which the others are filled up. */
+  private static final byte[] EMPTY = {};
+  /** The length of the longest level name, to which the others are padded. */
   private static final int LEVEL_WIDTH = 5;
 
-  private static final int USUAL_LENGTH = 160;
+  private static final int INITIAL_LINE_CHARS = 160;
   private static final int DAY_MILLIS = 86_400_000;
   private static final int HOUR_MILLIS = 3_600_000;
   private static final int MINUTE_MILLIS = 60_000;
@@ -39,23 +40,24 @@
 
   @Override
   public byte[] headerBytes() {
-    return NOTHING;
+    return EMPTY;
   }
 
   @Override
   public byte[] footerBytes() {
-    return NOTHING;
+    return EMPTY;
   }
 
   @Override
   public byte[] encode(ILoggingEvent event) {
-    StringBuilder line = new StringBuilder(USUAL_LENGTH);
+    StringBuilder line = new StringBuilder(INITIAL_LINE_CHARS);
     appendTime(line, event.getTimeStamp());
     line.append(' ');
     String level = event.getLevel().toString();
     line.append(level).append(" ".repeat(LEVEL_WIDTH - level.length())).append(' ');
-    String logger = event.getLoggerName();
-    line.append(logger, logger.lastIndexOf('.') + 1, logger.length()).append(": ");
+    String loggerName = event.getLoggerName();
+    line.append(loggerName, loggerName.lastIndexOf('.') + 1, loggerName.length())
+        .append(": ");
     line.append(event.getFormattedMessage()).append(' ');
     appendPairs(line, event.getKeyValuePairs());
     line.append(CoreConstants.LINE_SEPARATOR);
@@ -65,17 +67,17 @@
     return line.toString().getBytes(Charset.defaultCharset());
   }
 
-  /** The time of day in the machine's zone, with milliseconds. */
+  /** Appends the local time of day with milliseconds. */
   private static void appendTime(StringBuilder line, long unixMillis) {
-    long local = unixMillis + TimeZone.getDefault().getOffset(unixMillis);
-    int millis = Math.floorMod(local, DAY_MILLIS);
-    appendDigits(line, millis / HOUR_MILLIS, 2);
+    long localMillis = unixMillis + TimeZone.getDefault().getOffset(unixMillis);
+    int millisOfDay = Math.floorMod(localMillis, DAY_MILLIS);
+    appendDigits(line, millisOfDay / HOUR_MILLIS, 2);
     line.append(':');
-    appendDigits(line, millis % HOUR_MILLIS / MINUTE_MILLIS, 2);
+    appendDigits(line, millisOfDay % HOUR_MILLIS / MINUTE_MILLIS, 2);
     line.append(':');
-    appendDigits(line, millis % MINUTE_MILLIS / SECOND_MILLIS, 2);
+    appendDigits(line, millisOfDay % MINUTE_MILLIS / SECOND_MILLIS, 2);
     line.append('.');
-    appendDigits(line, millis % SECOND_MILLIS, 3);
+    appendDigits(line, millisOfDay % SECOND_MILLIS, 3);
   }
 
   private static void appendDigits(StringBuilder line, int number, int width) {
@@ -87,10 +89,10 @@
     if (pairs == null) {
       return;
     }
-    String between = "";
+    String separator = "";
     for (KeyValuePair pair : pairs) {
-      line.append(between).append(pair.key).append("=\"").append(pair.value).append('"');
-      between = " ";
+      line.append(separator).append(pair.key).append("=\"").append(pair.value).append('"');
+      separator = " ";
     }
   }
 }
--- a/app/src/test/java/gorseladder/app/MainTest.java
+++ b/app/src/test/java/gorseladder/app/MainTest.java
@@ -12,13 +12,13 @@
   @TempDir
   Path dir;
 
-  /** Asking an unknown command for help must not look as if there were one. */
+  /** Guards against an unknown command with {@code --help} that exits as if the command existed. */
   @Test
   void anUnknownCommandIsBadUsageAlsoWithHelp() {
-    assertEquals(Main.BAD_USAGE, Main.run("plannner", "--help"));
-    assertEquals(Main.BAD_USAGE, Main.run("plannner"));
-    assertEquals(Main.GOOD, Main.run("planner", "--help"));
-    assertEquals(Main.GOOD, Main.run("--help"));
+    assertEquals(Main.EXIT_BAD_USAGE, Main.run("plannner", "--help"));
+    assertEquals(Main.EXIT_BAD_USAGE, Main.run("plannner"));
+    assertEquals(Main.EXIT_OK, Main.run("planner", "--help"));
+    assertEquals(Main.EXIT_OK, Main.run("--help"));
   }
 
   @Test
@@ -26,15 +26,16 @@
     Path file = dir.resolve("x.txtpb");
     Files.writeString(file, "no_such_field: 1\n");
     for (String command : new String[] {"emulate", "experiment"}) {
-      assertEquals(Main.BAD_USAGE, Main.run(command, file.toString()), command);
+      assertEquals(Main.EXIT_BAD_USAGE, Main.run(command, file.toString()), command);
     }
-    assertEquals(Main.BAD_USAGE, Main.run("check", "--planner", file.toString()));
-    assertEquals(Main.BAD_USAGE, Main.run("planner", file.toString()));
-    assertEquals(Main.BAD_USAGE, Main.run("account", dir.toString()));
-    assertEquals(Main.BAD_USAGE, Main.run("replay", file.toString(), "--history", dir.toString()));
+    assertEquals(Main.EXIT_BAD_USAGE, Main.run("check", "--planner", file.toString()));
+    assertEquals(Main.EXIT_BAD_USAGE, Main.run("planner", file.toString()));
+    assertEquals(Main.EXIT_BAD_USAGE, Main.run("account", dir.toString()));
+    assertEquals(
+        Main.EXIT_BAD_USAGE, Main.run("replay", file.toString(), "--history", dir.toString()));
   }
 
-  /** The committed examples can be read. */
+  /** Guards against example files that no longer match the schema. */
   @Test
   void examplesAreSound() throws Exception {
     for (String name : new String[] {"terms-end.txtpb", "hard-cases.txtpb"}) {
--- a/app/src/test/java/gorseladder/app/SabotageTest.java
+++ b/app/src/test/java/gorseladder/app/SabotageTest.java
@@ -6,16 +6,16 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 
-/** The list of faults stays true to the sources, and a quick pick of them is played and found. */
+/** Guards against a list of faults that no longer fits the sources; plays one quick fault, which must be found. */
 class SabotageTest {
   @Test
   void everyFaultCanStillBePlanted() {
-    assertEquals(Main.GOOD, Main.run("sabotage", "--root", "..", "--plant"));
+    assertEquals(Main.EXIT_OK, Main.run("sabotage", "--root", "..", "--plant"));
   }
 
   @Test
   void anEdgeThatAnswersTwiceIsFound() {
-    assertEquals(Main.GOOD, Main.run("sabotage", "--root", "..", "--only", "answered twice"));
+    assertEquals(Main.EXIT_OK, Main.run("sabotage", "--root", "..", "--only", "answered twice"));
   }
 
   @Test
@@ -27,6 +27,6 @@
             + "fault { name: \"f\" rule: 1 day: \"d\" "
             + "edit { file: \"README.md\" find: \"no such text\" replace: \"\" } }");
     assertEquals(
-        Main.CANNOT_START, Main.run("sabotage", "--root", "..", "--faults", list.toString()));
+        Main.EXIT_CANNOT_START, Main.run("sabotage", "--root", "..", "--faults", list.toString()));
   }
 }
--- a/app/src/test/java/gorseladder/app/ScaleCommandTest.java
+++ b/app/src/test/java/gorseladder/app/ScaleCommandTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The scale run from its command line: hollow dispatchers beside processes started by the deploy file's line. */
+/** Runs the scale command with hollow dispatchers and with processes that the run line of the deploy file starts. */
 class ScaleCommandTest {
   @TempDir
   Path directory;
@@ -20,7 +20,7 @@
     int code = Main.run(
         "scale", "../examples/scale-small.txtpb", "--root", "..", "--out", out, "--plots", out);
     List<String> cells = Files.readAllLines(directory.resolve("cells.csv"));
-    assertEquals(Main.GOOD, code, () -> String.join("\n", cells));
+    assertEquals(Main.EXIT_OK, code, () -> String.join("\n", cells));
     assertTrue(cells.stream()
         .anyMatch(row -> row.startsWith("REAL,") && row.contains("CHANGE_IN_FORCE_MILLIS")));
     assertTrue(Files.readAllLines(directory.resolve("slopes.csv")).size() > 1);
@@ -30,6 +30,6 @@
   @Test
   void aFileThatCannotRunIsBadUsage() throws Exception {
     Path file = Files.writeString(directory.resolve("bad.txtpb"), "seed: 1");
-    assertEquals(Main.BAD_USAGE, Main.run("scale", file.toString()));
+    assertEquals(Main.EXIT_BAD_USAGE, Main.run("scale", file.toString()));
   }
 }
--- a/app/src/test/java/gorseladder/app/log/LogConfiguratorTest.java
+++ b/app/src/test/java/gorseladder/app/log/LogConfiguratorTest.java
@@ -16,21 +16,21 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What a process says on standard error, by the properties that it is started with. */
+/** Checks what a process logs on standard error for the system properties that it is started with. */
 class LogConfiguratorTest {
-  private static final String TEXT = "\\d\\d:\\d\\d:\\d\\d\\.\\d{3} ";
+  private static final String TIME_PATTERN = "\\d\\d:\\d\\d:\\d\\d\\.\\d{3} ";
 
   @TempDir
   Path dir;
 
-  /** A process that logs a line of each level, by way of the command line's main class or without it. */
-  static final class Speaker {
-    private Speaker() {}
+  /** Main class of a process that logs one line per level, with {@link LogProvider} or without it. */
+  static final class LoggingProcess {
+    private LoggingProcess() {}
 
-    /** {@code direct} for a process that does not choose the provider. */
+    /** Takes {@code direct} for a process that does not install the provider. */
     public static void main(String[] args) throws InterruptedException {
       if (!args[0].equals("direct")) {
-        LogProvider.choose();
+        LogProvider.install();
       }
       Logger log = LoggerFactory.getLogger(Main.class);
       log.debug("some {}", "detail");
@@ -45,12 +45,12 @@
     }
   }
 
-  private List<String> says(String how, String... properties) throws Exception {
+  private List<String> linesLogged(String setUp, String... properties) throws Exception {
     List<String> command = new ArrayList<>(
         List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
     command.addAll(List.of(properties));
-    command.addAll(
-        List.of("-cp", System.getProperty("java.class.path"), Speaker.class.getName(), how));
+    command.addAll(List.of(
+        "-cp", System.getProperty("java.class.path"), LoggingProcess.class.getName(), setUp));
     Path err = dir.resolve("err");
     Path out = dir.resolve("out");
     ProcessBuilder builder = new ProcessBuilder(command);
@@ -69,32 +69,33 @@
     }
   }
 
-  /** Guards against a level or form that is told and not used, by both ways to set logging up. */
+  /** Guards against a level or format that is set and not used, for both ways to set up logging. */
   @Test
   void levelAndFormAreThoseOfTheProperties() throws Exception {
-    for (String how : List.of("chosen", "direct")) {
-      assertMatches(List.of(TEXT + "WARN  Main: trouble "), says(how));
+    for (String setUp : List.of("chosen", "direct")) {
+      assertMatches(List.of(TIME_PATTERN + "WARN  Main: trouble "), linesLogged(setUp));
       assertMatches(
           List.of(
-              TEXT + "DEBUG Main: some detail ",
-              TEXT + "INFO  Main: news id=\"a7\"",
-              TEXT + "WARN  Main: trouble "),
-          says(how, "-Dgorseladder.log.level=DEBUG", "-Dgorseladder.log.form=TEXT"));
+              TIME_PATTERN + "DEBUG Main: some detail ",
+              TIME_PATTERN + "INFO  Main: news id=\"a7\"",
+              TIME_PATTERN + "WARN  Main: trouble "),
+          linesLogged(setUp, "-Dgorseladder.log.level=DEBUG", "-Dgorseladder.log.form=TEXT"));
       assertMatches(
           List.of(
               json("INFO", "news", ",\"kvpList\": \\[\\{\"id\":\"a7\"\\}\\]"),
               json("WARN", "trouble", "")),
-          says(how, "-Dgorseladder.log.level=INFO", "-Dgorseladder.log.form=JSON"));
+          linesLogged(setUp, "-Dgorseladder.log.level=INFO", "-Dgorseladder.log.form=JSON"));
     }
   }
 
-  private static String json(String level, String message, String more) {
+  private static String json(String level, String message, String keyValues) {
     return "\\{\"timestamp\":\\d+,\"level\":\"" + level + "\",\"threadName\":\"main\","
-        + "\"loggerName\":\"gorseladder.app.Main\"" + more + ",\"formattedMessage\":\"" + message
+        + "\"loggerName\":\"gorseladder.app.Main\"" + keyValues + ",\"formattedMessage\":\""
+        + message
         + "\"" + ".*\\}";
   }
 
-  /** Guards against a file of logback's that is named and not read. */
+  /** Guards against a logback configuration file that is named and not read. */
   @Test
   void aFileThatIsNamedCounts() throws Exception {
     Path file = dir.resolve("own.xml");
@@ -107,9 +108,10 @@
           <root level="INFO"><appender-ref ref="A"/></root>
         </configuration>
         """);
-    for (String how : List.of("chosen", "direct")) {
+    for (String setUp : List.of("chosen", "direct")) {
       assertEquals(
-          List.of("own news", "own trouble"), says(how, "-Dlogback.configurationFile=" + file));
+          List.of("own news", "own trouble"),
+          linesLogged(setUp, "-Dlogback.configurationFile=" + file));
     }
   }
 }
--- a/app/src/test/java/gorseladder/app/log/LogWriterTest.java
+++ b/app/src/test/java/gorseladder/app/log/LogWriterTest.java
@@ -20,11 +20,11 @@
 
 class LogWriterTest {
   private final LoggerContext context = new LoggerContext();
-  private final CountDownLatch reads = new CountDownLatch(1);
-  private final CountDownLatch writes = new CountDownLatch(1);
+  private final CountDownLatch readerResumes = new CountDownLatch(1);
+  private final CountDownLatch writeStarted = new CountDownLatch(1);
   private final ByteArrayOutputStream written = new ByteArrayOutputStream();
 
-  /** Standard error with a reader that reads nothing at first. */
+  /** Stands for standard error with a reader that at first reads nothing. */
   private final PrintStream stream = new PrintStream(new OutputStream() {
     @Override
     public void write(int one) {
@@ -33,9 +33,9 @@
 
     @Override
     public void write(byte[] bytes, int from, int count) {
-      writes.countDown();
+      writeStarted.countDown();
       try {
-        assertTrue(reads.await(20, TimeUnit.SECONDS));
+        assertTrue(readerResumes.await(20, TimeUnit.SECONDS));
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -45,7 +45,7 @@
 
   private final LogWriter writer = new LogWriter(new MessageEncoder(), () -> stream);
 
-  /** The message and a line feed. */
+  /** Encodes an event as its message and a line feed. */
   private static final class MessageEncoder extends EncoderBase<ILoggingEvent> {
     @Override
     public byte[] headerBytes() {
@@ -73,7 +73,10 @@
         new LoggingEvent("", context.getLogger("x"), level, message, null, new Object[0]));
   }
 
-  /** Stops, and returns the lines once there are so many; a stop waits for a second only, however busy the machine. */
+  /**
+   * Stops the writer, waits until {@code count} lines are written and returns them. The stop itself waits at most one
+   * second, which may be too short on a busy machine.
+   */
   private List<String> linesAfterStop(int count) throws InterruptedException {
     writer.stop();
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
@@ -83,30 +86,30 @@
     return written.toString().lines().toList();
   }
 
-  /** Guards against lines lost at the end of a process, and lines out of order. */
+  /** Guards against lines that are lost at the end of a process or out of order. */
   @Test
   void aStopWritesWhatWasLogged() throws InterruptedException {
     writer.start();
-    reads.countDown();
+    readerResumes.countDown();
     log(Level.INFO, "first");
     log(Level.DEBUG, "second");
     assertEquals(List.of("first", "second"), linesAfterStop(2));
   }
 
-  /** Guards against a call that waits for a reader of its log: the last places are kept for warnings. */
+  /** Guards against calls that wait for a slow reader of the log: the last places are kept for warnings. */
   @Test
   void whereNobodyReadsOnlyWarningsTakeTheLastPlaces() throws InterruptedException {
     writer.start();
     log(Level.INFO, "in hand");
-    assertTrue(writes.await(20, TimeUnit.SECONDS));
-    int kept = LogWriter.PLACES - LogWriter.PLACES_KEPT + 1;
-    for (int i = 0; i < LogWriter.PLACES; i++) {
+    assertTrue(writeStarted.await(20, TimeUnit.SECONDS));
+    int acceptedInfos = LogWriter.QUEUE_CAPACITY - LogWriter.DISCARDING_THRESHOLD + 1;
+    for (int i = 0; i < LogWriter.QUEUE_CAPACITY; i++) {
       log(Level.INFO, "info");
     }
     log(Level.WARN, "warning");
-    reads.countDown();
-    List<String> lines = linesAfterStop(1 + kept + 1);
-    assertEquals(1 + kept + 1, lines.size());
-    assertEquals("warning", lines.get(kept + 1));
+    readerResumes.countDown();
+    List<String> lines = linesAfterStop(1 + acceptedInfos + 1);
+    assertEquals(1 + acceptedInfos + 1, lines.size());
+    assertEquals("warning", lines.get(acceptedInfos + 1));
   }
 }
--- a/app/src/test/java/gorseladder/app/log/TextEncoderTest.java
+++ b/app/src/test/java/gorseladder/app/log/TextEncoderTest.java
@@ -14,17 +14,17 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.event.KeyValuePair;
 
-/** Lines that people and programs read stay as logback's pattern writes them. */
+/** Guards against log lines that differ from those of the logback pattern, which programs may parse. */
 class TextEncoderTest {
-  /** Before 1970, around both changes of summer time in Berlin, and at both ends of a day. */
+  /** Times before 1970, at both daylight saving changes in Berlin and at both ends of a day. */
   private static final long[] UNIX_MILLIS = {
     -2, 0, 1_711_846_799_999L, 1_711_846_800_000L, 1_729_990_800_000L, 1_796_342_399_999L
   };
 
   private final LoggerContext context = new LoggerContext();
   private final PatternLayout pattern = new PatternLayout();
-  private final TextEncoder text = new TextEncoder();
-  private final TimeZone zone = TimeZone.getDefault();
+  private final TextEncoder encoder = new TextEncoder();
+  private final TimeZone defaultZone = TimeZone.getDefault();
 
   @BeforeEach
   void start() {
@@ -32,12 +32,12 @@
     pattern.setContext(context);
     pattern.setPattern(TextEncoder.PATTERN);
     pattern.start();
-    text.start();
+    encoder.start();
   }
 
   @AfterEach
   void stop() {
-    TimeZone.setDefault(zone);
+    TimeZone.setDefault(defaultZone);
   }
 
   private LoggingEvent event(String logger, Level level, long unixMillis, Throwable error) {
@@ -47,32 +47,32 @@
     return event;
   }
 
-  private void assertSame(LoggingEvent event) {
-    assertEquals(pattern.doLayout(event), new String(text.encode(event)));
+  private void assertMatchesPattern(LoggingEvent event) {
+    assertEquals(pattern.doLayout(event), new String(encoder.encode(event)));
   }
 
-  /** Guards against another time of day, level or name of the logger in a line. */
+  /** Guards against a line whose time of day, level or logger name differs. */
   @Test
   void aLineIsThatOfThePattern() {
     for (Level level : List.of(Level.ERROR, Level.WARN, Level.INFO, Level.DEBUG, Level.TRACE)) {
       for (String logger : List.of("gorseladder.node.Node", "Node", "a.b.C$D", "ROOT")) {
         for (long unixMillis : UNIX_MILLIS) {
-          assertSame(event(logger, level, unixMillis, null));
+          assertMatchesPattern(event(logger, level, unixMillis, null));
         }
       }
     }
   }
 
-  /** Guards against a field of a call or a part of a stack trace that is left out. */
+  /** Guards against a key-value pair or a part of a stack trace that is missing. */
   @Test
   void fieldsAndErrorsAreThoseOfThePattern() {
     Exception error = new IllegalStateException("outer", new RuntimeException("inner"));
     error.addSuppressed(new Exception("beside"));
     LoggingEvent event = event("a.B", Level.ERROR, UNIX_MILLIS[2], error);
-    assertSame(event);
+    assertMatchesPattern(event);
     event.addKeyValuePair(new KeyValuePair("id", "\"quoted\""));
     event.addKeyValuePair(new KeyValuePair("ms", 5));
     event.addKeyValuePair(new KeyValuePair("none", null));
-    assertSame(event);
+    assertMatchesPattern(event);
   }
 }
