--- a/soak/src/main/java/gorseladder/soak/FaultProxy.java
+++ b/soak/src/main/java/gorseladder/soak/FaultProxy.java
@@ -19,39 +19,39 @@
 import java.util.concurrent.Executors;
 
 /**
- * Passes connections on to a stand-in, and can hold up what passes, reset what is open, refuse what is new or let it
- * come up late. Two threads a connection. Any thread.
+ * Forwards connections to a backend; it can hold bytes back, reset open connections, refuse new ones or delay their
+ * establishment. Two threads per connection. Thread-safe.
  */
 final class FaultProxy implements Closeable {
-  private static final int BUFFER = 16_384;
-  private static final int STACK = 128 << 10;
+  private static final int BUFFER_BYTES = 16_384;
+  private static final int STACK_BYTES = 128 << 10;
   private static final int BACKLOG = 256;
   private static final ExecutorService THREADS = Executors.newCachedThreadPool(task -> {
-    Thread thread = new Thread(null, task, "soak", STACK);
+    Thread thread = new Thread(null, task, "soak", STACK_BYTES);
     thread.setDaemon(true);
     return thread;
   });
-  private static final int BLOCKED_MILLIS = 60;
+  private static final int BLOCKER_CONNECT_MILLIS = 60;
   /**
-   * Another socket of the loopback may be given a port that is free for a moment; it is tried again for about a second.
+   * A port that is free for a moment may be given to another loopback socket; binding is retried for about a second.
    */
-  private static final int MOST_BINDS = 100;
+  private static final int MAX_BIND_RETRIES = 100;
 
   private static final int BIND_PAUSE_MILLIS = 10;
 
   private final InetSocketAddress target;
   private final int port;
-  private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+  private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
   private final List<Evidence.Span> holds = new ArrayList<>();
   private final List<Socket> blockers = new ArrayList<>();
   private volatile ServerSocket server;
   private volatile long holdUntil;
-  private volatile long accepted;
+  private volatile long acceptedCount;
   private volatile long firstAnswerDelay;
-  private volatile long lateSince;
+  private volatile long blockedSince;
   private volatile boolean closed;
 
-  /** A proxy on a free port of the loopback. */
+  /** Creates a proxy on a free port of the loopback interface. */
   FaultProxy(InetSocketAddress target) throws IOException {
     this.target = target;
     server = listen(0, BACKLOG);
@@ -66,19 +66,17 @@
     return listening;
   }
 
-  /** Where it listens. */
+  /** The address on which the proxy listens. */
   InetSocketAddress address() {
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
   }
 
-  /** Connections accepted so far. */
-  long accepted() {
-    return accepted;
+  /** The number of connections accepted so far. */
+  long acceptedCount() {
+    return acceptedCount;
   }
 
-  /**
-   * Runs a task on a thread of the soak's own; threads are used again, since connections come and go by the hundred.
-   */
+  /** Runs a task on a pooled thread; threads are reused because connections come and go by the hundred. */
   static void start(String name, Runnable task) {
     THREADS.execute(() -> {
       Thread.currentThread().setName(name);
@@ -86,7 +84,7 @@
     });
   }
 
-  private static void pause() throws IOException {
+  private static void pauseBeforeBind() throws IOException {
     try {
       Thread.sleep(BIND_PAUSE_MILLIS);
     } catch (InterruptedException e) {
@@ -98,51 +96,51 @@
     start("proxy-accept", () -> {
       try {
         while (true) {
-          Socket near = from.accept();
-          accepted++;
-          join(near);
+          Socket client = from.accept();
+          acceptedCount++;
+          forward(client);
         }
       } catch (IOException e) {
-        // Closed.
+        // The server socket was closed.
       }
     });
   }
 
-  private void join(Socket near) {
-    Socket far = new Socket();
-    open.add(near);
-    open.add(far);
+  private void forward(Socket client) {
+    Socket backend = new Socket();
+    openSockets.add(client);
+    openSockets.add(backend);
     start("proxy-connect", () -> {
       try {
-        far.connect(target);
-        near.setTcpNoDelay(true);
-        far.setTcpNoDelay(true);
-        start("proxy-back", () -> passBack(far, near));
-        pass(near, far);
+        backend.connect(target);
+        client.setTcpNoDelay(true);
+        backend.setTcpNoDelay(true);
+        start("proxy-back", () -> copyAnswers(backend, client));
+        copy(client, backend);
       } catch (IOException e) {
-        reset(near);
-        reset(far);
+        reset(client);
+        reset(backend);
       }
     });
   }
 
-  /** Passes answers on, the first one of a connection only after the delay set. */
-  private void passBack(Socket far, Socket near) {
+  /** Forwards answers, the first one of a connection only after the configured delay. */
+  private void copyAnswers(Socket backend, Socket client) {
     try {
       Thread.sleep(firstAnswerDelay / 1_000);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    pass(far, near);
+    copy(backend, client);
   }
 
-  private void pass(Socket from, Socket to) {
-    byte[] buffer = new byte[BUFFER];
+  private void copy(Socket from, Socket to) {
+    byte[] buffer = new byte[BUFFER_BYTES];
     try {
       InputStream in = from.getInputStream();
       OutputStream out = to.getOutputStream();
       for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
-        await();
+        awaitHoldEnd();
         out.write(buffer, 0, count);
       }
       to.shutdownOutput();
@@ -151,15 +149,15 @@
       reset(to);
     }
     if (from.isInputShutdown() || to.isClosed()) {
-      forget(from);
+      removeSocket(from);
     }
   }
 
-  private void forget(Socket socket) {
-    open.remove(socket);
+  private void removeSocket(Socket socket) {
+    openSockets.remove(socket);
   }
 
-  private void await() throws IOException {
+  private void awaitHoldEnd() throws IOException {
     try {
       for (long left = holdUntil - Clock.micros(); left > 0; left = holdUntil - Clock.micros()) {
         Thread.sleep(Math.max(1, left / 1_000));
@@ -170,12 +168,12 @@
   }
 
   private void reset(Socket socket) {
-    open.remove(socket);
+    openSockets.remove(socket);
     try {
       socket.setSoLinger(true, 0);
       socket.close();
     } catch (IOException e) {
-      // It has ended.
+      // The socket has already ended.
     }
   }
 
@@ -184,7 +182,7 @@
     firstAnswerDelay = micros;
   }
 
-  /** Holds up all bytes for so long. */
+  /** Holds all bytes back for this long. */
   void hold(long micros) {
     long now = Clock.micros();
     synchronized (holds) {
@@ -193,54 +191,54 @@
     holdUntil = Math.max(holdUntil, now + micros);
   }
 
-  /** By how much what passes now may have been held up; more than needed rather than less. */
-  long heldUp(long at) {
+  /** Returns an upper bound of the delay of bytes that pass at a moment; it may be too high but is never too low. */
+  long maxDelayAt(long at) {
     synchronized (holds) {
       return holds.stream()
-          .filter(span -> at >= span.from() && at <= span.to() + BLOCKED_MILLIS * 1_000L)
+          .filter(span -> at >= span.from() && at <= span.to() + BLOCKER_CONNECT_MILLIS * 1_000L)
           .mapToLong(span -> span.to() - span.from())
           .sum();
     }
   }
 
-  /** Resets every connection. */
+  /** Resets all connections. */
   void resetAll() {
-    List.copyOf(open).forEach(this::reset);
+    List.copyOf(openSockets).forEach(this::reset);
   }
 
   /** Refuses new connections. */
-  void refuse() throws IOException {
+  void refuseConnections() throws IOException {
     server.close();
   }
 
-  /** Takes new connections again. */
-  void takeAgain() throws IOException {
-    for (int tries = 0; !closed && server.isClosed(); tries++) {
+  /** Accepts connections again. */
+  void acceptAgain() throws IOException {
+    for (int retries = 0; !closed && server.isClosed(); retries++) {
       try {
         server = listen(port, BACKLOG);
         accept(server);
       } catch (BindException e) {
-        if (tries > MOST_BINDS) {
+        if (retries > MAX_BIND_RETRIES) {
           throw e;
         }
-        pause();
+        pauseBeforeBind();
       }
     }
   }
 
-  /** Has new connections come up late: the system leaves them without an answer until {@link #comeUp}. */
-  void comeUpLate() throws IOException {
-    lateSince = Clock.micros();
+  /** Delays new connections: the operating system leaves them unanswered until {@link #unblockConnections}. */
+  void blockConnections() throws IOException {
+    blockedSince = Clock.micros();
     server.close();
-    for (int tries = 0; server.isClosed(); tries++) {
+    for (int retries = 0; server.isClosed(); retries++) {
       try {
         server = listen(port, 1);
       } catch (BindException e) {
-        // Another socket of the loopback was given the port for a moment.
-        if (tries > MOST_BINDS) {
+        // Another loopback socket was given the port for a moment.
+        if (retries > MAX_BIND_RETRIES) {
           throw e;
         }
-        pause();
+        pauseBeforeBind();
       }
     }
     synchronized (blockers) {
@@ -248,20 +246,20 @@
         while (true) {
           Socket blocker = new Socket();
           blockers.add(blocker);
-          blocker.connect(address(), BLOCKED_MILLIS);
+          blocker.connect(address(), BLOCKER_CONNECT_MILLIS);
         }
       } catch (SocketTimeoutException e) {
-        // Its queue is full.
+        // The listen queue is full.
       }
     }
   }
 
-  /** Lets connections that wait come up. */
-  void comeUp() throws IOException {
-    // The system may have let one connection up, and holds what is written on it until it is
-    // accepted here.
+  /** Lets waiting connections be established. */
+  void unblockConnections() throws IOException {
+    // The operating system may have established one connection, and keeps what is written on it
+    // until it is accepted here.
     synchronized (holds) {
-      holds.add(new Evidence.Span(lateSince, Clock.micros()));
+      holds.add(new Evidence.Span(blockedSince, Clock.micros()));
     }
     synchronized (blockers) {
       for (Socket blocker : blockers) {
--- a/soak/src/test/java/gorseladder/soak/CrowdTest.java
+++ b/soak/src/test/java/gorseladder/soak/CrowdTest.java
@@ -18,13 +18,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Crowds of clients at one dispatcher, and what the usual clients see of it. */
+/** Crowds of clients at one dispatcher, and their effect on the usual clients. */
 class CrowdTest {
-  private static final int ALL = 1_000;
-  /** What a stop leaves of the time to the earliest kill where only silent clients and half requests are left. */
-  private static final long LEFT_MILLIS = 180;
+  private static final int EVERY_CALL = 1_000;
+  /** Time that a stop leaves until the earliest kill where only silent clients and partial requests remain. */
+  private static final long MIN_TIME_LEFT_MILLIS = 180;
 
-  private static final Pattern STOPPED = Pattern.compile(" stops after ([0-9]+) ms");
+  private static final Pattern STOP_LINE = Pattern.compile(" stops after ([0-9]+) ms");
 
   @TempDir
   Path dir;
@@ -45,7 +45,7 @@
     }
   }
 
-  private Socket join() throws IOException {
+  private Socket connect() throws IOException {
     Socket socket = new Socket();
     socket.connect(dispatcher.process.listen(), 1_000);
     crowd.add(socket);
@@ -53,128 +53,132 @@
   }
 
   /**
-   * Incident-1: a crowd of clients that say nothing, and no thread can be started for seconds. What the usual clients
-   * ask on their open connections and on new ones is answered in time by the threads that are there.
+   * A crowd of silent clients comes while no thread can be started for seconds. The existing threads still answer in
+   * time what the usual clients send on open connections and on new ones.
    */
   @Test
   void aCrowdWhileNoThreadCanBeStartedCostsNoAnswer() throws Exception {
-    dispatcher.set(Fault.THREAD_RATE, ALL);
+    dispatcher.set(Fault.THREAD_RATE, EVERY_CALL);
     for (int i = 0; i < 60; i++) {
-      join();
+      connect();
       if (i % 20 == 19) {
-        dispatcher.process.clients().reconnect();
+        dispatcher.process.clients().closeIdleConnections();
         Thread.sleep(700);
       }
     }
     Thread.sleep(1_500);
     dispatcher.set(Fault.THREAD_RATE, 0);
-    assertEquals(List.of(), dispatcher.judge(), dispatcher::said);
+    assertEquals(List.of(), dispatcher.judge(), dispatcher::logText);
   }
 
   /**
-   * Incident-1, plays 2 and 3: while no thread could be started the connections to runners took those of clients that
-   * left and kept them, until what clients asked waited for seconds with nobody to read it.
+   * While no thread could be started, connections to runners took the threads of clients that left and kept them, until
+   * requests waited for seconds without a thread to read them.
    */
   @Test
   void idleConnectionsToRunnersGiveTheirThreadsToClientsThatAsk() throws Exception {
     dispatcher.close();
     dispatcher = new OneDispatcher(Files.createDirectory(dir.resolve("many")), 12);
-    dispatcher.set(Fault.THREAD_RATE, ALL);
-    dispatcher.runners.forEach(runner -> runner.slowerBy(100));
+    dispatcher.set(Fault.THREAD_RATE, EVERY_CALL);
+    dispatcher.runners.forEach(runner -> runner.setExtraWorkMillis(100));
     for (int i = 0; i < 80; i++) {
       if (i < 60) {
-        join();
+        connect();
       }
-      dispatcher.process.clients().reconnect();
+      dispatcher.process.clients().closeIdleConnections();
       Thread.sleep(50);
     }
     Thread.sleep(1_500);
     dispatcher.set(Fault.THREAD_RATE, 0);
-    assertEquals(List.of(), dispatcher.judge(), dispatcher::said);
+    assertEquals(List.of(), dispatcher.judge(), dispatcher::logText);
   }
 
-  /** Clients that asked once and stay give their threads to those that ask. */
+  /** Clients that keep their connection open after one request give their threads to clients with requests. */
   @Test
   void clientsThatRestGiveTheirThreadsToClientsThatAsk() throws Exception {
-    dispatcher.set(Fault.THREAD_RATE, ALL);
+    dispatcher.set(Fault.THREAD_RATE, EVERY_CALL);
     for (int i = 0; i < 60; i++) {
-      Crowd.askOnce(join());
-      dispatcher.process.clients().reconnect();
+      Crowd.askIfLive(connect());
+      dispatcher.process.clients().closeIdleConnections();
       Thread.sleep(50);
     }
     Thread.sleep(1_000);
     dispatcher.set(Fault.THREAD_RATE, 0);
-    assertEquals(List.of(), dispatcher.judge(), dispatcher::said);
+    assertEquals(List.of(), dispatcher.judge(), dispatcher::logText);
   }
 
   /**
-   * While no thread can be started, calls whose runner has no connection were refused unsent within milliseconds (49 of
-   * 166 here), though connections that carried nothing held threads and gave them up a moment later.
+   * While no thread could be started, calls whose runner had no connection were refused unsent within milliseconds (49
+   * of 166 here), though idle connections held threads that they gave up a moment later.
    */
   @Test
   void aCallWhoseRunnerHasNoConnectionWaitsForAThread() throws Exception {
     dispatcher.close();
     dispatcher = new OneDispatcher(Files.createDirectory(dir.resolve("many")), 12);
-    dispatcher.set(Fault.THREAD_RATE, ALL);
-    dispatcher.runners.forEach(runner -> runner.slowerBy(100));
-    long since = Clock.micros();
+    dispatcher.set(Fault.THREAD_RATE, EVERY_CALL);
+    dispatcher.runners.forEach(runner -> runner.setExtraWorkMillis(100));
+    long startedAt = Clock.micros();
     for (int i = 0; i < 80; i++) {
-      Crowd.askOnce(join());
+      Crowd.askIfLive(connect());
       if (i % 5 == 0) {
         dispatcher.runners.forEach(runner -> runner.proxy().resetAll());
       }
-      dispatcher.process.clients().reconnect();
+      dispatcher.process.clients().closeIdleConnections();
       Thread.sleep(50);
     }
     Thread.sleep(1_500);
     dispatcher.set(Fault.THREAD_RATE, 0);
-    assertEquals(List.of(), dispatcher.judge(), dispatcher::said);
-    List<Evidence.Asked> asked =
-        dispatcher.evidence.requests().stream().filter(r -> r.sentAt > since).toList();
-    long refused = asked.stream()
+    assertEquals(List.of(), dispatcher.judge(), dispatcher::logText);
+    List<Evidence.ClientRequest> requests = dispatcher.evidence.requests().stream()
+        .filter(r -> r.sentAt > startedAt)
+        .toList();
+    long refused = requests.stream()
         .filter(r -> r.refused() && dispatcher.evidence.attempts(r.id).isEmpty())
         .count();
-    assertEquals(0, refused, () -> "refused unsent, of " + asked.size());
+    assertEquals(0, refused, () -> "refused unsent, of " + requests.size());
   }
 
-  /** 190 connections, under a third of the descriptors told, each with 32 requests whose body lacks its end. */
+  /**
+   * 190 connections, fewer than a third of the descriptors that the configuration names, carry 32 requests each whose
+   * body lacks its end.
+   */
   @Test
   void halfSentRequestsOfACrowdCostNoOtherClientItsAnswer() throws Exception {
     for (int i = 0; i < 190; i++) {
-      Crowd.sendHalves(join());
+      Crowd.sendPartialRequests(connect());
     }
     for (int i = 0; i < 40; i++) {
       crowd.remove(0).close();
-      Crowd.sendHalves(join());
+      Crowd.sendPartialRequests(connect());
       Thread.sleep(50);
     }
     Thread.sleep(1_500);
     dispatcher.process.stop(0);
-    assertEquals(List.of(), dispatcher.judge(), dispatcher::said);
+    assertEquals(List.of(), dispatcher.judge(), dispatcher::logText);
   }
 
   /**
-   * A dispatcher whose clients stay, silent or with half requests, had not ended at the earliest kill: its stop waited
-   * for them until 150 ms before, and on a busy machine the end of a process takes longer.
+   * A dispatcher whose clients stayed, silent or with partial requests, was still running at the earliest kill: its
+   * stop waited for them until 150 ms before it, and on a busy machine the end of a process takes longer.
    */
   @Test
   void aStopWaitsForNoClientThatIsOwedNothing() throws Exception {
     for (int i = 0; i < 20; i++) {
-      join();
-      Crowd.sendHalves(join());
+      connect();
+      Crowd.sendPartialRequests(connect());
     }
     dispatcher.process.stop(0);
-    Matcher stopped = STOPPED.matcher(dispatcher.said());
-    assertTrue(stopped.find(), dispatcher::said);
-    long kill = (SoakConfig.LONGEST_DEADLINE + SoakConfig.KILL_MARGIN) / 1_000;
+    Matcher stopped = STOP_LINE.matcher(dispatcher.logText());
+    assertTrue(stopped.find(), dispatcher::logText);
+    long kill = (SoakConfig.MAX_DEADLINE_MICROS + SoakConfig.KILL_GRACE_MICROS) / 1_000;
     long left = kill - Long.parseLong(stopped.group(1));
-    assertTrue(left >= LEFT_MILLIS, "only " + left + " ms were left");
-    assertEquals(List.of(), dispatcher.judge(), dispatcher::said);
+    assertTrue(left >= MIN_TIME_LEFT_MILLIS, "only " + left + " ms were left");
+    assertEquals(List.of(), dispatcher.judge(), dispatcher::logText);
   }
 
   /**
-   * Soak seed 931: a crowd came while the process stood still, and new connections of usual clients behind it. They
-   * were accepted long after the process went on, and their requests counted as new then.
+   * A crowd connected while the process was paused, and usual clients behind it (soak seed 931). Their connections were
+   * accepted long after the process resumed, and their requests counted as new only then.
    */
   @Test
   void whatCameBehindACrowdDuringAPauseCountsFromThePause() throws Exception {
@@ -182,14 +186,14 @@
       long from = Clock.micros();
       dispatcher.process.signal("STOP");
       for (int i = 0; i < 500; i++) {
-        join().close();
+        connect().close();
       }
-      dispatcher.process.clients().reconnect();
+      dispatcher.process.clients().closeIdleConnections();
       Thread.sleep(900);
       dispatcher.process.signal("CONT");
-      dispatcher.evidence.pause(0, new Evidence.Span(from, Clock.micros()));
+      dispatcher.evidence.addPause(0, new Evidence.Span(from, Clock.micros()));
       Thread.sleep(1_000);
     }
-    assertEquals(List.of(), dispatcher.judge(), dispatcher::said);
+    assertEquals(List.of(), dispatcher.judge(), dispatcher::logText);
   }
 }
--- a/testbed/src/main/java/gorseladder/testbed/LagMeter.java
+++ b/testbed/src/main/java/gorseladder/testbed/LagMeter.java
@@ -6,22 +6,22 @@
 import java.util.concurrent.ConcurrentSkipListMap;
 
 /**
- * Measures by how much this machine lets threads wait for a processor, as the oversleep of short sleeps, and when. A
- * call passes about ten threads on its way, so a checker that judges times must not blame an edge for what the machine
- * added around that moment. Any thread may ask.
+ * Records when and for how long the machine makes threads wait for a processor, measured as the oversleep of short
+ * sleeps. A call passes through about ten threads, so a checker of times must not blame an edge for a delay that the
+ * machine added around that moment. Queries are thread-safe.
  */
 public final class LagMeter implements AutoCloseable {
   private static final long SLEEP_MILLIS = 2;
-  private static final int HOPS = 10;
-  /** Oversleeps below this are what every sleep has. */
-  private static final long USUAL = 500;
-  /** A moment is judged with what was measured within this time of it, either way. */
-  private static final long AROUND = 250_000;
+  private static final int HANDOVERS_PER_CALL = 10;
+  /** Every sleep may oversleep by this much; shorter delays are not recorded. */
+  private static final long NORMAL_OVERSLEEP_MICROS = 500;
+  /** A query covers the delays measured within this time before and after its moment. */
+  private static final long WINDOW_MICROS = 250_000;
 
   private final ConcurrentSkipListMap<Long, Long> lags = new ConcurrentSkipListMap<>();
   private volatile boolean closed;
 
-  /** Begins to measure. */
+  /** Starts the measuring thread. */
   public LagMeter() {
     Threads.start("lag", 64 << 10, this::run);
   }
@@ -35,22 +35,25 @@
         return;
       }
       long lag = Clock.micros() - began - SLEEP_MILLIS * 1000;
-      if (lag > USUAL) {
+      if (lag > NORMAL_OVERSLEEP_MICROS) {
         lags.put(began, lag);
       }
     }
   }
 
-  /** What the machine may have added to a call around that moment ({@link Clock#micros()}), in microseconds. */
+  /**
+   * Returns the microseconds that the machine may have added to a call around the given time ({@link
+   * Clock#micros()}).
+   */
   public long callLagAt(long at) {
-    long most = USUAL;
-    // A long stall is found by its end.
-    for (Map.Entry<Long, Long> e = lags.floorEntry(at + AROUND);
-        e != null && e.getKey() + e.getValue() >= at - AROUND;
+    long maxLag = NORMAL_OVERSLEEP_MICROS;
+    // A long stall that began before the window counts if it ended within it.
+    for (Map.Entry<Long, Long> e = lags.floorEntry(at + WINDOW_MICROS);
+        e != null && e.getKey() + e.getValue() >= at - WINDOW_MICROS;
         e = lags.lowerEntry(e.getKey())) {
-      most = Math.max(most, e.getValue());
+      maxLag = Math.max(maxLag, e.getValue());
     }
-    return HOPS * most;
+    return HANDOVERS_PER_CALL * maxLag;
   }
 
   @Override
--- a/testbed/src/main/java/gorseladder/testbed/StandInPlanner.java
+++ b/testbed/src/main/java/gorseladder/testbed/StandInPlanner.java
@@ -23,12 +23,12 @@
 import java.util.TreeSet;
 
 /**
- * A planner gone wrong: at each ask it wants every function held at every worker it ever heard of, also at those that
- * drain, died or just started, all at once and by every edge; now and then its plan is absurd, of an older epoch, or
- * its answer is no answer.
+ * A faulty planner for tests. Its plans hold every function on every worker that it ever heard of, also on those that
+ * drain, have died or have just started, all at once and for each edge. Some of its plans have absurd numbers or an
+ * older epoch, and some of its answers are errors or cannot be parsed.
  */
 public final class StandInPlanner implements Closeable {
-  private static final long PATIENCE = 60_000_000;
+  private static final long TIMEOUT_MICROS = 60_000_000;
   private static final int STACK = 256 << 10;
 
   private final List<String> functions;
@@ -38,7 +38,7 @@
   private long version;
   private long plans;
 
-  /** A planner that wants these functions everywhere. */
+  /** Creates a planner that places these functions on all workers. */
   public StandInPlanner(List<String> functions, long seed) throws IOException {
     this.functions = List.copyOf(functions);
     this.random = new Random(seed);
@@ -46,12 +46,11 @@
         new InetSocketAddress("127.0.0.1", 0), "stand-in-planner", STACK, this::serve);
   }
 
-  /** Where it listens. */
   public String address() {
     return "127.0.0.1:" + server.address().getPort();
   }
 
-  /** Plans given out. */
+  /** Returns the number of plans sent. */
   public synchronized long planCount() {
     return plans;
   }
@@ -59,10 +58,10 @@
   private void serve(SocketChannel channel) throws IOException {
     HttpConnection c = new HttpConnection(channel, HttpLimits.INTERNAL);
     try {
-      while (c.awaitMessage(Clock.micros() + PATIENCE)) {
-        Head head = c.readRequest(Clock.micros() + PATIENCE);
-        byte[] body =
-            c.readBody(BodyParser.forRequest(head, HttpLimits.INTERNAL), Clock.micros() + PATIENCE);
+      while (c.awaitMessage(Clock.micros() + TIMEOUT_MICROS)) {
+        Head head = c.readRequest(Clock.micros() + TIMEOUT_MICROS);
+        byte[] body = c.readBody(
+            BodyParser.forRequest(head, HttpLimits.INTERNAL), Clock.micros() + TIMEOUT_MICROS);
         c.write(answer(Ask.parseFrom(body)));
       }
     } catch (BadMessage e) {
@@ -72,21 +71,23 @@
 
   private synchronized byte[] answer(Ask ask) {
     ask.getWorkerList().stream().map(Worker::getName).forEach(workers::add);
-    int mood = random.nextInt(20);
-    if (mood == 0) {
+    int responseKind = random.nextInt(20);
+    if (responseKind == 0) {
       return HeadWriter.response(200).with(new byte[] {1, 2, 3});
     }
-    if (mood == 1) {
+    if (responseKind == 1) {
       return HeadWriter.response(503).with(new byte[0]);
     }
-    Plan.Builder plan =
-        Plan.newBuilder().setEpoch(mood == 2 ? 1 : 2).setVersion(++version).setLivesMs(30_000);
+    Plan.Builder plan = Plan.newBuilder()
+        .setEpoch(responseKind == 2 ? 1 : 2)
+        .setVersion(++version)
+        .setLivesMs(30_000);
     for (String f : functions) {
       for (String w : workers) {
         plan.addItem(Item.newBuilder()
             .setWorker(w)
             .setFunction(f)
-            .setCopies(mood == 3 ? 9_999 : 1 + random.nextInt(2))
+            .setCopies(responseKind == 3 ? 9_999 : 1 + random.nextInt(2))
             .setLanes(1)
             .setFromMs(0)
             .setUntilMs(20_000)
