--- a/node/src/main/java/gorseladder/node/runners/LinkConnection.java
+++ b/node/src/main/java/gorseladder/node/runners/LinkConnection.java
@@ -171,7 +171,7 @@
       }
     }
     if (request.isEnded()) {
-      // It was given up during the hand-over, before this connection could be told.
+      // It was given up during the hand-over, when this connection had nothing to remove yet.
       drop(request);
     }
     return true;
