--- a/app/src/main/java/gorseladder/app/EmulateCommand.java
+++ b/app/src/main/java/gorseladder/app/EmulateCommand.java
@@ -28,7 +28,7 @@
 
   @Override
   public Integer call() throws IOException {
-    long began = System.nanoTime();
+    long startNanos = System.nanoTime();
     Outcomes outcomes;
     try {
       outcomes = EmulatedFleet.run(Experiment.emulation(file), part -> {});
@@ -36,7 +36,7 @@
       System.err.println("gorseladder: " + e.getMessage());
       return Main.EXIT_BAD_USAGE;
     }
-    double wallSeconds = (System.nanoTime() - began) / 1e9;
+    double wallSeconds = (System.nanoTime() - startNanos) / 1e9;
     System.out.printf(
         Locale.ROOT,
         "%,d calls: %,d served, %,d refused, %,d failed; service %.4f (simulated)%n",
--- a/app/src/main/java/gorseladder/app/ExperimentCommand.java
+++ b/app/src/main/java/gorseladder/app/ExperimentCommand.java
@@ -55,7 +55,7 @@
     }
     for (Measure measure : Measure.values()) {
       System.out.println(measure.title());
-      experiment.results().forEach((name, all) -> {
+      experiment.results().forEach((name, outcomes) -> {
         Interval interval = experiment.interval(name, measure);
         System.out.printf(
             Locale.ROOT, "  %-40s %12.4f +- %.4f%n", name, interval.mean(), interval.half());
@@ -75,11 +75,12 @@
         : Main.EXIT_CHECK_FAILED;
   }
 
-  private static void printBalances(String cell, List<Outcomes> all) {
+  private static void printBalances(String cell, List<Outcomes> outcomesBySeed) {
     Map<String, Outcomes.Balance> sums = new TreeMap<>();
-    all.forEach(outcomes -> outcomes
+    outcomesBySeed.forEach(outcomes -> outcomes
         .balances()
-        .forEach((f, b) -> sums.computeIfAbsent(f, n -> new Outcomes.Balance()).add(b)));
+        .forEach((function, balance) ->
+            sums.computeIfAbsent(function, key -> new Outcomes.Balance()).add(balance)));
     System.out.println(cell);
     sums.forEach((f, b) -> BalancePrinter.print("  " + f, b));
   }
--- a/app/src/main/java/gorseladder/app/SabotageCommand.java
+++ b/app/src/main/java/gorseladder/app/SabotageCommand.java
@@ -211,7 +211,7 @@
     // Of two settings with the same name the later one counts.
     Files.writeString(scriptFile, seed == 0 ? script : script + " seed = " + (1_000 + seed) + ";");
     Path output = Files.createTempFile("gorseladder-sabotage-", ".txt");
-    long began = System.nanoTime();
+    long startNanos = System.nanoTime();
     Process process = new ProcessBuilder(
             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
             "-Xmx1g",
@@ -235,6 +235,6 @@
       }
     }
     return new Outcome(
-        brokenRules, exited && process.exitValue() == 0, (System.nanoTime() - began) / 1e9);
+        brokenRules, exited && process.exitValue() == 0, (System.nanoTime() - startNanos) / 1e9);
   }
 }
--- a/app/src/main/java/gorseladder/app/bench/EdgeCalls.java
+++ b/app/src/main/java/gorseladder/app/bench/EdgeCalls.java
@@ -81,13 +81,13 @@
   /** Runs a closed loop, in which each caller waits for its answer, and returns the served calls per second. */
   double closedLoopRate(int kind, int callers, int seconds) throws InterruptedException {
     AtomicInteger served = new AtomicInteger();
-    long began = Clock.micros();
-    long until = began + seconds * 1_000_000L;
+    long startMicros = Clock.micros();
+    long deadlineMicros = startMicros + seconds * 1_000_000L;
     List<Thread> threads = new ArrayList<>();
     for (int i = 0; i < callers; i++) {
       Random random = new Random(i);
       threads.add(Threads.start("caller", STACK_BYTES, () -> {
-        while (Clock.micros() < until) {
+        while (Clock.micros() < deadlineMicros) {
           served.addAndGet(call(kind, random) == 200 ? 1 : 0);
         }
       }));
@@ -95,23 +95,23 @@
     for (Thread thread : threads) {
       thread.join();
     }
-    return served.get() * 1e6 / (Clock.micros() - began);
+    return served.get() * 1e6 / (Clock.micros() - startMicros);
   }
 
-  private int exchange(String peer, InetSocketAddress address, byte[] request)
+  private int exchange(String peerName, InetSocketAddress address, byte[] request)
       throws IOException, BadMessage {
     ArrayDeque<HttpConnection> pool =
-        idleConnections.computeIfAbsent(peer, p -> new ArrayDeque<>());
+        idleConnections.computeIfAbsent(peerName, key -> new ArrayDeque<>());
     HttpConnection connection;
     synchronized (pool) {
       connection = pool.pollLast();
     }
     connection =
         connection == null ? HttpConnection.open(address, 2_000, HttpLimits.INTERNAL) : connection;
-    long until = Clock.micros() + 10_000_000;
+    long deadlineMicros = Clock.micros() + 10_000_000;
     connection.write(request);
-    Head head = connection.readResponse(until);
-    connection.readBody(BodyParser.forResponse(head, HttpLimits.INTERNAL), until);
+    Head head = connection.readResponse(deadlineMicros);
+    connection.readBody(BodyParser.forResponse(head, HttpLimits.INTERNAL), deadlineMicros);
     if (head.keepsConnection()) {
       synchronized (pool) {
         pool.addLast(connection);
--- a/app/src/main/java/gorseladder/app/bench/ForecastBench.java
+++ b/app/src/main/java/gorseladder/app/bench/ForecastBench.java
@@ -198,12 +198,12 @@
     for (long slot = 0; slot < rounds; slot++) {
       Map<String, Integer> calls = new HashMap<>();
       names.forEach(name -> calls.put(name, 3 + random.nextInt(5)));
-      long began = System.nanoTime();
+      long startNanos = System.nanoTime();
       forecasts.observe(slot, calls);
       for (String name : names) {
         forecasts.forecast(name, slot + 1);
       }
-      tookNanos += System.nanoTime() - began;
+      tookNanos += System.nanoTime() - startNanos;
     }
     System.gc();
     long bytesAfter = Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
--- a/app/src/main/java/gorseladder/app/bench/HistoryBench.java
+++ b/app/src/main/java/gorseladder/app/bench/HistoryBench.java
@@ -47,26 +47,26 @@
   private static void measureSegments(boolean print) throws IOException {
     Path directory = Files.createTempDirectory("gorseladder-bench-");
     History.Bounds bounds = new History.Bounds(4 << 20, 20_160, 1L << 30);
-    long began = System.nanoTime();
+    long startNanos = System.nanoTime();
     try (History history = History.open(directory, bounds)) {
       for (long minute = 0; minute < MINUTES; minute++) {
         history.append(rowsOf(minute));
         history.force();
       }
     }
-    long writeNanos = System.nanoTime() - began;
-    began = System.nanoTime();
+    long writeNanos = System.nanoTime() - startNanos;
+    startNanos = System.nanoTime();
     int rows;
     try (History history = History.open(directory, bounds)) {
       rows = history.read(0, Integer.MAX_VALUE).rows().size();
     }
-    report(print, "segments", directory, rows, writeNanos, System.nanoTime() - began);
+    report(print, "segments", directory, rows, writeNanos, System.nanoTime() - startNanos);
   }
 
   private static void measureMvStore(boolean print) throws IOException {
     Path directory = Files.createTempDirectory("gorseladder-bench-");
     String file = directory.resolve("history.mv").toString();
-    long began = System.nanoTime();
+    long startNanos = System.nanoTime();
     long next = 0;
     try (MVStore store =
         new MVStore.Builder().fileName(file).autoCommitDisabled().open()) {
@@ -79,15 +79,15 @@
         store.sync();
       }
     }
-    long writeNanos = System.nanoTime() - began;
-    began = System.nanoTime();
+    long writeNanos = System.nanoTime() - startNanos;
+    startNanos = System.nanoTime();
     int rows = 0;
     try (MVStore store = new MVStore.Builder().fileName(file).readOnly().open()) {
       for (byte[] bytes : store.<Long, byte[]>openMap("rows").values()) {
         rows += bytes.length > 0 ? 1 : 0;
       }
     }
-    report(print, "MVStore", directory, rows, writeNanos, System.nanoTime() - began);
+    report(print, "MVStore", directory, rows, writeNanos, System.nanoTime() - startNanos);
   }
 
   private static void report(
--- a/app/src/main/java/gorseladder/app/bench/LatencyBench.java
+++ b/app/src/main/java/gorseladder/app/bench/LatencyBench.java
@@ -121,23 +121,24 @@
     Histogram histogram = new Histogram(60_000_000L, 3);
     ThreadPoolExecutor threads = Threads.pool("open", 4_000, STACK_BYTES);
     Random random = new Random(7);
-    double nextAt = Clock.micros() + 50_000;
-    double end = nextAt + durationSeconds * 1e6;
-    while (nextAt < end) {
-      long waitMicros = (long) nextAt - Clock.micros();
+    double nextAtMicros = Clock.micros() + 50_000;
+    double endMicros = nextAtMicros + durationSeconds * 1e6;
+    while (nextAtMicros < endMicros) {
+      long waitMicros = (long) nextAtMicros - Clock.micros();
       if (waitMicros > 0) {
         Thread.sleep(waitMicros / 1000, (int) (waitMicros % 1000) * 1000);
       }
-      long intendedAt = (long) nextAt;
+      long intendedAtMicros = (long) nextAtMicros;
       long seed = random.nextLong();
       threads.execute(() -> {
         if (calls.call(kind, new Random(seed)) == 200) {
           synchronized (histogram) {
-            histogram.recordValue(Math.max(1, Math.min(60_000_000L, Clock.micros() - intendedAt)));
+            histogram.recordValue(
+                Math.max(1, Math.min(60_000_000L, Clock.micros() - intendedAtMicros)));
           }
         }
       });
-      nextAt += -Math.log(1 - random.nextDouble()) * 1e6 / rate;
+      nextAtMicros += -Math.log(1 - random.nextDouble()) * 1e6 / rate;
     }
     threads.shutdown();
     threads.awaitTermination(20, TimeUnit.SECONDS);
--- a/app/src/main/java/gorseladder/app/bench/LedgerBench.java
+++ b/app/src/main/java/gorseladder/app/bench/LedgerBench.java
@@ -51,14 +51,14 @@
   private static void measureSameSecond(int records) throws IOException {
     try (Ledger ledger = Ledger.open(
         Files.createTempDirectory("gorseladder-bench-").resolve("ledger"), false, 5_000_000)) {
-      long secondAt = Clock.wallMicros() / 1_000_000 * 1_000_000;
-      long lastTenthBegan = 0;
-      long began = Clock.micros();
+      long secondStartMicros = Clock.wallMicros() / 1_000_000 * 1_000_000;
+      long lastTenthStartMicros = 0;
+      long startMicros = Clock.micros();
       for (int n = 0; n < records; n++) {
         if (n == records - records / 10) {
-          lastTenthBegan = Clock.micros();
+          lastTenthStartMicros = Clock.micros();
         }
-        long acceptedAt = secondAt + n % 1_000_000;
+        long acceptedAtMicros = secondStartMicros + n % 1_000_000;
         String message = "/hooks/portal msg_" + n;
         String request = "/hooks/portal v1," + n * 0x9E3779B97F4A7C15L;
         if (ledger.get(message) != null || ledger.containsRequest(request)) {
@@ -69,26 +69,26 @@
             new LedgerEntry(
                 Stage.ACCEPTED,
                 false,
-                acceptedAt,
+                acceptedAtMicros,
                 0,
-                acceptedAt + 86_400_000_000L,
+                acceptedAtMicros + 86_400_000_000L,
                 new byte[16],
                 "",
                 0,
                 null),
             request,
-            secondAt + 2 * TOLERANCE_MICROS);
+            secondStartMicros + 2 * TOLERANCE_MICROS);
         if (n % 32 == 0) {
           ledger.await(ticket);
         }
       }
-      long ended = Clock.micros();
+      long endMicros = Clock.micros();
       System.out.printf(
           Locale.ROOT,
           "%,9d deliveries of one second: %5.1f us each, the last tenth %5.1f us%n",
           records,
-          (ended - began) / (double) records,
-          (ended - lastTenthBegan) / (records / 10.0));
+          (endMicros - startMicros) / (double) records,
+          (endMicros - lastTenthStartMicros) / (records / 10.0));
     }
   }
 
@@ -119,13 +119,13 @@
       }
       ledger.await(ticket);
     }
-    long began = Clock.micros();
+    long startMicros = Clock.micros();
     try (Ledger ledger = Ledger.open(folder, false, 5_000_000)) {
       System.out.printf(
           Locale.ROOT,
           "%,d messages with answers opened in %,d ms%n",
           ledger.size(),
-          (Clock.micros() - began) / 1000);
+          (Clock.micros() - startMicros) / 1000);
     }
   }
 
@@ -134,32 +134,32 @@
     for (int round = 0; round < 3; round++) {
       SplittableRandom random = new SplittableRandom(1);
       long bytesBefore = usedBytes();
-      long began = Clock.micros();
+      long startMicros = Clock.micros();
       DigestTable table = new DigestTable();
       for (int i = 0; i < ENTRIES; i++) {
         table.put(random.nextLong(), random.nextLong(), i);
       }
-      long putMicros = Clock.micros() - began;
-      began = Clock.micros();
+      long putMicros = Clock.micros() - startMicros;
+      startMicros = Clock.micros();
       int found = 0;
       for (int i = 0; i < ENTRIES; i++) {
         found += table.get(random.nextLong(), random.nextLong()) >= 0 ? 1 : 0;
       }
-      long missMicros = Clock.micros() - began;
+      long missMicros = Clock.micros() - startMicros;
       long bytes = usedBytes() - bytesBefore;
       random = new SplittableRandom(1);
       bytesBefore = usedBytes();
-      began = Clock.micros();
+      startMicros = Clock.micros();
       Map<Key, Integer> hashMap = new HashMap<>();
       for (int i = 0; i < ENTRIES; i++) {
         hashMap.put(new Key(random.nextLong(), random.nextLong()), i);
       }
-      long hashMapPutMicros = Clock.micros() - began;
-      began = Clock.micros();
+      long hashMapPutMicros = Clock.micros() - startMicros;
+      startMicros = Clock.micros();
       for (int i = 0; i < ENTRIES; i++) {
         found += hashMap.containsKey(new Key(random.nextLong(), random.nextLong())) ? 1 : 0;
       }
-      long hashMapMissMicros = Clock.micros() - began;
+      long hashMapMissMicros = Clock.micros() - startMicros;
       long hashMapBytes = usedBytes() - bytesBefore;
       if (round == 2) {
         System.out.printf(
@@ -189,27 +189,27 @@
         Files.createTempDirectory("gorseladder-bench-").resolve("ledger"), sync, 5_000_000)) {
       AtomicLong records = new AtomicLong();
       AtomicLong waitedMicros = new AtomicLong();
-      long until = Clock.micros() + MEASURED_SECONDS * 1_000_000;
+      long deadlineMicros = Clock.micros() + MEASURED_SECONDS * 1_000_000;
       List<Thread> threads = new ArrayList<>();
       for (int i = 0; i < writers; i++) {
         int writer = i;
         threads.add(Threads.start("writer", 256 << 10, () -> {
           try {
-            for (int n = 0; Clock.micros() < until; n++) {
-              long began = Clock.micros();
+            for (int n = 0; Clock.micros() < deadlineMicros; n++) {
+              long startMicros = Clock.micros();
               ledger.await(ledger.put(
                   "/hooks/portal msg_" + writer + "_" + n,
                   new LedgerEntry(
                       Stage.LEAVING,
                       true,
-                      began,
-                      began,
-                      began * 2 + n,
+                      startMicros,
+                      startMicros,
+                      startMicros * 2 + n,
                       new byte[16],
                       "",
                       0,
                       null)));
-              waitedMicros.addAndGet(Clock.micros() - began);
+              waitedMicros.addAndGet(Clock.micros() - startMicros);
               records.incrementAndGet();
             }
           } catch (IOException e) {
--- a/app/src/main/java/gorseladder/app/bench/OrderBench.java
+++ b/app/src/main/java/gorseladder/app/bench/OrderBench.java
@@ -87,12 +87,12 @@
 
   private static double microsPerCall(Ordering ordering) {
     int sum = 0;
-    long began = 0;
+    long startNanos = 0;
     for (int call = -TIMED_CALLS / 2; call < TIMED_CALLS; call++) {
-      began = call == 0 ? System.nanoTime() : began;
+      startNanos = call == 0 ? System.nanoTime() : startNanos;
       sum += ordering.first(hash(call + FUNCTION_COUNT), TIMED_WORKERS)[0];
     }
-    return sum < 0 ? 0 : (System.nanoTime() - began) / 1e3 / TIMED_CALLS;
+    return sum < 0 ? 0 : (System.nanoTime() - startNanos) / 1e3 / TIMED_CALLS;
   }
 
   private static long hash(long number) {
--- a/app/src/main/java/gorseladder/app/bench/OverloadBench.java
+++ b/app/src/main/java/gorseladder/app/bench/OverloadBench.java
@@ -176,24 +176,24 @@
     LoopResult result = new LoopResult();
     ThreadPoolExecutor threads = Threads.pool("open", MAX_CALLERS, STACK_BYTES);
     Random random = new Random(7);
-    double began = Clock.micros() + 50_000;
-    double nextAt = began;
+    double startMicros = Clock.micros() + 50_000;
+    double nextAtMicros = startMicros;
     for (int i = 0; i < rates.length; i++) {
-      double end = began + (i + 1) * secondsPerRate * 1e6;
-      while (nextAt < end) {
-        long waitMicros = (long) nextAt - Clock.micros();
+      double endMicros = startMicros + (i + 1) * secondsPerRate * 1e6;
+      while (nextAtMicros < endMicros) {
+        long waitMicros = (long) nextAtMicros - Clock.micros();
         if (waitMicros > 500) {
           Thread.sleep(waitMicros / 1000, (int) (waitMicros % 1000) * 1000);
         }
-        long intendedAt = (long) nextAt;
-        int second = (int) ((nextAt - began) / 1e6);
+        long intendedAtMicros = (long) nextAtMicros;
+        int second = (int) ((nextAtMicros - startMicros) / 1e6);
         long seed = random.nextLong();
         try {
-          threads.execute(() -> callOnce(calls, result, intendedAt, second, seed));
+          threads.execute(() -> callOnce(calls, result, intendedAtMicros, second, seed));
         } catch (RejectedExecutionException e) {
           result.unanswered.incrementAndGet();
         }
-        nextAt += -Math.log(1 - random.nextDouble()) * 1e6 / rates[i];
+        nextAtMicros += -Math.log(1 - random.nextDouble()) * 1e6 / rates[i];
       }
     }
     threads.shutdown();
@@ -202,9 +202,9 @@
   }
 
   private static void callOnce(
-      EdgeCalls calls, LoopResult result, long intendedAt, int second, long seed) {
+      EdgeCalls calls, LoopResult result, long intendedAtMicros, int second, long seed) {
     int status = calls.call(0, new Random(seed));
-    long tookMicros = Clock.micros() - intendedAt;
+    long tookMicros = Clock.micros() - intendedAtMicros;
     if (status == 200 && tookMicros <= TestFleet.LATENCY_TARGET_MICROS) {
       result.onTimeBySecond.incrementAndGet(second);
     } else if (status == 503 || status == 429) {
--- a/app/src/main/java/gorseladder/app/bench/PlacementBench.java
+++ b/app/src/main/java/gorseladder/app/bench/PlacementBench.java
@@ -75,11 +75,11 @@
    * @param oneInWakes one in this many functions had no calls in the previous period; the others keep their rate
    */
   private static List<Demand> demands(int count, int oneInWakes, Random random) {
-    List<Demand> all = new ArrayList<>();
+    List<Demand> demands = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       double calls = Math.max(4, 400.0 / Math.pow(i + 1, 0.8)) * (0.5 + random.nextDouble());
       double previousCalls = random.nextInt(oneInWakes) == 0 ? 0 : calls;
-      all.add(new Demand(
+      demands.add(new Demand(
           "svc/f" + i,
           calls,
           1 + random.nextDouble(),
@@ -90,7 +90,7 @@
           0.1 + 0.2 * random.nextDouble(),
           0.4 + 0.6 * random.nextDouble()));
     }
-    return all;
+    return demands;
   }
 
   private void compareWithSolver() {
@@ -106,14 +106,14 @@
           workers(3 + random.nextInt(4), 900 + random.nextInt(1_500), 2 + random.nextInt(3));
       List<Demand> demands = demands(8 + random.nextInt(17), 10, random);
       Limits limits = new Limits(4 + random.nextInt(12), Double.MAX_VALUE);
-      long began = System.nanoTime();
+      long startNanos = System.nanoTime();
       List<PlacedCopy> placed =
           Placement.choose(demands, workers, limits, PRICES, PERIOD_SECONDS, KEEP_ALIVE_SECONDS);
-      placementMillis += (System.nanoTime() - began) / 1e6;
+      placementMillis += (System.nanoTime() - startNanos) / 1e6;
       double netBenefit = placed.stream().mapToDouble(PlacedCopy::netBenefit).sum();
-      began = System.nanoTime();
+      startNanos = System.nanoTime();
       double best = solveExactly(demands, workers, limits);
-      solverMillis += (System.nanoTime() - began) / 1e6;
+      solverMillis += (System.nanoTime() - startNanos) / 1e6;
       if (best > 0) {
         double missing = 1 - netBenefit / best;
         solved++;
@@ -152,40 +152,41 @@
       loadLimits.put(
           worker.name(), model.newExpression("loads " + worker.name()).upper(worker.maxLoads()));
     }
-    for (Demand d : demands) {
+    for (Demand demand : demands) {
       List<WorkerCapacity> order = workers.stream()
-          .sorted(
-              Comparator.comparingDouble(worker -> SharedOrder.key(d.function(), worker.name(), 1)))
+          .sorted(Comparator.comparingDouble(
+              worker -> SharedOrder.key(demand.function(), worker.name(), 1)))
           .toList();
       Map<String, Expression> oncePerWorker = new HashMap<>();
       List<Variable> previousPositions = List.of();
       for (int copy = 1; copy <= MAX_COPIES; copy++) {
-        Expression oneCopy = model.newExpression(d.function() + " copy " + copy).upper(1);
+        Expression oneCopy =
+            model.newExpression(demand.function() + " copy " + copy).upper(1);
         Expression follows =
-            model.newExpression(d.function() + " follows " + copy).upper(copy == 1 ? 1 : 0);
+            model.newExpression(demand.function() + " follows " + copy).upper(copy == 1 ? 1 : 0);
         List<Variable> positions = new ArrayList<>();
         for (int position = 0;
             position < Math.min(order.size(), Placement.candidatePositions(copy));
             position++) {
           String worker = order.get(position).name();
-          Variable v = model
-              .newVariable(d.function() + " " + copy + " at " + position)
+          Variable variable = model
+              .newVariable(demand.function() + " " + copy + " at " + position)
               .binary()
               .weight(Placement.netBenefit(
-                  d, copy, position, PRICES, PERIOD_SECONDS, KEEP_ALIVE_SECONDS));
-          oneCopy.set(v, 1);
-          orders.set(v, 1);
-          memory.get(worker).set(v, d.memoryMb());
-          loadLimits.get(worker).set(v, 1);
+                  demand, copy, position, PRICES, PERIOD_SECONDS, KEEP_ALIVE_SECONDS));
+          oneCopy.set(variable, 1);
+          orders.set(variable, 1);
+          memory.get(worker).set(variable, demand.memoryMb());
+          loadLimits.get(worker).set(variable, 1);
           oncePerWorker
               .computeIfAbsent(
                   worker,
-                  h -> model.newExpression(d.function() + " once at " + h).upper(1))
-              .set(v, 1);
-          positions.add(v);
-          follows.set(v, 1);
+                  h -> model.newExpression(demand.function() + " once at " + h).upper(1))
+              .set(variable, 1);
+          positions.add(variable);
+          follows.set(variable, 1);
         }
-        previousPositions.forEach(v -> follows.set(v, -1));
+        previousPositions.forEach(variable -> follows.set(variable, -1));
         previousPositions = positions;
       }
     }
@@ -207,11 +208,11 @@
       for (int slot = 0; slot < 20; slot++) {
         forecasts.observe(slot, counts);
       }
-      long began = System.nanoTime();
+      long startNanos = System.nanoTime();
       forecasts.observe(20, counts);
       counts.keySet().forEach(f -> forecasts.forecast(f, 21));
-      double forecast = (System.nanoTime() - began) / 1e6;
-      forecastMillis.add(forecast);
+      double forecastTime = (System.nanoTime() - startNanos) / 1e6;
+      forecastMillis.add(forecastTime);
       for (int runners : new int[] {12, 80, 240}) {
         List<WorkerCapacity> workers = workers(runners, 4_096, 24);
         List<Demand> demands = demands(functions, 1, new Random(2));
@@ -220,7 +221,7 @@
         // The most expensive case: many functions become active at once, as at a known date, and
         // the limit on orders or memory binds.
         for (int round = 0; round < 5; round++) {
-          began = System.nanoTime();
+          startNanos = System.nanoTime();
           placed = Placement.choose(
                   demands,
                   workers,
@@ -229,7 +230,7 @@
                   PERIOD_SECONDS,
                   KEEP_ALIVE_SECONDS)
               .size();
-          minMillis = Math.min(minMillis, (System.nanoTime() - began) / 1e6);
+          minMillis = Math.min(minMillis, (System.nanoTime() - startNanos) / 1e6);
         }
         planMillis.computeIfAbsent(runners, r -> new ArrayList<>()).add(minMillis);
         System.out.printf(
@@ -237,7 +238,7 @@
             "%5d functions, %3d runners: forecasts %.1f ms, placement of %d copies (%d orders allowed) %.1f ms%n",
             functions,
             runners,
-            forecast,
+            forecastTime,
             placed,
             functions / 2,
             minMillis);
--- a/app/src/main/java/gorseladder/app/bench/RouterBench.java
+++ b/app/src/main/java/gorseladder/app/bench/RouterBench.java
@@ -38,7 +38,7 @@
   private static final int CALLS = 200_000;
   private static final long CALL_GAP_MICROS = 500;
 
-  private record PendingAnswer(long at, long id, String worker) {}
+  private record PendingAnswer(long dueMicros, long id, String worker) {}
 
   @Override
   public void run() {
@@ -76,15 +76,15 @@
     ArrayDeque<PendingAnswer> pending = new ArrayDeque<>();
     List<Action> actions = new ArrayList<>();
     Random random = new Random(2);
-    long now = 0;
-    router.on(now, new WorkerListUpdate(ListKind.SAVED, workers), actions::add);
-    long began = System.nanoTime();
+    long nowMicros = 0;
+    router.on(nowMicros, new WorkerListUpdate(ListKind.SAVED, workers), actions::add);
+    long startNanos = System.nanoTime();
     for (long id = 1; id <= calls; id++) {
-      now += CALL_GAP_MICROS;
-      long at = now;
-      timers.advance(now, token -> router.on(at, new TimerDue(token), actions::add));
+      nowMicros += CALL_GAP_MICROS;
+      long eventMicros = nowMicros;
+      timers.advance(nowMicros, token -> router.on(eventMicros, new TimerDue(token), actions::add));
       router.on(
-          now,
+          nowMicros,
           new Request(
               id,
               "c",
@@ -97,10 +97,10 @@
               300_000,
               false),
           actions::add);
-      while (!pending.isEmpty() && pending.peekFirst().at() <= now) {
+      while (!pending.isEmpty() && pending.peekFirst().dueMicros() <= nowMicros) {
         PendingAnswer answer = pending.pollFirst();
         router.on(
-            now,
+            nowMicros,
             new Answer(
                 answer.id(),
                 0,
@@ -115,13 +115,13 @@
       }
       for (Action action : actions) {
         if (action instanceof Send send) {
-          pending.addLast(new PendingAnswer(now + 30_000, send.id(), send.worker()));
+          pending.addLast(new PendingAnswer(nowMicros + 30_000, send.id(), send.worker()));
         } else if (action instanceof SetTimer timer) {
-          timers.schedule(now + timer.delay(), timer.token());
+          timers.schedule(nowMicros + timer.delay(), timer.token());
         }
       }
       actions.clear();
     }
-    return (System.nanoTime() - began) / 1000.0 / calls;
+    return (System.nanoTime() - startNanos) / 1000.0 / calls;
   }
 }
