--- a/app/src/main/java/gorseladder/app/EmulateCommand.java
+++ b/app/src/main/java/gorseladder/app/EmulateCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code emulate}: one fleet in simulated time. */
+/** {@code emulate}: runs one fleet in simulated time. */
 @Command(
     name = "emulate",
     mixinStandardHelpOptions = true,
@@ -24,56 +24,59 @@
   @Option(
       names = "--functions",
       description = "List every function: calls, cold ones and the balance of its loads ahead.")
-  private boolean functions;
+  private boolean listFunctions;
 
   @Override
   public Integer call() throws IOException {
-    long began = System.nanoTime();
-    Outcomes o;
+    long startNanos = System.nanoTime();
+    Outcomes outcomes;
     try {
-      o = EmulatedFleet.run(Experiment.loadEmulation(file), part -> {});
+      outcomes = EmulatedFleet.run(Experiment.loadEmulation(file), part -> {});
     } catch (IllegalArgumentException e) {
       System.err.println("gorseladder: " + e.getMessage());
-      return Main.BAD_USAGE;
+      return Main.EXIT_BAD_USAGE;
     }
-    double seconds = (System.nanoTime() - began) / 1e9;
+    double wallSeconds = (System.nanoTime() - startNanos) / 1e9;
     System.out.printf(
         Locale.ROOT,
         "%,d calls: %,d served, %,d refused, %,d failed; service %.4f (simulated)%n",
-        o.calls(),
-        o.served(),
-        o.refused(),
-        o.failed(),
-        o.service());
+        outcomes.calls(),
+        outcomes.served(),
+        outcomes.refused(),
+        outcomes.failed(),
+        outcomes.service());
     System.out.printf(
         Locale.ROOT,
         "latency ms: mean %.1f, p50 %.1f, p99 %.1f; met no copy %.4f, in first minutes of surges %.4f of %,d%n",
-        o.meanLatencyMillis(),
-        o.latencyMillis(50),
-        o.latencyMillis(99),
-        o.coldShare(),
-        o.surgeColdShare(),
-        o.surgeCalls());
+        outcomes.meanLatencyMillis(),
+        outcomes.latencyMillis(50),
+        outcomes.latencyMillis(99),
+        outcomes.coldShare(),
+        outcomes.surgeColdShare(),
+        outcomes.surgeCalls());
     System.out.printf(
         Locale.ROOT,
         "%,d fetches, %,d orders of plans; %,d events in %.1f s of this machine%n",
-        o.fetches(),
-        o.planOrders(),
-        o.events(),
-        seconds);
-    Balances.print("all", o.totalBalance());
-    if (functions) {
-      o.callsByFunction().forEach((f, n) -> {
-        System.out.printf(Locale.ROOT, "%-24s %8d calls %8d cold%n", f, n[0], n[1]);
-        if (o.balancesByFunction().containsKey(f)) {
-          Balances.print("  its loads ahead", o.balancesByFunction().get(f));
+        outcomes.fetches(),
+        outcomes.planOrders(),
+        outcomes.events(),
+        wallSeconds);
+    BalancePrinter.print("all", outcomes.totalBalance());
+    if (listFunctions) {
+      outcomes.callsByFunction().forEach((function, calls) -> {
+        System.out.printf(Locale.ROOT, "%-24s %8d calls %8d cold%n", function, calls[0], calls[1]);
+        if (outcomes.balancesByFunction().containsKey(function)) {
+          BalancePrinter.print(
+              "  its loads ahead", outcomes.balancesByFunction().get(function));
         }
       });
     }
-    o.occasions()
-        .forEach((what, times) -> System.out.printf(Locale.ROOT, "judged %s: %,d%n", what, times));
-    o.violations()
-        .forEach((what, times) -> System.out.printf("BROKEN %s: %d times%n", what, times));
-    return o.violations().isEmpty() ? Main.GOOD : Main.BROKEN;
+    outcomes
+        .occasions()
+        .forEach((text, count) -> System.out.printf(Locale.ROOT, "judged %s: %,d%n", text, count));
+    outcomes
+        .violations()
+        .forEach((text, count) -> System.out.printf("BROKEN %s: %d times%n", text, count));
+    return outcomes.violations().isEmpty() ? Main.EXIT_OK : Main.EXIT_CHECK_FAILED;
   }
 }
