--- a/app/src/main/java/gorseladder/app/BalancePrinter.java
+++ b/app/src/main/java/gorseladder/app/BalancePrinter.java
@@ -16,10 +16,10 @@
         balance.loads(),
         balance.wasted(),
         balance.found(),
-        balance.saved(),
-        balance.loading(),
+        balance.savedSeconds(),
+        balance.loadSeconds(),
         balance.gigabyteSeconds(),
-        balance.pushedOut(),
-        balance.pushed());
+        balance.evictions(),
+        balance.evictedLoadSeconds());
   }
 }
--- a/app/src/main/java/gorseladder/app/EmulateCommand.java
+++ b/app/src/main/java/gorseladder/app/EmulateCommand.java
@@ -31,7 +31,7 @@
     long startNanos = System.nanoTime();
     Outcomes outcomes;
     try {
-      outcomes = EmulatedFleet.run(Experiment.emulation(file), part -> {});
+      outcomes = EmulatedFleet.run(Experiment.loadEmulation(file), part -> {});
     } catch (IllegalArgumentException e) {
       System.err.println("gorseladder: " + e.getMessage());
       return Main.EXIT_BAD_USAGE;
@@ -48,7 +48,7 @@
     System.out.printf(
         Locale.ROOT,
         "latency ms: mean %.1f, p50 %.1f, p99 %.1f; met no copy %.4f, in first minutes of surges %.4f of %,d%n",
-        outcomes.meanMillis(),
+        outcomes.meanLatencyMillis(),
         outcomes.latencyMillis(50),
         outcomes.latencyMillis(99),
         outcomes.coldShare(),
@@ -58,24 +58,25 @@
         Locale.ROOT,
         "%,d fetches, %,d orders of plans; %,d events in %.1f s of this machine%n",
         outcomes.fetches(),
-        outcomes.aheadOrders(),
+        outcomes.planOrders(),
         outcomes.events(),
         wallSeconds);
-    BalancePrinter.print("all", outcomes.balance());
+    BalancePrinter.print("all", outcomes.totalBalance());
     if (listFunctions) {
-      outcomes.byFunction().forEach((function, calls) -> {
+      outcomes.callsByFunction().forEach((function, calls) -> {
         System.out.printf(Locale.ROOT, "%-24s %8d calls %8d cold%n", function, calls[0], calls[1]);
-        if (outcomes.balances().containsKey(function)) {
-          BalancePrinter.print("  its loads ahead", outcomes.balances().get(function));
+        if (outcomes.balancesByFunction().containsKey(function)) {
+          BalancePrinter.print(
+              "  its loads ahead", outcomes.balancesByFunction().get(function));
         }
       });
     }
     outcomes
-        .judged()
+        .occasions()
         .forEach((text, count) -> System.out.printf(Locale.ROOT, "judged %s: %,d%n", text, count));
     outcomes
-        .broken()
+        .violations()
         .forEach((text, count) -> System.out.printf("BROKEN %s: %d times%n", text, count));
-    return outcomes.broken().isEmpty() ? Main.EXIT_OK : Main.EXIT_CHECK_FAILED;
+    return outcomes.violations().isEmpty() ? Main.EXIT_OK : Main.EXIT_CHECK_FAILED;
   }
 }
--- a/app/src/main/java/gorseladder/app/ExperimentCommand.java
+++ b/app/src/main/java/gorseladder/app/ExperimentCommand.java
@@ -58,7 +58,7 @@
       experiment.results().forEach((name, outcomes) -> {
         Interval interval = experiment.interval(name, measure);
         System.out.printf(
-            Locale.ROOT, "  %-40s %12.4f +- %.4f%n", name, interval.mean(), interval.half());
+            Locale.ROOT, "  %-40s %12.4f +- %.4f%n", name, interval.mean(), interval.halfWidth());
       });
       if (plots != null) {
         Files.createDirectories(plots);
@@ -70,7 +70,7 @@
     }
     return experiment.results().values().stream()
             .flatMap(List::stream)
-            .allMatch(outcomes -> outcomes.broken().isEmpty())
+            .allMatch(outcomes -> outcomes.violations().isEmpty())
         ? Main.EXIT_OK
         : Main.EXIT_CHECK_FAILED;
   }
@@ -78,7 +78,7 @@
   private static void printBalances(String cell, List<Outcomes> outcomesBySeed) {
     Map<String, Outcomes.Balance> sums = new TreeMap<>();
     outcomesBySeed.forEach(outcomes -> outcomes
-        .balances()
+        .balancesByFunction()
         .forEach((function, balance) ->
             sums.computeIfAbsent(function, key -> new Outcomes.Balance()).add(balance)));
     System.out.println(cell);
--- a/app/src/main/java/gorseladder/app/ReplayCommand.java
+++ b/app/src/main/java/gorseladder/app/ReplayCommand.java
@@ -57,7 +57,7 @@
       }
     }
     try {
-      Emulation emulation = Experiment.emulation(file);
+      Emulation emulation = Experiment.loadEmulation(file);
       Outcomes unplanned =
           EmulatedFleet.run(emulation.toBuilder().clearAhead().build(), recording, part -> {});
       Emulation.Builder builder = emulation.toBuilder();
@@ -71,9 +71,9 @@
           emulation.getTeachDays());
       print("without", unplanned);
       print("with loads ahead", planned);
-      BalancePrinter.print("all", planned.balance());
-      planned.byFunction().forEach((function, calls) -> {
-        long[] unplannedCalls = unplanned.byFunction().getOrDefault(function, new long[2]);
+      BalancePrinter.print("all", planned.totalBalance());
+      planned.callsByFunction().forEach((function, calls) -> {
+        long[] unplannedCalls = unplanned.callsByFunction().getOrDefault(function, new long[2]);
         System.out.printf(
             Locale.ROOT,
             "%-32s %8d calls, cold %d without, %d with%n",
@@ -81,11 +81,11 @@
             calls[0],
             unplannedCalls[1],
             calls[1]);
-        if (planned.balances().containsKey(function)) {
-          BalancePrinter.print("  its loads ahead", planned.balances().get(function));
+        if (planned.balancesByFunction().containsKey(function)) {
+          BalancePrinter.print("  its loads ahead", planned.balancesByFunction().get(function));
         }
       });
-      return planned.broken().isEmpty() && unplanned.broken().isEmpty()
+      return planned.violations().isEmpty() && unplanned.violations().isEmpty()
           ? Main.EXIT_OK
           : Main.EXIT_CHECK_FAILED;
     } catch (IllegalArgumentException e) {
@@ -101,7 +101,7 @@
         name,
         outcomes.service(),
         outcomes.coldShare(),
-        outcomes.meanMillis(),
+        outcomes.meanLatencyMillis(),
         outcomes.latencyMillis(99),
         outcomes.fetches() / (double) Math.max(1, outcomes.calls()));
   }
--- a/scale/src/main/java/gorseladder/scale/Slope.java
+++ b/scale/src/main/java/gorseladder/scale/Slope.java
@@ -6,40 +6,41 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * A straight line through what cells measured, by least squares.
+ * A straight line through a measure of the cells of a sweep, by least squares.
  *
- * @param value at size 0
- * @param slope what one more of the size adds
- * @param half half the width of the slope's 95 % interval
- * @param exponent slope of the logarithms: 0 flat, 1 proportional; NaN where a value is not positive
- * @param from smallest and {@code to} largest size
- * @param straightTo largest size up to which the line from the sizes below misses by no more than {@link #STRAIGHT}
+ * @param intercept value of the line at size 0
+ * @param slope increase per unit of the size
+ * @param halfWidth half the width of the slope's 95 % confidence interval
+ * @param exponent slope of the logarithms: 0 if constant, 1 if proportional; NaN if a value is not positive
+ * @param linearUpTo largest size up to which the line through all smaller sizes misses each size's mean by no more than
+ *     {@link #MAX_RELATIVE_MISS}
+ * @param cells number of points
  */
 public record Slope(
     CellResult.Kind kind,
     String sweep,
     Measure measure,
-    double value,
+    double intercept,
     double slope,
-    double half,
+    double halfWidth,
     double exponent,
-    double from,
-    double to,
-    double straightTo,
+    double minSize,
+    double maxSize,
+    double linearUpTo,
     int cells) {
-  /** A size counts as on the line where it is missed by no more than this part of it. */
-  static final double STRAIGHT = 0.5;
+  /** Largest miss, relative to the measured mean, at which a size still counts as on the line. */
+  static final double MAX_RELATIVE_MISS = 0.5;
 
-  private static final int FEWEST = 3;
+  private static final int MIN_SIZES = 3;
 
-  /** One measured point. */
+  /** A measured value at a size. */
   record Point(double size, double value) {}
 
-  /** Fits a line; null where there are fewer than three sizes. */
+  /** Fits a line; null if there are fewer than three sizes. */
   static Slope fit(CellResult.Kind kind, String sweep, Measure measure, List<Point> points) {
     List<Point> sorted = new ArrayList<>(points);
     sorted.sort(Comparator.comparingDouble(Point::size));
-    if (sorted.stream().mapToDouble(Point::size).distinct().count() < FEWEST) {
+    if (sorted.stream().mapToDouble(Point::size).distinct().count() < MIN_SIZES) {
       return null;
     }
     SimpleRegression line = new SimpleRegression();
@@ -59,28 +60,29 @@
         sorted.stream().allMatch(point -> point.value() > 0) ? logarithms.getSlope() : Double.NaN,
         sorted.get(0).size(),
         sorted.get(sorted.size() - 1).size(),
-        straightTo(sorted),
+        linearUpTo(sorted),
         sorted.size());
   }
 
-  /** The largest size whose values the line through all smaller sizes foretells. */
-  private static double straightTo(List<Point> sorted) {
+  /** The largest size up to which the line through all smaller sizes predicts the mean of the values. */
+  private static double linearUpTo(List<Point> sorted) {
     SimpleRegression below = new SimpleRegression();
-    double straight = sorted.get(0).size();
-    int seen = 0;
+    double linearUpTo = sorted.get(0).size();
+    int sizesSeen = 0;
     int next = 0;
     while (next < sorted.size()) {
       double size = sorted.get(next).size();
-      List<Point> here = sorted.stream().filter(point -> point.size() == size).toList();
-      double mean = here.stream().mapToDouble(Point::value).average().orElseThrow();
-      if (seen >= 2 && Math.abs(below.predict(size) - mean) > STRAIGHT * Math.abs(mean)) {
-        return straight;
+      List<Point> atSize = sorted.stream().filter(point -> point.size() == size).toList();
+      double mean = atSize.stream().mapToDouble(Point::value).average().orElseThrow();
+      if (sizesSeen >= 2
+          && Math.abs(below.predict(size) - mean) > MAX_RELATIVE_MISS * Math.abs(mean)) {
+        return linearUpTo;
       }
-      here.forEach(point -> below.addData(point.size(), point.value()));
-      straight = size;
-      seen++;
-      next += here.size();
+      atSize.forEach(point -> below.addData(point.size(), point.value()));
+      linearUpTo = size;
+      sizesSeen++;
+      next += atSize.size();
     }
-    return straight;
+    return linearUpTo;
   }
 }
