--- a/testbed/src/test/java/gorseladder/testbed/platform/CrossingsTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/platform/CrossingsTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Two events at one moment, between a live dispatcher and its clients; the script decides which comes first. */
+/** Tests races between two events at a dispatcher; the script of the test decides which of them comes first. */
 class CrossingsTest extends DispatcherFixture {
   private byte[] request(int number, String requestClass, long timeout) {
     return RecordWriter.request(
@@ -33,17 +33,15 @@
         body(number));
   }
 
-  /**
-   * A request in pieces whose last byte comes while the dispatcher stops is served, also one whose pieces are bytes.
-   */
+  /** A request whose remaining bytes arrive one by one while the dispatcher stops is served. */
   @Test
   void whatIsHalfReadWhenTheStopBeginsIsServed() throws Exception {
     start(2, a -> Reaction.SERVE);
     FastCgiClient client = client();
     byte[] whole = request(1, "unsafe", 1_500);
     client.write(Arrays.copyOf(whole, 60));
-    Thread stopping = stopping();
-    // By now nothing new is accepted and connections on which nothing is asked are closed.
+    Thread stopping = stopInBackground();
+    // By now the listener is closed, and so are connections without a request.
     Thread.sleep(1_100);
     for (int i = 60; i < whole.length; i++) {
       client.write(new byte[] {whole[i]});
@@ -54,16 +52,14 @@
     assertTrue(client.awaitEnd(1_000));
   }
 
-  /**
-   * A connection on which an answer is awaited when the listener closes takes what else comes on it, until it is free.
-   */
+  /** A connection with an open request when the listener closes accepts further requests until none is open. */
   @Test
   void aConnectionInUseTakesRequestsUntilNothingIsAskedOnIt() throws Exception {
     start(1, a -> a.id().equals(id(1)) ? Reaction.SILENT : Reaction.SERVE);
     FastCgiClient client = client();
     client.send(1, FastCgiClient.params("safe", id(1), FUNCTION, 1_900), body(1));
     assertTrue(within(1_000, () -> arrivals().size() == 1));
-    Thread stopping = stopping();
+    Thread stopping = stopInBackground();
     Thread.sleep(1_100);
     client.send(2, FastCgiClient.params("safe", id(2), FUNCTION, 1_000), body(2));
     assertEquals(200, client.await(2, 1_000).status());
@@ -72,7 +68,7 @@
     assertTrue(client.awaitEnd(1_000));
   }
 
-  /** With a deadline far past the moment of SIGKILL, what is held gets its final answer before the process ends. */
+  /** Held calls get a final answer before the earliest SIGKILL, though their deadline is long after it. */
   @Test
   void aStopAnswersWhatIsHeldBeforeItMayBeKilled() throws Exception {
     deadline = 20 * SECOND;
@@ -81,25 +77,27 @@
     client.send(1, FastCgiClient.params("safe", id(1), FUNCTION, 19_000), body(1));
     client.send(2, FastCgiClient.params("unsafe", id(2), FUNCTION, 19_000), body(2));
     assertTrue(within(1_000, () -> arrivals().size() == 2));
-    long begun = System.nanoTime();
-    Thread stopping = stopping();
+    long stopNanos = System.nanoTime();
+    Thread stopping = stopInBackground();
     assertTrue(client.await(1, 5_000).refused());
     assertFalse(client.await(2, 1_000).refused());
     stopping.join(5_000);
-    assertTrue(System.nanoTime() - begun < 3_700_000_000L, "it may have been killed by then");
+    assertTrue(
+        System.nanoTime() - stopNanos < 3_700_000_000L,
+        "the stop ended after the earliest SIGKILL");
     assertTrue(client.awaitEnd(1_000));
   }
 
-  /** A connection ends by a half-close: what was on its way is still there to read, and then comes the end. */
+  /** A stop half-closes a connection: the client can still read the answer, and then the end of the stream. */
   @Test
   void aStopEndsAConnectionByAHalfCloseAndNothingOnItsWayIsLost() throws Exception {
     start(1, a -> Reaction.SERVE);
     try (Socket socket = new Socket(node.address().getAddress(), node.address().getPort())) {
       socket.getOutputStream().write(request(1, "safe", 1_500));
-      Thread stopping = stopping();
+      Thread stopping = stopInBackground();
       stopping.join(4_000);
-      // Asked after the end: the connection must end by a close, and the answer before it must
-      // still be there to read.
+      // Read after the stop: the answer must still be there, followed by an orderly close instead
+      // of a reset.
       InputStream in = socket.getInputStream();
       socket.setSoTimeout(2_000);
       byte[] all = in.readAllBytes();
@@ -108,31 +106,29 @@
     }
   }
 
-  /**
-   * A client that left, by a close or an abort, while its call waited for a connection: nothing of it reaches a runner.
-   */
+  /** A call whose client closes or aborts while the call waits for a connection to a runner is not sent. */
   @Test
   void nothingIsSentForAClientThatLeftWhileItsCallWaited() throws Exception {
-    connect = 5 * SECOND;
+    connectTimeout = 5 * SECOND;
     deadline = 5 * SECOND;
     runners.add(PlatformRunner.withFullBacklog(a -> Reaction.SERVE));
     start();
-    FastCgiClient closes = client();
-    closes.send(1, FastCgiClient.params("unsafe", id(1), FUNCTION, 4_900), body(1));
-    FastCgiClient aborts = client();
-    aborts.send(1, FastCgiClient.params("safe", id(2), FUNCTION, 4_900), body(2));
-    FastCgiClient stays = client();
-    stays.send(1, FastCgiClient.params("safe", id(3), FUNCTION, 4_900), body(3));
+    FastCgiClient closing = client();
+    closing.send(1, FastCgiClient.params("unsafe", id(1), FUNCTION, 4_900), body(1));
+    FastCgiClient aborting = client();
+    aborting.send(1, FastCgiClient.params("safe", id(2), FUNCTION, 4_900), body(2));
+    FastCgiClient staying = client();
+    staying.send(1, FastCgiClient.params("safe", id(3), FUNCTION, 4_900), body(3));
     assertTrue(within(1_000, () -> node.callsInFlight() == 3), node.summary());
-    closes.close();
-    aborts.write(RecordWriter.abort(1));
+    closing.close();
+    aborting.write(RecordWriter.abort(1));
     assertTrue(within(1_000, () -> node.callsInFlight() == 1), node.summary());
     runners.get(0).acceptConnections();
-    assertEquals(200, stays.await(1, 4_000).status());
+    assertEquals(200, staying.await(1, 4_000).status());
     assertEquals(List.of(id(3)), arrivals().stream().map(Arrival::id).toList());
   }
 
-  /** A runner that the list leaves out and brings back under its id, at another address too, is reached again. */
+  /** A runner that leaves the list and returns under its id, at the same or another address, gets calls again. */
   @Test
   void aRunnerThatGoesAndComesBackIsReached() throws Exception {
     start(1, a -> a.id().equals(id(1)) ? Reaction.SILENT : Reaction.SERVE);
@@ -146,48 +142,46 @@
     assertEquals(
         200,
         client.await(2, 2_000).status(),
-        "back at its address, while an attempt was out; " + node.summary());
+        "returned at the same address with an attempt in flight; " + node.summary());
     PlatformRunner next = new PlatformRunner(a -> Reaction.SERVE);
     runners.add(next);
     log.add(PlatformChangeLog.event(4, true, "r0", next.address(), "active"));
     Thread.sleep(400);
     client.send(3, FastCgiClient.params("safe", id(3), id(77), 1_500), body(3));
-    assertEquals(200, client.await(3, 2_000).status(), "at another address; " + node.summary());
+    assertEquals(
+        200, client.await(3, 2_000).status(), "returned at another address; " + node.summary());
     assertEquals(1, next.arrivals().size());
   }
 
-  /** Many connections at once never pass the bound, and those that say nothing make room for one that asks. */
+  /** Client connections never exceed their share of descriptors, and idle ones are closed for one with a request. */
   @Test
   void idleClientsNeverTakeMoreThanTheirShareOfDescriptors() throws Exception {
-    sockets = 128;
+    maxDescriptors = 128;
     start(1, a -> Reaction.SERVE);
-    int share = (sockets - 48) / 2;
-    int most = 0;
+    int share = (maxDescriptors - 48) / 2;
+    int maxConnections = 0;
     for (int i = 0; i < 3 * share; i++) {
       client();
-      most = Math.max(most, node.connections());
+      maxConnections = Math.max(maxConnections, node.connections());
     }
-    // All were accepted once all but a share of them have been closed again; none is closed for
-    // its silence before two seconds.
+    // All have been accepted once all but a share of them are closed again. None is closed as
+    // silent within 2 s.
     for (FastCgiClient client : clients.subList(0, 2 * share)) {
       while (!client.awaitEnd(5)) {
-        most = Math.max(most, node.connections());
+        maxConnections = Math.max(maxConnections, node.connections());
       }
     }
-    assertTrue(most <= share, most + " connections at once");
-    FastCgiClient asks = client();
-    asks.send(1, FastCgiClient.params("safe", id(1), FUNCTION, 1_500), body(1));
-    assertEquals(200, asks.await(1, 2_000).status());
+    assertTrue(maxConnections <= share, maxConnections + " connections at once");
+    FastCgiClient asking = client();
+    asking.send(1, FastCgiClient.params("safe", id(1), FUNCTION, 1_500), body(1));
+    assertEquals(200, asking.await(1, 2_000).status());
     assertTrue(node.connections() <= share, node.connections() + " connections");
   }
 
-  /**
-   * With every descriptor for runners taken by idle connections, one of them gives its own to the runner that is
-   * needed.
-   */
+  /** Where idle connections hold all descriptors for runners, one is closed for a call to another runner. */
   @Test
   void idleConnectionsGiveTheirDescriptorsToOtherRunners() throws Exception {
-    sockets = 56;
+    maxDescriptors = 56;
     start(1, a -> Reaction.SERVE);
     FastCgiClient client = client();
     for (int i = 1; i <= 8; i++) {
@@ -205,13 +199,13 @@
     }
   }
 
-  /** A watch that stays open but tells nothing that makes a whole line, or only what is long known, is asked anew. */
+  /** A stream of the change log that sends no complete line, or only stale heartbeats, is requested again. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aWatchThatTricklesOrFallsBehindIsAskedAnew(boolean trickles) throws Exception {
+  void aWatchThatTricklesOrFallsBehindIsAskedAnew(boolean incomplete) throws Exception {
     start(1, a -> Reaction.SERVE);
     assertTrue(within(2_000, () -> log.requestedFrom().size() == 1));
-    if (trickles) {
+    if (incomplete) {
       log.sendIncompleteLine();
     } else {
       log.sendStaleHeartbeats();
@@ -221,13 +215,13 @@
     assertEquals(List.of(1L, 1L), log.requestedFrom());
   }
 
-  /** Moved to a change log that is down at first: it is asked as soon as it is there, and the list stays until then. */
+  /** A new change log that is down at first is followed once it is up; the old runner list stays until then. */
   @Test
   void aNewChangeLogThatIsDownAtFirstIsFollowed() throws Exception {
     start(1, a -> Reaction.SERVE);
     assertTrue(within(2_000, () -> log.requestedFrom().size() == 1));
     InetSocketAddress address;
-    // Nobody ever accepts there, so that nothing of it can answer once it is closed.
+    // No connection is accepted at this port, so nothing answers there once the socket is closed.
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       address = (InetSocketAddress) free.getLocalSocketAddress();
     }
@@ -242,7 +236,7 @@
     assertEquals(List.of(1L), log.requestedFrom());
   }
 
-  /** A whole list that takes the place of one half told: what it leaves out has gone, what it has is there. */
+  /** A full list after a connection that broke inside an event replaces the old list. */
   @Test
   void aWholeListAfterABreakInsideAnEventStands() throws Exception {
     start(2, a -> Reaction.SERVE);
@@ -254,24 +248,24 @@
   }
 
   /**
-   * A keyed call whose first attempt may have run is decided again in its window, but the connection for that comes up
-   * after it: the call would run twice.
+   * A keyed call whose first attempt may have run is given to a second runner within the repeat window, but the
+   * connection to it opens after the window: sent then, the call would run twice.
    */
   @Test
   void aKeyedCallIsNotSentAgainPastItsWindow() throws Exception {
-    window = 300_000;
-    connect = 3 * SECOND;
+    repeatWindow = 300_000;
+    connectTimeout = 3 * SECOND;
     deadline = 4 * SECOND;
-    CountDownLatch secondIsListed = new CountDownLatch(1);
+    CountDownLatch secondRunnerListed = new CountDownLatch(1);
     PlatformRunner late = PlatformRunner.withFullBacklog(a -> Reaction.SERVE);
-    start(1, a -> await(secondIsListed) ? Reaction.RESET : Reaction.SERVE);
+    start(1, a -> await(secondRunnerListed) ? Reaction.RESET : Reaction.SERVE);
     FastCgiClient client = client();
     client.send(1, FastCgiClient.params("keyed", id(1), FUNCTION, 3_900), body(1));
     assertTrue(within(1_000, () -> arrivals().size() == 1));
     runners.add(late);
     log.add(PlatformChangeLog.event(2, false, "r1", late.address(), "active"));
     Thread.sleep(100);
-    secondIsListed.countDown();
+    secondRunnerListed.countDown();
     Thread.sleep(350);
     late.acceptConnections();
     assertNotNull(client.await(1, 5_000));
@@ -279,12 +273,12 @@
   }
 
   /**
-   * Calls that wait for a connection to a runner are decided again where it starts anew meanwhile: all at once they
-   * push it over.
+   * Calls that wait for a connection to a runner are assigned anew if it restarts meanwhile: sent all at once they
+   * would overload it.
    */
   @Test
   void whatWasDecidedBeforeARestartDoesNotMeetTheColdRunner() throws Exception {
-    connect = 3 * SECOND;
+    connectTimeout = 3 * SECOND;
     deadline = 4 * SECOND;
     PlatformRunner late = PlatformRunner.withFullBacklog(a -> Reaction.SERVE);
     runners.add(late);
@@ -299,8 +293,9 @@
     Thread.sleep(200);
     late.acceptConnections();
     Thread.sleep(1_500);
-    int met = late.arrivals().size();
-    assertTrue(met <= 5, () -> "a runner that just started met " + met + " calls at once");
+    int received = late.arrivals().size();
+    assertTrue(
+        received <= 5, () -> "a runner that just started received " + received + " calls at once");
   }
 
   private static boolean await(CountDownLatch latch) {
--- a/testbed/src/test/java/gorseladder/testbed/platform/DispatcherFixture.java
+++ b/testbed/src/test/java/gorseladder/testbed/platform/DispatcherFixture.java
@@ -26,36 +26,35 @@
 import java.util.function.Function;
 import org.junit.jupiter.api.AfterEach;
 
-/**
- * What tests of a live dispatcher have in common: it stands between scripted clients, runners and a change log on
- * loopback.
- */
+/** Base of tests that run a dispatcher in this process between scripted clients, runners and a change log on loopback. */
 abstract class DispatcherFixture {
+  /** In microseconds, as all times of the settings. */
   static final long SECOND = 1_000_000;
+
   static final Rules RULES = new Rules(500_000, 0.2, 6 * SECOND, 2.5, 1_500_000, 0, 0, 0);
   static final String FUNCTION = "00000000000000ff";
 
   final List<PlatformRunner> runners = new ArrayList<>();
   final List<String> events = new ArrayList<>();
   final List<FastCgiClient> clients = new ArrayList<>();
-  /** Descriptors that the dispatcher is told; before {@link #start}. */
-  int sockets = 1_024;
-  /** How long a connection to a runner may take to come up; before {@link #start}. */
-  long connect = 250_000;
-  /** Deadline of the classes; before {@link #start}. */
+  /** Limit of descriptors in the dispatcher's configuration; set before {@link #start}. */
+  int maxDescriptors = 1_024;
+  /** Time limit for connecting to a runner, in microseconds; set before {@link #start}. */
+  long connectTimeout = 250_000;
+  /** Deadline of all classes, in microseconds; set before {@link #start}. */
   long deadline = 2 * SECOND;
 
-  /** For how long workers drop repeats of keyed calls; before {@link #start}. */
-  long window = 5 * SECOND;
+  /** How long workers drop repeats of keyed calls, in microseconds; set before {@link #start}. */
+  long repeatWindow = 5 * SECOND;
 
   PlatformChangeLog log;
   Node node;
 
   private RequestClass requestClass(String name, Effect effect) {
-    return new RequestClass(name, effect, Group.ALL, window, SECOND, deadline, 1, 0.2, false);
+    return new RequestClass(name, effect, Group.ALL, repeatWindow, SECOND, deadline, 1, 0.2, false);
   }
 
-  /** Starts runners that follow a script, and a dispatcher that knows them. */
+  /** Starts runners that follow a script, and a dispatcher that has them in its list. */
   void start(int count, Function<Arrival, Reaction> script) throws IOException {
     for (int i = 0; i < count; i++) {
       runners.add(new PlatformRunner(script));
@@ -63,7 +62,7 @@
     start();
   }
 
-  /** Starts a dispatcher that knows the runners. */
+  /** Starts a change log that lists the runners, and a dispatcher that follows it. */
   void start() throws IOException {
     for (int i = 0; i < runners.size(); i++) {
       events.add(
@@ -73,7 +72,7 @@
     node = new Node(config());
   }
 
-  /** What the dispatcher is told: the events so far, and the log. */
+  /** The dispatcher's configuration: the events so far, and the address of the change log. */
   NodeConfig config() {
     Settings settings = new Settings(
         0,
@@ -92,23 +91,23 @@
             requestClass("unsafe", Effect.UNSAFE),
             requestClass("keyed", Effect.KEYED)),
         List.of(new Tenant("t", 1, 100)));
-    List<ChangeLine> known = events.stream()
+    List<ChangeLine> lines = events.stream()
         .map(e -> ChangeLine.of(Json.read(e.getBytes(StandardCharsets.US_ASCII))))
         .toList();
     return new NodeConfig(
         "n0",
         new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
         5,
-        sockets,
+        maxDescriptors,
         128 << 20,
         null,
         List.of(),
         null,
         log.address(),
         events.size(),
-        known,
+        lines,
         settings,
-        new NodeConfig.Links(connect, 30 * SECOND, 100, true, true),
+        new NodeConfig.Links(connectTimeout, 30 * SECOND, 100, true, true),
         20_000);
   }
 
@@ -130,8 +129,8 @@
     return runners.stream().flatMap(r -> r.arrivals().stream()).toList();
   }
 
-  /** Stops the dispatcher in order, on a thread of its own. */
-  Thread stopping() {
+  /** Starts an orderly stop of the dispatcher on a new thread, which ends when the stop is complete. */
+  Thread stopInBackground() {
     Thread thread = new Thread(() -> {
       try {
         node.stop();
@@ -143,12 +142,13 @@
     return thread;
   }
 
-  static boolean within(long millis, BooleanSupplier holds) throws InterruptedException {
+  /** Waits until the condition holds, for the given time at most, and returns whether it holds then. */
+  static boolean within(long millis, BooleanSupplier condition) throws InterruptedException {
     long until = System.nanoTime() + millis * 1_000_000;
-    while (!holds.getAsBoolean() && System.nanoTime() < until) {
+    while (!condition.getAsBoolean() && System.nanoTime() < until) {
       Thread.sleep(5);
     }
-    return holds.getAsBoolean();
+    return condition.getAsBoolean();
   }
 
   @AfterEach
@@ -158,7 +158,8 @@
     }
     if (node != null) {
       node.close();
-      assertEquals(Map.of(), node.brokenRules(), "rules broken, as the dispatcher itself saw");
+      assertEquals(
+          Map.of(), node.brokenRules(), "rule violations that the dispatcher itself detected");
     }
     if (log != null) {
       log.close();
--- a/testbed/src/test/java/gorseladder/testbed/platform/NodePathTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/platform/NodePathTest.java
@@ -24,27 +24,28 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A live dispatcher between scripted clients, runners and a change log, all on loopback. */
+/** Tests the path of a call through a dispatcher: answers, retries, the runner list, bad input and the stop. */
 class NodePathTest extends DispatcherFixture {
-  /** Every way in which an answer can go wrong, in turn, on thousands of calls of both kinds. */
+  /** Plays every reaction of a runner at random on thousands of safe and unsafe calls. */
   @Test
   void eachCallGetsOneAnswerAndNothingUnsafeRunsTwice() throws Exception {
-    Map<Reaction, Integer> done = new EnumMap<>(Reaction.class);
+    Map<Reaction, Integer> played = new EnumMap<>(Reaction.class);
     Random random = new Random(11);
     start(4, a -> {
-      synchronized (done) {
-        Reaction[] deeds = Reaction.values();
-        Reaction deed =
-            random.nextInt(100) < 80 ? Reaction.SERVE : deeds[random.nextInt(deeds.length)];
-        // Silence costs its call the whole time it has, so it is kept rare.
-        deed = deed == Reaction.SILENT && random.nextInt(4) > 0 ? Reaction.ERROR : deed;
-        done.merge(deed, 1, Integer::sum);
-        return deed;
+      synchronized (played) {
+        Reaction[] reactions = Reaction.values();
+        Reaction reaction =
+            random.nextInt(100) < 80 ? Reaction.SERVE : reactions[random.nextInt(reactions.length)];
+        // A silent runner uses up the whole time of its call, so three of four silences become
+        // errors.
+        reaction = reaction == Reaction.SILENT && random.nextInt(4) > 0 ? Reaction.ERROR : reaction;
+        played.merge(reaction, 1, Integer::sum);
+        return reaction;
       }
     });
     int calls = 3_000;
     int at = 0;
-    int[] kinds = new int[3];
+    int[] outcomes = new int[3];
     while (at < calls) {
       FastCgiClient client = client();
       int from = at;
@@ -57,7 +58,7 @@
       for (int i = from; i < at; i++) {
         Answer answer = client.await(i - from + 1, 4_000);
         assertNotNull(answer, "call " + i + " got no answer");
-        kinds[answer.status() == 200 ? 0 : answer.refused() ? 1 : 2]++;
+        outcomes[answer.status() == 200 ? 0 : answer.refused() ? 1 : 2]++;
         if (answer.status() == 200) {
           assertEquals(
               PlatformRunner.result(id(i), "body " + i),
@@ -67,40 +68,43 @@
       assertEquals(0, client.duplicateAnswers());
       client.close();
     }
-    Map<String, Integer> unsafe = new HashMap<>();
-    Map<String, Integer> carried = new HashMap<>();
+    Map<String, Integer> unsafeArrivals = new HashMap<>();
+    Map<String, Integer> arrivalsPerConnection = new HashMap<>();
     for (int r = 0; r < runners.size(); r++) {
       for (Arrival a : runners.get(r).arrivals()) {
-        carried.merge(r + " " + a.connection() + " " + a.id(), 1, Integer::sum);
+        arrivalsPerConnection.merge(r + " " + a.connection() + " " + a.id(), 1, Integer::sum);
         if (a.requestClass().equals("unsafe")) {
-          unsafe.merge(a.id(), 1, Integer::sum);
+          unsafeArrivals.merge(a.id(), 1, Integer::sum);
         }
       }
     }
-    assertEquals(Map.of(), notOnce(carried), "an id went twice over one connection");
-    // A runner that said that it never ran (full, miss) leaves an unsafe call free to go
-    // elsewhere; nothing else does.
-    long harmless = done.getOrDefault(Reaction.REFUSE, 0) + done.getOrDefault(Reaction.MISS, 0);
+    assertEquals(
+        Map.of(), moreThanOnce(arrivalsPerConnection), "an id was sent twice over one connection");
+    // An unsafe call may be retried only where the runner reported that it did not run: refused or
+    // missed.
+    long retriable =
+        played.getOrDefault(Reaction.REFUSE, 0) + played.getOrDefault(Reaction.MISS, 0);
     assertTrue(
-        notOnce(unsafe).size() <= harmless, "unsafe calls that arrived twice: " + notOnce(unsafe));
-    assertEquals(Reaction.values().length, done.size(), "played " + done);
+        moreThanOnce(unsafeArrivals).size() <= retriable,
+        "unsafe calls that arrived twice: " + moreThanOnce(unsafeArrivals));
+    assertEquals(Reaction.values().length, played.size(), "played " + played);
     assertTrue(
-        kinds[0] > calls / 2 && kinds[2] > 0,
-        "served, refused, failed: " + kinds[0] + " " + kinds[1] + " " + kinds[2]);
+        outcomes[0] > calls / 2 && outcomes[2] > 0,
+        "served, refused, failed: " + outcomes[0] + " " + outcomes[1] + " " + outcomes[2]);
     assertTrue(within(3_000, () -> node.isIdle()), node.summary());
   }
 
-  private static Map<String, Integer> notOnce(Map<String, Integer> counts) {
-    Map<String, Integer> more = new HashMap<>(counts);
-    more.values().removeIf(n -> n == 1);
-    return more;
+  private static Map<String, Integer> moreThanOnce(Map<String, Integer> counts) {
+    Map<String, Integer> repeated = new HashMap<>(counts);
+    repeated.values().removeIf(n -> n == 1);
+    return repeated;
   }
 
-  /** What may have run is answered as failed and arrives once, however its connection ended. */
+  /** An unsafe call that may have run fails and is not retried, however its connection ended. */
   @ParameterizedTest
   @ValueSource(strings = {"RESET", "NOISE", "HUGE", "HALF", "ERROR"})
-  void anUnsafeCallThatMayHaveRunIsFailedAndNotSentAgain(String deed) throws Exception {
-    start(3, a -> Reaction.valueOf(deed));
+  void anUnsafeCallThatMayHaveRunIsFailedAndNotSentAgain(String reaction) throws Exception {
+    start(3, a -> Reaction.valueOf(reaction));
     FastCgiClient client = client();
     client.send(1, FastCgiClient.params("unsafe", id(1), FUNCTION, 1_500), body(1));
     Answer answer = client.await(1, 3_000);
@@ -108,14 +112,14 @@
     assertEquals(1, arrivals().size());
   }
 
-  /** A safe call goes on elsewhere, and an answer that was spoilt is never passed on. */
+  /** A safe call is retried at another runner, and a damaged answer is never passed on to the client. */
   @ParameterizedTest
   @ValueSource(strings = {"RESET", "NOISE", "HUGE", "HALF", "REFUSE", "MISS", "AHEAD", "TWICE"})
-  void aSafeCallIsServedByAnother(String deed) throws Exception {
+  void aSafeCallIsServedByAnother(String reaction) throws Exception {
     boolean[] first = {true};
     start(3, a -> {
       synchronized (first) {
-        Reaction now = first[0] ? Reaction.valueOf(deed) : Reaction.SERVE;
+        Reaction now = first[0] ? Reaction.valueOf(reaction) : Reaction.SERVE;
         first[0] = false;
         return now;
       }
@@ -142,7 +146,7 @@
     assertEquals(0, arrivals().size());
   }
 
-  /** An event that says nothing of the runners has a number too: it must not be asked for again for ever. */
+  /** An event without a runner list advances the position in the log too; else it is requested again for ever. */
   @Test
   void anEventWithoutRunnersIsPassedOver() throws Exception {
     start(1, a -> Reaction.SERVE);
@@ -153,18 +157,18 @@
     assertEquals(List.of(1L), log.requestedFrom());
   }
 
-  /** Breaks, silence, doubled events and another address: the list is whole after each. */
+  /** The runner list is complete after a broken connection, repeated events, silence and a new log address. */
   @Test
   void theChangeLogIsFollowedThroughBreaksSilenceDoublesAndAMove() throws Exception {
     start(1, a -> Reaction.SERVE);
     assertTrue(within(2_000, () -> log.requestedFrom().size() == 1));
     log.breakConnection();
     log.add(PlatformChangeLog.event(2, false, "r1", runners.get(0).address(), "active"));
-    assertTrue(within(2_000, () -> node.runners().contains("r1")), "after a break");
+    assertTrue(within(2_000, () -> node.runners().contains("r1")), "after a broken connection");
     assertEquals(List.of(1L, 1L), log.requestedFrom());
     log.repeatEvents(1);
     log.add(PlatformChangeLog.event(3, false, "r2", runners.get(0).address(), "active"));
-    assertTrue(within(2_000, () -> node.runners().contains("r2")), "doubled");
+    assertTrue(within(2_000, () -> node.runners().contains("r2")), "after repeated events");
     log.stopSending();
     log.add(PlatformChangeLog.event(4, false, "r3", runners.get(0).address(), "active"));
     assertTrue(within(4_000, () -> node.runners().contains("r3")), "after silence");
@@ -173,7 +177,7 @@
     log = next;
     node.followChangeLogAt(next.address());
     next.add(PlatformChangeLog.event(5, false, "r0", runners.get(0).address(), "left"));
-    assertTrue(within(3_000, () -> !node.runners().contains("r0")), "after a move");
+    assertTrue(within(3_000, () -> !node.runners().contains("r0")), "after a change of address");
     assertEquals(List.of(4L), next.requestedFrom());
   }
 
@@ -211,7 +215,7 @@
     client.send(1, params, body(1));
     assertEquals(status, client.await(1, 2_000).status());
     client.send(2, FastCgiClient.params("safe", id(2), FUNCTION, 1_500), body(2));
-    assertEquals(200, client.await(2, 2_000).status(), "the connection goes on");
+    assertEquals(200, client.await(2, 2_000).status(), "the connection remains usable");
     assertEquals(1, arrivals().size());
   }
 
@@ -261,7 +265,8 @@
   }
 
   /**
-   * A number whose request was answered before its body ended is free again, but not past the bound on open requests.
+   * A request number that was answered before the end of its body may be used again, but the new request counts towards
+   * the limit of 32 open requests.
    */
   @Test
   void aNumberUsedAgainCountsAsOpenToo() throws Exception {
@@ -295,22 +300,22 @@
   void silentAndHalfReadConnectionsAreClosedInTime() throws Exception {
     start(1, a -> Reaction.SERVE);
     FastCgiClient silent = client();
-    FastCgiClient half = client();
+    FastCgiClient partial = client();
     byte[] whole = RecordWriter.request(
         1, true, FastCgiClient.params("safe", id(1), FUNCTION, 1_500), body(1));
-    half.write(Arrays.copyOf(whole, 100));
+    partial.write(Arrays.copyOf(whole, 100));
     assertTrue(silent.awaitEnd(4_000));
-    assertTrue(half.await(1, 4_000) != null || half.awaitEnd(1_000));
+    assertTrue(partial.await(1, 4_000) != null || partial.awaitEnd(1_000));
     assertEquals(0, arrivals().size());
   }
 
-  /** SIGTERM under load: what was taken is answered, also what comes a little later. */
+  /** An orderly stop under load answers accepted requests, and those that arrive shortly after it began. */
   @Test
   void aStopAnswersWhatWasTaken() throws Exception {
     start(2, a -> Reaction.SERVE);
     FastCgiClient client = client();
     client.send(1, FastCgiClient.params("safe", id(1), FUNCTION, 1_500), body(1));
-    Thread stopping = stopping();
+    Thread stopping = stopInBackground();
     FastCgiClient late = client();
     for (int i = 2; i <= 20; i++) {
       late.send(
@@ -325,7 +330,7 @@
     assertTrue(client.awaitEnd(1_000));
   }
 
-  /** A keyed request's key reaches the runner as its client gave it; one that is no word reaches none. */
+  /** A valid idempotency key reaches the runner unchanged; a request with an invalid key gets 400 and reaches none. */
   @Test
   void anIdempotencyKeyGoesOnUnchanged() throws Exception {
     start(1, a -> Reaction.SERVE);
@@ -347,7 +352,7 @@
         arrivals().stream().map(a -> a.fields().get("replay")).toList());
   }
 
-  /** Ids, connections and runners are new all day: what is kept of them must not grow. */
+  /** Guards against a leak: ids, connections and runners keep changing, and none may be retained once it is gone. */
   @Test
   void nothingIsKeptOfCallsConnectionsAndRunnersThatAreGone() throws Exception {
     start(2, a -> Reaction.SERVE);
@@ -387,6 +392,6 @@
       assertTrue(e.getMessage().contains("ROUTER_LISTEN"), e.getMessage());
       return;
     }
-    throw new AssertionError("taken");
+    throw new AssertionError("accepted");
   }
 }
