--- a/testbed/src/test/java/gorseladder/testbed/platform/ChangeLogEntriesTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/platform/ChangeLogEntriesTest.java
@@ -9,16 +9,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/**
- * Events of the change log of which a part cannot be read: what can be read holds, and what comes after it is heard.
- */
+/** Tests change log events with unreadable parts: the readable parts apply, and later events are still received. */
 class ChangeLogEntriesTest extends DispatcherFixture {
   private static final String EVENT =
       "{\"seq\":3,\"fleet\":{\"rev\":3,\"all\":%s,\"targets\":[%s,%s]}}";
-  private static final String GONE_FIRST =
+  private static final String R0_LEFT =
       "{\"uid\":\"r0\",\"endpoint\":\"127.0.0.1:1\",\"az\":\"z\",\"pod_group\":0,\"state\":\"left\"}";
 
-  /** Beside an entry that cannot be read, in one way or another, stands one that can. */
+  /** A readable entry applies, though an entry beside it in the same event is unreadable. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -32,35 +30,34 @@
       })
   void anEntryThatCannotBeReadHidesNoOther(String entry) throws Exception {
     start(2, arrival -> Reaction.SERVE);
-    log.add(EVENT.formatted("false", entry, GONE_FIRST));
+    log.add(EVENT.formatted("false", entry, R0_LEFT));
     assertTrue(
-        within(3_000, () -> !node.runners().contains("r0")), () -> "asked " + log.requestedFrom());
+        within(3_000, () -> !node.runners().contains("r0")),
+        () -> "requested from " + log.requestedFrom());
     log.add(PlatformChangeLog.event(4, false, "r2", runners.get(1).address(), "active"));
-    assertTrue(within(3_000, () -> node.runners().contains("r2")), "nothing is heard after it");
+    assertTrue(within(3_000, () -> node.runners().contains("r2")), "later events are not received");
   }
 
-  /** A runner that drains is left alone though nothing else of its entry can be read. */
+  /** A runner that has left gets no calls, though the rest of its entry is unreadable. */
   @Test
   void aDrainHoldsThoughTheRestOfItsEntryCannotBeRead() throws Exception {
     start(2, arrival -> Reaction.SERVE);
-    log.add(EVENT.formatted("false", "{\"uid\":\"r1\",\"state\":\"left\"}", GONE_FIRST));
+    log.add(EVENT.formatted("false", "{\"uid\":\"r1\",\"state\":\"left\"}", R0_LEFT));
     assertTrue(within(3_000, () -> node.runners().isEmpty()), () -> "has " + node.runners());
   }
 
-  /** In a whole list an entry that cannot be read is not one that is missing: what was known of its runner stays. */
+  /** In a full list an unreadable entry does not count as missing: its runner stays in its last known state. */
   @Test
   void anUnreadableEntryOfAWholeListLeavesItsRunnerAsItWas() throws Exception {
     start(2, arrival -> Reaction.SERVE);
-    log.add(EVENT.formatted("true", "{\"uid\":\"r1\",\"state\":\"active\"}", GONE_FIRST));
+    log.add(EVENT.formatted("true", "{\"uid\":\"r1\",\"state\":\"active\"}", R0_LEFT));
     assertTrue(
-        within(3_000, () -> !node.runners().contains("r0")), () -> "asked " + log.requestedFrom());
+        within(3_000, () -> !node.runners().contains("r0")),
+        () -> "requested from " + log.requestedFrom());
     assertEquals(Set.of("r1"), node.runners());
   }
 
-  /**
-   * An event that is no JSON each time it is told is passed over after some tries: a log that is stuck tells nothing
-   * else.
-   */
+  /** An event that is unreadable every time is skipped after some tries; else the log would be stuck at it for ever. */
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -73,6 +70,7 @@
     log.add(event);
     log.add(PlatformChangeLog.event(4, false, "r1", runners.get(1).address(), "left"));
     assertTrue(
-        within(4_000, () -> !node.runners().contains("r1")), () -> "asked " + log.requestedFrom());
+        within(4_000, () -> !node.runners().contains("r1")),
+        () -> "requested from " + log.requestedFrom());
   }
 }
--- a/testbed/src/test/java/gorseladder/testbed/platform/ClockStepTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/platform/ClockStepTest.java
@@ -10,27 +10,28 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Wall clocks that do not agree: a dispatcher's, or a runner's, was stepped. Monotonic clocks run on.
+ * Guards against a new runner that gets more calls than it can serve, also where the wall clocks of dispatcher and
+ * runner differ after a step of one of them. Monotonic clocks are unaffected.
  *
- * <p>The test before this one let a runner that had just started get four calls in its first 1.5 s; it got 26 in a
- * check, up to 40 when repeated, and as many with clocks that agree. Four was a bound of no rule: its stand-ins took no
- * time for a call, and nothing told what they bear. Here the runner that starts serves one call after the other,
- * {@value #WORK_MILLIS} ms each, so it bears 40 a second, and the bound is the term's (N + 2 x root of N + 2).
+ * <p>The new runner serves one call at a time, {@value #WORK_MILLIS} ms each, so its capacity is 40 calls a second, and
+ * the bound is that of the overload rule (N + 2 x root of N + 2). An earlier test allowed four calls in the first 1.5
+ * s, a bound of no rule, as its runners took no time for a call: it got 26, in repeated runs up to 40, and as many with
+ * equal clocks.
  *
- * <p>So judged there was a fault, and not of the clocks: where calls had been light the budget of the runner went by
- * their usual time of about a millisecond, as if it bore a thousand a second, until its own answers came in a row: 57,
- * 52 and 63 calls of 42, with the stamp true, an hour behind and an hour ahead, in about half of the plays. Now the
- * budget saves nothing by that usual time while a call is out there, and goes by the runner's own last answer where
- * that took longer: 1 to 20 calls.
+ * <p>The fault was not in the clocks. After light calls the budget of the new runner used their typical latency of
+ * about a millisecond, as if its capacity were a thousand calls a second, until its own answers arrived: it got 57, 52
+ * and 63 calls with a bound of 42, with a correct start time, one an hour behind and one an hour ahead, in about half
+ * of the runs. Now the budget gains no tokens from the typical latency while a call is in flight at the runner, and
+ * uses the latency of the runner's own last answer where that is longer: 1 to 20 calls.
  */
 class ClockStepTest extends DispatcherFixture {
   private static final int CALLS_BEFORE = 300;
-  private static final long GAP_MILLIS = 5;
+  private static final long CALL_GAP_MILLIS = 5;
   private static final int WORK_MILLIS = 25;
   private static final double WARM_CALLS_PER_SECOND = 1_000.0 / WORK_MILLIS;
 
-  /** What a runner that just started bears in the time of the rule: N + 2 x root of N + 2. */
-  private static double bound() {
+  /** Most calls that the overload rule allows a new runner within its window: N + 2 x root of N + 2. */
+  private static double maxCalls() {
     double n = RULES.overloadMultiple()
         * WARM_CALLS_PER_SECOND
         * RULES.initialCapacity()
@@ -40,11 +41,11 @@
   }
 
   /**
-   * A runner that starts is started slowly, whatever its clock says and whatever calls took before.
+   * A new runner gets few calls at first, whatever its clock shows and however long calls took before.
    *
-   * @param hours by how much its clock is ahead of the dispatcher's
-   * @param workBefore what a call takes at the other runners before it starts, in milliseconds
-   * @param workThen the same from its start on
+   * @param hours how far the new runner's clock is ahead of the dispatcher's
+   * @param workBefore time of a call at the other runners before the new one starts, in milliseconds
+   * @param workAfter the same from its start on
    */
   @ParameterizedTest
   @CsvSource({
@@ -53,7 +54,7 @@
     "0, 25, 25", "-1, 25, 25", "1, 25, 25"
   })
   void aRunnerThatStartsIsStartedSlowlyThoughTheClocksDiffer(
-      int hours, int workBefore, int workThen) throws Exception {
+      int hours, int workBefore, int workAfter) throws Exception {
     AtomicInteger work = new AtomicInteger(workBefore);
     start(5, a -> {
       sleep(work.get());
@@ -67,7 +68,7 @@
     PlatformRunner fresh = new PlatformRunner(a -> Reaction.SERVE);
     fresh.setWorkMillis(WORK_MILLIS);
     runners.add(fresh);
-    work.set(workThen);
+    work.set(workAfter);
     long stamp = System.currentTimeMillis() + TimeUnit.HOURS.toMillis(hours);
     log.add(PlatformChangeLog.event(
         events.size() + 1, false, "fresh", fresh.address(), "active", stamp));
@@ -77,7 +78,8 @@
     }
     int got = fresh.arrivals().size();
     assertTrue(
-        got <= bound(), () -> "a runner that just started got " + got + " calls of " + bound());
+        got <= maxCalls(),
+        () -> "a runner that just started got " + got + " calls, allowed " + maxCalls());
   }
 
   private static void sleep(int millis) {
@@ -88,11 +90,11 @@
     }
   }
 
-  /** Calls one of forty functions, numbered from there. */
-  private void send(FastCgiClient client, int call, int functions) throws Exception {
-    String function = id(functions + call % 40);
+  /** Calls one of forty functions and waits for the gap between calls. */
+  private void send(FastCgiClient client, int call, int firstFunction) throws Exception {
+    String function = id(firstFunction + call % 40);
     Map<String, String> params = FastCgiClient.params("safe", id(call), function, 1_500);
     client.send(call, params, body(call));
-    Thread.sleep(GAP_MILLIS);
+    Thread.sleep(CALL_GAP_MILLIS);
   }
 }
--- a/testbed/src/test/java/gorseladder/testbed/platform/DispatcherFixture.java
+++ b/testbed/src/test/java/gorseladder/testbed/platform/DispatcherFixture.java
@@ -26,7 +26,9 @@
 import java.util.function.Function;
 import org.junit.jupiter.api.AfterEach;
 
-/** Base of tests that run a dispatcher in this process between scripted clients, runners and a change log on loopback. */
+/**
+ * Base of tests that run a dispatcher in this process between scripted clients, runners and a change log on loopback.
+ */
 abstract class DispatcherFixture {
   /** In microseconds, as all times of the settings. */
   static final long SECOND = 1_000_000;
--- a/testbed/src/test/java/gorseladder/testbed/platform/FirstCallsCostTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/platform/FirstCallsCostTest.java
@@ -33,51 +33,51 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Guards against first calls that hold up a new dispatcher: what code costs that runs for the first time, or before it
- * is compiled. A dispatcher is started as {@code deploy/balancer.toml} does it, but for the jar and its archive, and
- * the processor time of its threads is read from outside, so that waits for a processor do not count.
+ * Guards against first calls that delay a new dispatcher, by code that runs for the first time or is not compiled yet.
+ * A dispatcher is started as by {@code deploy/balancer.toml}, but without the jar and its archive, and the processor
+ * time of its threads is read from outside, so that waits for a processor do not count.
  *
- * <p>A dispatcher with a tenth of a core that sees the mean rate, 10 calls a second, has 10 ms of processor for a call.
- * Half of it stays free for all that is not a call, so 5 ms; and the calls of one second may hold up the core's thread
- * for a quarter of the shortest deadline, 1 s, which is 25 ms of its processor, so 2.5 ms a call. One that sees four
- * times the mean, as some do, has a quarter of each. A process that can bear four times the mean when warm bears the
- * mean when new as long as a first call costs at most four times a later one.
+ * <p>A dispatcher with a tenth of a core at the mean rate of 10 calls a second has 10 ms of processor time for a call.
+ * Half of it is kept for other work, which leaves 5 ms. The calls of one second may occupy the core's thread for a
+ * quarter of the shortest deadline, 1 s; that is 25 ms of its processor time, so 2.5 ms a call. Some dispatchers get
+ * four times the mean rate and so have a quarter of each. A process that can serve four times the mean rate when warm
+ * can serve the mean rate when new if a first call costs at most four times a later one.
  */
 class FirstCallsCostTest {
   private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
   private static final String CORE = "core";
-  /** The names of the threads that work on calls, as the system cuts them off. */
-  private static final List<String> WORK_ON_CALLS =
+  /** Names of the threads that work on calls, as truncated by the system. */
+  private static final List<String> CALL_THREADS =
       List.of(CORE, "C1 CompilerThre", "connection", "writer", "VM Thread");
 
-  /** Milliseconds of processor for a call of a new process at the mean rate, of all threads that work on calls. */
-  private static final double MOST_MILLIS = 5;
-  /** Milliseconds of processor of the core's thread for a call of a new process at the mean rate. */
-  private static final double MOST_CORE_MILLIS = 2.5;
-  /** So many times the mean rate some dispatchers see. */
-  private static final double BUSIEST = 4;
-  /** So many times a later call a first one may cost. */
-  private static final double MOST_RATIO = 4;
+  /** Most processor time of a call in a new process at the mean rate, for all threads that work on calls. */
+  private static final double MAX_CALL_MILLIS = 5;
+  /** Most processor time of a call in a new process at the mean rate, for the core's thread. */
+  private static final double MAX_CORE_CALL_MILLIS = 2.5;
+  /** Highest rate of a dispatcher, as a multiple of the mean rate. */
+  private static final double MAX_RATE_MULTIPLE = 4;
+  /** Most cost of a first call, as a multiple of a later one. */
+  private static final double MAX_RATIO = 4;
 
   private static final int HUNDRED = 100;
-  private static final int HUNDREDS = 100;
-  /** What disturbs a process from outside adds to its cost alone, so the least of these counts. */
+  private static final int ROUNDS = 100;
+  /** Disturbances from outside can only add to the cost of a process, so the least of these counts. */
   private static final int PROCESSES = 3;
 
-  /** As many as a fleet of a hundred dispatchers has. */
+  /** As many as a platform with a hundred dispatchers has. */
   private static final int RUNNERS = 100;
 
   private static final int CONNECTIONS = 4;
   private static final int FUNCTIONS = 10;
-  private static final int MOST_HELD = 16;
-  private static final int TIME_MILLIS = 1_000;
-  private static final int SHORT_MILLIS = 200;
+  private static final int MAX_HELD_CALLS = 16;
+  private static final int TIMEOUT_MILLIS = 1_000;
+  private static final int SHORT_TIMEOUT_MILLIS = 200;
   private static final int ABORT_AFTER_MILLIS = 10;
-  private static final int PACE_MILLIS = 20;
-  private static final int QUICK_PACE_MILLIS = 2;
-  private static final int PATIENCE_MILLIS = 10_000;
+  private static final int CALL_INTERVAL_MILLIS = 20;
+  private static final int SHORT_CALL_INTERVAL_MILLIS = 2;
+  private static final int ANSWER_TIMEOUT_MILLIS = 10_000;
 
-  /** A kind of call, by what runners do at its first attempt; a second attempt is served. */
+  /** A kind of call, by the reaction of runners to its first attempt; a second attempt is served. */
   private enum Kind {
     SERVED(Reaction.SERVE),
     REFUSED_BY_RUNNER(Reaction.REFUSE),
@@ -94,7 +94,7 @@
     }
   }
 
-  private static final List<Kind> PACED = Collections.nCopies(
+  private static final List<Kind> SPACED_CALLS = Collections.nCopies(
           5,
           List.of(
               Kind.SERVED,
@@ -113,24 +113,24 @@
       .flatMap(List::stream)
       .toList();
 
-  /** The rest of each hundred comes at once, more than may be held. */
-  private static final int BURST = HUNDRED - PACED.size();
+  /** The remaining calls of each hundred are sent at once, more than the dispatcher may hold. */
+  private static final int BURST_CALLS = HUNDRED - SPACED_CALLS.size();
 
   @TempDir
   Path dir;
 
   private final List<PlatformRunner> runners = new ArrayList<>();
   private final List<FastCgiClient> clients = new ArrayList<>();
-  private final Set<String> tried = ConcurrentHashMap.newKeySet();
+  private final Set<String> attempted = ConcurrentHashMap.newKeySet();
   private PlatformChangeLog log;
   private ChildProcess process;
   private ThreadTimes times;
   private int calls;
 
-  /** Milliseconds of processor for each of a hundred calls. */
+  /** Mean processor time of a hundred calls, in milliseconds a call. */
   private record Cost(double all, double core) {
     static Cost between(Map<String, Double> before, Map<String, Double> after) {
-      double all = WORK_ON_CALLS.stream()
+      double all = CALL_THREADS.stream()
           .mapToDouble(name -> after.getOrDefault(name, 0.0) - before.getOrDefault(name, 0.0))
           .sum();
       return new Cost(all / HUNDRED, (after.get(CORE) - before.get(CORE)) / HUNDRED);
@@ -146,11 +146,11 @@
   void theFirstHundredCallsOfANewProcessCostLittleMoreThanLaterOnes(TestReporter reporter)
       throws Exception {
     Cost first = firstHundred();
-    for (int i = 1; i < HUNDREDS; i++) {
-      play(QUICK_PACE_MILLIS);
+    for (int i = 1; i < ROUNDS; i++) {
+      play(SHORT_CALL_INTERVAL_MILLIS);
     }
-    quieten();
-    Cost later = hundred(PACE_MILLIS);
+    awaitQuiet();
+    Cost later = measureHundred(CALL_INTERVAL_MILLIS);
     String figures = "ms a call: first hundred " + first + ", later " + later
         + String.format(
             Locale.ROOT,
@@ -159,12 +159,12 @@
             first.core() / later.core());
     reporter.publishEntry("processor", figures);
     assertAll(
-        () -> assertTrue(first.all() <= MOST_MILLIS, () -> "all threads, " + figures),
-        () -> assertTrue(first.core() <= MOST_CORE_MILLIS, () -> "core, " + figures),
+        () -> assertTrue(first.all() <= MAX_CALL_MILLIS, () -> "all threads, " + figures),
+        () -> assertTrue(first.core() <= MAX_CORE_CALL_MILLIS, () -> "core, " + figures),
         () -> assertTrue(
-            first.all() <= MOST_RATIO * later.all(), () -> "all threads' ratio, " + figures),
-        () -> assertTrue(
-            first.core() <= MOST_RATIO * later.core(), () -> "core's ratio, " + figures));
+            first.all() <= MAX_RATIO * later.all(), () -> "all threads' ratio, " + figures),
+        () ->
+            assertTrue(first.core() <= MAX_RATIO * later.core(), () -> "core's ratio, " + figures));
   }
 
   @Test
@@ -173,17 +173,19 @@
     Cost first = firstHundred();
     reporter.publishEntry("processor", "ms a call: first hundred " + first);
     assertAll(
-        () -> assertTrue(first.all() <= MOST_MILLIS / BUSIEST, () -> "all threads, " + first),
-        () -> assertTrue(first.core() <= MOST_CORE_MILLIS / BUSIEST, () -> "core, " + first));
+        () -> assertTrue(
+            first.all() <= MAX_CALL_MILLIS / MAX_RATE_MULTIPLE, () -> "all threads, " + first),
+        () -> assertTrue(
+            first.core() <= MAX_CORE_CALL_MILLIS / MAX_RATE_MULTIPLE, () -> "core, " + first));
   }
 
-  /** The least of some processes for each; the last of them runs on. */
+  /** Least cost of the first hundred calls over several processes; the last process keeps running. */
   private Cost firstHundred() throws Exception {
     Cost least = new Cost(Double.MAX_VALUE, Double.MAX_VALUE);
     for (int i = 0; i < PROCESSES; i++) {
       stop();
       start();
-      Cost cost = hundred(PACE_MILLIS);
+      Cost cost = measureHundred(CALL_INTERVAL_MILLIS);
       least = new Cost(Math.min(least.all(), cost.all()), Math.min(least.core(), cost.core()));
     }
     return least;
@@ -196,8 +198,8 @@
     }
     events.add(wholeList());
     log = new PlatformChangeLog(events);
-    String config = PlatformConfig.text(log.address(), events.get(0), TIME_MILLIS)
-        .replace("\"multiplex\"", "\"mostHeld\":" + MOST_HELD + ",\"multiplex\"");
+    String config = PlatformConfig.text(log.address(), events.get(0), TIMEOUT_MILLIS)
+        .replace("\"multiplex\"", "\"mostHeld\":" + MAX_HELD_CALLS + ",\"multiplex\"");
     Files.writeString(dir.resolve("config.json"), config);
     InetSocketAddress listen;
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -215,8 +217,8 @@
             dir.resolve("config.json").toString()),
         dir.resolve("log").toFile());
     assertTrue(
-        DispatcherFixture.within(2 * PATIENCE_MILLIS, () -> live(listen)),
-        () -> "not live: " + said());
+        DispatcherFixture.within(2 * ANSWER_TIMEOUT_MILLIS, () -> isLive(listen)),
+        () -> "not live: " + output());
     for (int i = 0; i < CONNECTIONS; i++) {
       clients.add(new FastCgiClient(listen));
     }
@@ -224,7 +226,7 @@
     calls = 0;
   }
 
-  /** One event with all runners. */
+  /** Returns one event that lists all runners. */
   private String wholeList() {
     List<String> all = IntStream.range(0, RUNNERS)
         .mapToObj(
@@ -241,10 +243,10 @@
 
   private Reaction react(Arrival arrival) {
     Kind kind = Kind.valueOf(arrival.body());
-    return tried.add(arrival.id()) ? kind.first : Reaction.SERVE;
+    return attempted.add(arrival.id()) ? kind.first : Reaction.SERVE;
   }
 
-  private static boolean live(InetSocketAddress listen) {
+  private static boolean isLive(InetSocketAddress listen) {
     try {
       return FastCgiClient.isLive(listen, 1_000);
     } catch (InterruptedException e) {
@@ -252,7 +254,7 @@
     }
   }
 
-  private String said() {
+  private String output() {
     try {
       return Files.readString(dir.resolve("log"));
     } catch (IOException e) {
@@ -260,49 +262,50 @@
     }
   }
 
-  /** What a hundred calls cost, with what compiles behind them. */
-  private Cost hundred(int paceMillis) throws Exception {
+  /** Measures the cost of a hundred calls, with the compilation that they cause. */
+  private Cost measureHundred(int intervalMillis) throws Exception {
     Map<String, Double> before = times.read();
-    play(paceMillis);
-    quieten();
+    play(intervalMillis);
+    awaitQuiet();
     return Cost.between(before, times.read());
   }
 
   /** Plays a hundred calls of all kinds and waits for their answers. */
-  private void play(int paceMillis) throws Exception {
-    List<Integer> owed = new ArrayList<>();
+  private void play(int intervalMillis) throws Exception {
+    List<Integer> unanswered = new ArrayList<>();
     long next = System.nanoTime();
-    for (Kind kind : PACED) {
+    for (Kind kind : SPACED_CALLS) {
       int number = ++calls;
       client(number).write(request(number, kind));
       if (kind == Kind.ABORTED) {
         Thread.sleep(ABORT_AFTER_MILLIS);
         client(number).write(RecordWriter.abort(number));
       } else {
-        owed.add(number);
+        unanswered.add(number);
       }
-      next = Math.max(next + paceMillis * 1_000_000L, System.nanoTime() - paceMillis * 1_000_000L);
+      next = Math.max(
+          next + intervalMillis * 1_000_000L, System.nanoTime() - intervalMillis * 1_000_000L);
       Thread.sleep(Math.max(0, (next - System.nanoTime()) / 1_000_000));
     }
-    burst(owed);
-    for (int number : owed) {
+    burst(unanswered);
+    for (int number : unanswered) {
       assertTrue(
-          client(number).await(number, PATIENCE_MILLIS) != null,
-          () -> "no answer to call " + number + ": " + said());
+          client(number).await(number, ANSWER_TIMEOUT_MILLIS) != null,
+          () -> "no answer to call " + number + ": " + output());
     }
   }
 
-  private void burst(List<Integer> owed) throws IOException {
-    ByteArrayOutputStream[] together = Stream.generate(ByteArrayOutputStream::new)
+  private void burst(List<Integer> unanswered) throws IOException {
+    ByteArrayOutputStream[] batches = Stream.generate(ByteArrayOutputStream::new)
         .limit(CONNECTIONS)
         .toArray(ByteArrayOutputStream[]::new);
-    for (int i = 0; i < BURST; i++) {
+    for (int i = 0; i < BURST_CALLS; i++) {
       int number = ++calls;
-      owed.add(number);
-      together[number % CONNECTIONS].writeBytes(request(number, Kind.SERVED));
+      unanswered.add(number);
+      batches[number % CONNECTIONS].writeBytes(request(number, Kind.SERVED));
     }
     for (int i = 0; i < CONNECTIONS; i++) {
-      clients.get(i).write(together[i].toByteArray());
+      clients.get(i).write(batches[i].toByteArray());
     }
   }
 
@@ -316,7 +319,7 @@
         kind == Kind.FAILED ? "unsafe" : "safe",
         DispatcherFixture.id(number),
         function,
-        kind == Kind.TIME_UP ? SHORT_MILLIS : TIME_MILLIS);
+        kind == Kind.TIME_UP ? SHORT_TIMEOUT_MILLIS : TIMEOUT_MILLIS);
     if (kind == Kind.BAD) {
       params.put("HTTP_X_TIMEOUT_MS", "soon");
     }
@@ -324,8 +327,8 @@
         number, true, params, kind.name().getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** Waits until the process has next to nothing more to compile or to do. */
-  private void quieten() throws Exception {
+  /** Waits until the process is nearly idle, with its compilation done. */
+  private void awaitQuiet() throws Exception {
     for (int i = 0; i < 20; i++) {
       Map<String, Double> before = times.read();
       Thread.sleep(150);
@@ -351,6 +354,6 @@
       runner.close();
     }
     runners.clear();
-    tried.clear();
+    attempted.clear();
   }
 }
--- a/testbed/src/test/java/gorseladder/testbed/platform/LittleProcessorTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/platform/LittleProcessorTest.java
@@ -28,30 +28,30 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Guards against requests without a final answer where the processor is short: a dispatcher as {@code
- * deploy/balancer.toml} starts it, but for the jar, is stopped and let go by a pattern, so that it has a few
- * milliseconds of each 100. It starts so, or is warm before; meets its first calls, a list that changes while it is
- * behind, and its stop with requests that it has not read yet.
+ * Guards against requests without a final answer where processor time is scarce. A dispatcher, started as by {@code
+ * deploy/balancer.toml} but without the jar, is stopped and continued in a pattern, so that it runs for a few
+ * milliseconds of each 100. It starts under this pattern or is warmed up before; then come its first calls, a change of
+ * the runner list while it is behind, and a stop with requests that it has not read yet.
  */
 class LittleProcessorTest {
   private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
 
-  /** The final answer is owed within the request's time; half a second later it is lost. */
+  /** An answer is due within the request's timeout; half a second after it, it counts as lost. */
   private static final long SLACK_MILLIS = 500;
 
-  private static final int TIME_MILLIS = 1_000;
+  private static final int TIMEOUT_MILLIS = 1_000;
   private static final int DEADLINE_MILLIS = 2_000;
-  private static final int START_MILLIS = 30_000;
-  /** The earliest kill after SIGTERM: the longest deadline and 0.7 s. */
+  private static final int START_TIMEOUT_MILLIS = 30_000;
+  /** The earliest kill after SIGTERM: the longest deadline plus 0.7 s. */
   private static final int KILL_MILLIS = DEADLINE_MILLIS + 700;
 
   private static final int RUNNERS = 8;
   private static final int CONNECTIONS = 4;
   private static final int FUNCTIONS = 20;
   /** Four times the mean rate of a dispatcher with a tenth of a core, which is 10 a second. */
-  private static final int BURST = 4;
+  private static final int BURST_CALLS = 4;
 
-  private static final int BURST_EVERY_MILLIS = 100;
+  private static final int BURST_INTERVAL_MILLIS = 100;
   private static final int BURSTS = 30;
   private static final int WARM_CALLS = 1_000;
 
@@ -60,7 +60,7 @@
 
   private final List<PlatformRunner> runners = new ArrayList<>();
   private final List<String> events = new ArrayList<>();
-  private final List<FastCgiClient> kept = new ArrayList<>();
+  private final List<FastCgiClient> openConnections = new ArrayList<>();
   private final Collection<Sent> sent = new CopyOnWriteArrayList<>();
   private PlatformChangeLog log;
   private InetSocketAddress listen;
@@ -68,20 +68,20 @@
   private ProcessorPattern pattern;
   private int number;
 
-  /** A request on its way; {@code at} is {@link System#nanoTime()} before its first byte was written. */
+  /** A request; {@code at} is {@link System#nanoTime()} before its first byte was written. */
   private record Sent(
-      int number, String phase, FastCgiClient client, boolean ownConnection, long at) {
-    /** What is wrong with its answer; null where nothing is. */
+      int number, String phase, FastCgiClient client, boolean newConnection, long at) {
+    /** Waits for the answer and describes what is wrong with it, or returns null. */
     String fault() throws InterruptedException {
-      long untilMillis = TIME_MILLIS + SLACK_MILLIS;
-      long left = untilMillis - (System.nanoTime() - at) / 1_000_000;
-      Answer answer = client.await(number, Math.max(1, left));
-      String who = phase + ", request " + number + (ownConnection ? " on a new connection" : "");
+      long limitMillis = TIMEOUT_MILLIS + SLACK_MILLIS;
+      long remaining = limitMillis - (System.nanoTime() - at) / 1_000_000;
+      Answer answer = client.await(number, Math.max(1, remaining));
+      String label = phase + ", request " + number + (newConnection ? " on a new connection" : "");
       if (answer == null) {
-        return who + ": no answer";
+        return label + ": no answer";
       }
       long took = (answer.at() - at) / 1_000_000;
-      return took > untilMillis ? who + ": answered after " + took + " ms" : null;
+      return took > limitMillis ? label + ": answered after " + took + " ms" : null;
     }
   }
 
@@ -109,18 +109,18 @@
     pattern = new ProcessorPattern(process, runMillis, seed);
     awaitLive();
     connect();
-    calls("first calls", BURSTS);
-    changeTheList();
-    calls("list change", BURSTS / 3);
+    playBursts("first calls", BURSTS);
+    drainHalfOfTheRunners();
+    playBursts("list change", BURSTS / 3);
     burst("stop");
     process.signal("TERM");
     Thread.sleep(KILL_MILLIS);
     List<String> faults = faults();
     reporter.publishEntry(
         runMillis + " ms" + (warm ? " warm" : " cold"), sent.size() + " sent, served " + served());
-    assertEquals(List.of(), faults, this::said);
-    for (FastCgiClient client : kept) {
-      assertEquals(0, client.duplicateAnswers(), "second answers");
+    assertEquals(List.of(), faults, this::output);
+    for (FastCgiClient client : openConnections) {
+      assertEquals(0, client.duplicateAnswers(), "duplicate answers");
     }
   }
 
@@ -154,50 +154,50 @@
   }
 
   private void awaitLive() throws InterruptedException {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_MILLIS);
+    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(START_TIMEOUT_MILLIS);
     boolean live = false;
     while (!live && System.nanoTime() < until) {
-      live = FastCgiClient.isLive(listen, START_MILLIS);
+      live = FastCgiClient.isLive(listen, START_TIMEOUT_MILLIS);
       Thread.sleep(live ? 0 : 20);
     }
-    assertTrue(live, () -> "not live: " + said());
+    assertTrue(live, () -> "not live: " + output());
   }
 
   private void connect() throws IOException {
     for (int i = 0; i < CONNECTIONS; i++) {
-      kept.add(new FastCgiClient(listen));
+      openConnections.add(new FastCgiClient(listen));
     }
   }
 
-  /** One call after the other, with all of the processor. */
+  /** Plays calls one after the other, before the processor time is limited. */
   private void warmUp() throws Exception {
     try (FastCgiClient client = new FastCgiClient(listen)) {
       for (int i = 0; i < WARM_CALLS; i++) {
         send(client, ++number);
-        assertTrue(client.await(number, START_MILLIS) != null, this::said);
+        assertTrue(client.await(number, START_TIMEOUT_MILLIS) != null, this::output);
       }
     }
   }
 
-  private void calls(String phase, int bursts) throws Exception {
+  private void playBursts(String phase, int bursts) throws Exception {
     long next = System.nanoTime();
     for (int i = 0; i < bursts; i++) {
       burst(phase);
-      next += TimeUnit.MILLISECONDS.toNanos(BURST_EVERY_MILLIS);
+      next += TimeUnit.MILLISECONDS.toNanos(BURST_INTERVAL_MILLIS);
       Thread.sleep(Math.max(0, (next - System.nanoTime()) / 1_000_000));
     }
   }
 
-  /** As many requests on connections that are open as on new ones. */
+  /** Sends half of the requests on open connections and half on new ones. */
   private void burst(String phase) throws Exception {
-    for (int i = 0; i < BURST; i++) {
-      boolean ownConnection = i % 2 == 0;
+    for (int i = 0; i < BURST_CALLS; i++) {
+      boolean newConnection = i % 2 == 0;
       FastCgiClient client =
-          ownConnection ? new FastCgiClient(listen) : kept.get(++number % CONNECTIONS);
+          newConnection ? new FastCgiClient(listen) : openConnections.get(++number % CONNECTIONS);
       number++;
       long at = System.nanoTime();
       send(client, number);
-      sent.add(new Sent(number, phase, client, ownConnection, at));
+      sent.add(new Sent(number, phase, client, newConnection, at));
     }
   }
 
@@ -206,12 +206,12 @@
         number % 3 == 0 ? "unsafe" : "safe",
         DispatcherFixture.id(number),
         DispatcherFixture.id(number % FUNCTIONS),
-        TIME_MILLIS);
+        TIMEOUT_MILLIS);
     client.send(number, params, DispatcherFixture.body(number));
   }
 
-  /** Half of the runners drain, in news of one each. */
-  private void changeTheList() {
+  /** Drains half of the runners, each by an event of its own. */
+  private void drainHalfOfTheRunners() {
     for (int i = 0; i < RUNNERS / 2; i++) {
       log.add(PlatformChangeLog.event(
           RUNNERS + i + 1, false, "r" + i, runners.get(i).address(), "leaving"));
@@ -238,7 +238,7 @@
     return served;
   }
 
-  private String said() {
+  private String output() {
     try {
       return Files.readString(dir.resolve("log"), StandardCharsets.ISO_8859_1);
     } catch (IOException e) {
@@ -254,7 +254,7 @@
     for (Sent request : sent) {
       request.client().close();
     }
-    for (FastCgiClient client : kept) {
+    for (FastCgiClient client : openConnections) {
       client.close();
     }
     process.close();
--- a/testbed/src/test/java/gorseladder/testbed/platform/NodeProcessTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/platform/NodeProcessTest.java
@@ -27,12 +27,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The dispatcher as {@code deploy/balancer.toml} starts it, but for the jar: signals and the end of the process. */
+/**
+ * Tests signals and the exit of a dispatcher process, started as by {@code deploy/balancer.toml} but without the jar.
+ */
 class NodeProcessTest {
   private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
 
-  /** What a shell tells of a process that SIGTERM ended. */
-  private static final int ENDED_BY_TERM = 143;
+  /** A shell's exit code for a process that SIGTERM ended. */
+  private static final int EXIT_SIGTERM = 143;
 
   /** The earliest kill after SIGTERM: 3 s for the longest deadline, and 0.7 s. */
   private static final int KILL_MILLIS = 3_700;
@@ -53,15 +55,15 @@
     Files.move(next, dir.resolve("config.json"), StandardCopyOption.REPLACE_EXISTING);
   }
 
-  /** Starts it from a shell that does something first, and waits until it is live. */
-  private void start(Reaction deed, String first) throws Exception {
-    prepare(deed);
-    launch(first);
+  /** Starts the dispatcher from a shell that runs the prefix first, and waits until it is live. */
+  private void start(Reaction reaction, String prefix) throws Exception {
+    prepare(reaction);
+    launch(prefix);
     assertLive();
   }
 
-  private void prepare(Reaction deed) throws Exception {
-    runner = new PlatformRunner(a -> deed);
+  private void prepare(Reaction reaction) throws Exception {
+    runner = new PlatformRunner(a -> reaction);
     events.add(PlatformChangeLog.event(1, true, "r0", runner.address(), "active"));
     log = new PlatformChangeLog(events);
     configure(log.address());
@@ -71,13 +73,13 @@
   }
 
   private void assertLive() throws InterruptedException {
-    boolean over = DispatcherFixture.within(20_000, () -> live() || !process.isAlive());
-    assertTrue(over && process.isAlive(), () -> "not live: " + said());
+    boolean liveOrEnded = DispatcherFixture.within(20_000, () -> isLive() || !process.isAlive());
+    assertTrue(liveOrEnded && process.isAlive(), () -> "not live: " + output());
   }
 
-  private void launch(String first) throws IOException {
+  private void launch(String prefix) throws IOException {
     String command = RunLine.read(ROOT);
-    ProcessBuilder builder = new ProcessBuilder("sh", "-c", first + command)
+    ProcessBuilder builder = new ProcessBuilder("sh", "-c", prefix + command)
         .directory(ROOT.toFile())
         .redirectErrorStream(true)
         .redirectOutput(dir.resolve("log").toFile());
@@ -93,7 +95,7 @@
     process = builder.start();
   }
 
-  private boolean live() {
+  private boolean isLive() {
     try {
       return FastCgiClient.isLive(listen, 1_000);
     } catch (InterruptedException e) {
@@ -101,7 +103,7 @@
     }
   }
 
-  private String said() {
+  private String output() {
     try {
       return Files.readString(dir.resolve("log"));
     } catch (IOException e) {
@@ -124,7 +126,7 @@
     runner.close();
   }
 
-  /** A parent that ignores signals hands that on to its children; the run line takes it back. */
+  /** Children inherit ignored signals from their parent; the run line resets them, so that SIGHUP still reloads. */
   @Test
   void aNewConfigurationIsReadThoughTheParentIgnoresSignals() throws Exception {
     start(Reaction.SERVE, "trap '' HUP TERM INT; ");
@@ -132,17 +134,14 @@
       configure(next.address());
       signal("HUP");
       assertTrue(
-          DispatcherFixture.within(5_000, () -> !next.requestedFrom().isEmpty()), this::said);
+          DispatcherFixture.within(5_000, () -> !next.requestedFrom().isEmpty()), this::output);
     }
     signal("TERM");
-    assertTrue(process.waitFor(6, TimeUnit.SECONDS), this::said);
-    assertEquals(NodeMain.OK, process.exitValue(), this::said);
+    assertTrue(process.waitFor(6, TimeUnit.SECONDS), this::output);
+    assertEquals(NodeMain.OK, process.exitValue(), this::output);
   }
 
-  /**
-   * Told to stop, twice, and to read its configuration anew in between, with discovery down and a call that nobody
-   * answers.
-   */
+  /** Two stops with a reload in between, while the change log is down and the runner does not answer its call. */
   @Test
   void aStopWithDiscoveryDownAnswersItsCallAndEndsInTime() throws Exception {
     start(Reaction.SILENT, "");
@@ -157,15 +156,15 @@
       signal("TERM");
       signal("HUP");
       signal("TERM");
-      assertNotNull(client.await(1, 6_000), this::said);
-      assertTrue(process.waitFor(3, TimeUnit.SECONDS), this::said);
-      assertEquals(NodeMain.OK, process.exitValue(), this::said);
+      assertNotNull(client.await(1, 6_000), this::output);
+      assertTrue(process.waitFor(3, TimeUnit.SECONDS), this::output);
+      assertEquals(NodeMain.OK, process.exitValue(), this::output);
     }
   }
 
   /**
-   * Three configurations within a moment, while the first of them is still being read: the last one holds. The first
-   * one is a pipe, so that the test decides when its reader goes on.
+   * Of three reloads in quick succession, the last configuration is in force, though the first is still being read. The
+   * first file is a pipe, so that the test decides when reading goes on.
    */
   @Test
   void theLastOfSeveralNewConfigurationsHolds() throws Exception {
@@ -176,7 +175,7 @@
     try (PlatformChangeLog replaced = new PlatformChangeLog(events);
         PlatformChangeLog last = new PlatformChangeLog(events)) {
       signal("HUP");
-      // Opened for writing only once the first reload reads it; by then its name can stand for
+      // Opening blocks until the first reload reads the pipe; from then on its name may refer to
       // another file.
       try (OutputStream first = Files.newOutputStream(dir.resolve("config.json"))) {
         configure(last.address());
@@ -187,13 +186,15 @@
             .getBytes(StandardCharsets.UTF_8));
       }
       assertTrue(
-          DispatcherFixture.within(5_000, () -> !last.requestedFrom().isEmpty()), this::said);
+          DispatcherFixture.within(5_000, () -> !last.requestedFrom().isEmpty()), this::output);
       Thread.sleep(1_000);
-      assertTrue(isFollowed(last), this::said);
+      assertTrue(isFollowed(last), this::output);
     }
   }
 
-  /** True where a dispatcher asks again after its connection broke; one that is not followed has none. */
+  /**
+   * True if the dispatcher reconnects to this change log after a break; a log that is not followed has no connection.
+   */
   private static boolean isFollowed(PlatformChangeLog log) throws InterruptedException {
     int before = log.requestedFrom().size();
     try {
@@ -205,10 +206,11 @@
   }
 
   /**
-   * Seen once beside a full machine: a stop ended a connection with a call on it that was taken and not answered.
+   * Guards against a stop that closes a connection with an accepted call that has no answer; seen once on a busy
+   * machine.
    *
-   * <p>What is still held is answered 0.4 s before the earliest kill. A process that had no processor from just before
-   * that until less than 0.15 s were left went straight to its end, past that step. Forced here by a pause.
+   * <p>Held calls are answered 0.4 s before the earliest kill. A process that got no processor time from just before
+   * that moment until less than 0.15 s were left skipped this step. The test forces it by a pause of the process.
    */
   @Test
   void aStopThatStandsStillBeforeItsEndAnswersAllTheSame() throws Exception {
@@ -225,9 +227,9 @@
       signal("STOP");
       Thread.sleep(320);
       signal("CONT");
-      assertNotNull(client.await(1, 1_000), this::said);
-      assertTrue(process.waitFor(3, TimeUnit.SECONDS), this::said);
-      assertEquals(NodeMain.OK, process.exitValue(), this::said);
+      assertNotNull(client.await(1, 1_000), this::output);
+      assertTrue(process.waitFor(3, TimeUnit.SECONDS), this::output);
+      assertEquals(NodeMain.OK, process.exitValue(), this::output);
     }
   }
 
@@ -236,10 +238,11 @@
   }
 
   /**
-   * A new configuration that is told while the dispatcher starts. Until its program has taken a handler the machine's
-   * own way holds, by which SIGHUP ends a process: sent 20 to 200 ms after the start it did so in 10 of 10 (exit code
-   * 129), on a full machine for seconds, and the platform counts that as a crash. The run line ignores SIGHUP from its
-   * first word on, and the file is compared with what is in force whether or not a signal came.
+   * Guards against a SIGHUP during the start that ends the process, or whose new configuration is missed. Until the
+   * program has installed its handler, SIGHUP has its default effect and ends a process: sent 20 to 200 ms after the
+   * start it did so in 10 of 10 runs (exit code 129), on a busy machine for seconds, and the platform counts that as a
+   * crash. So the run line ignores SIGHUP from its first command on, and the program compares the file with the
+   * configuration in force whether or not a signal came.
    */
   @ParameterizedTest
   @MethodSource("firstSecond")
@@ -252,12 +255,14 @@
       signal("HUP");
       assertLive();
       assertTrue(
-          DispatcherFixture.within(4_000, () -> !next.requestedFrom().isEmpty()), this::said);
-      assertTrue(process.isAlive(), this::said);
+          DispatcherFixture.within(4_000, () -> !next.requestedFrom().isEmpty()), this::output);
+      assertTrue(process.isAlive(), this::output);
     }
   }
 
-  /** SIGTERM while it starts ends it in order, or by the signal before its program runs: soon in any case. */
+  /**
+   * SIGTERM during the start ends the process in time: by an orderly stop, or by the signal itself before its handler.
+   */
   @ParameterizedTest
   @MethodSource("firstSecond")
   void aStopWhileItStartsEndsIt(int millis) throws Exception {
@@ -265,8 +270,8 @@
     launch("");
     Thread.sleep(millis);
     signal("TERM");
-    assertTrue(process.waitFor(20, TimeUnit.SECONDS), this::said);
+    assertTrue(process.waitFor(20, TimeUnit.SECONDS), this::output);
     int code = process.exitValue();
-    assertTrue(code == NodeMain.OK || code == ENDED_BY_TERM, () -> code + ": " + said());
+    assertTrue(code == NodeMain.OK || code == EXIT_SIGTERM, () -> code + ": " + output());
   }
 }
--- a/testbed/src/test/java/gorseladder/testbed/platform/PlantedNodeFaultsTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/platform/PlantedNodeFaultsTest.java
@@ -13,23 +13,23 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Do the tests of crossings see? Each fault is a small change of one class of the dispatcher, compiled apart and put
- * before the program's own in a process of its own, which runs one test of {@link CrossingsTest}: that must fail, and
- * without a fault pass.
+ * Checks that the tests of {@link CrossingsTest} detect faults. Each fault is a small change to one class of the
+ * dispatcher, compiled separately and placed first on the class path of a new process, which runs one of these tests:
+ * it must fail with the fault and pass without.
  */
 class PlantedNodeFaultsTest {
   private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
   private static final String NODE = "node/src/main/java/gorseladder/node/";
-  private static final int FAILED = 7;
+  private static final int EXIT_TEST_FAILED = 7;
 
   @TempDir
   Path dir;
 
-  /** Runs one test of crossings; exits with {@value #FAILED} where it fails. */
-  public static final class One {
-    private One() {}
+  /** Runs one test of {@link CrossingsTest}; exits with {@value #EXIT_TEST_FAILED} if it fails. */
+  public static final class SingleTest {
+    private SingleTest() {}
 
-    /** Takes the test's name. */
+    /** Takes the name of the test method. */
     public static void main(String[] args) throws Exception {
       CrossingsTest test = new CrossingsTest();
       int code = 0;
@@ -37,7 +37,7 @@
         CrossingsTest.class.getDeclaredMethod(args[0]).invoke(test);
       } catch (java.lang.reflect.InvocationTargetException e) {
         System.out.println(e.getCause());
-        code = FAILED;
+        code = EXIT_TEST_FAILED;
       }
       test.close();
       System.exit(code);
@@ -63,7 +63,7 @@
       })
   void eachIsFound(String fault, String file, String find, String replace, String test)
       throws Exception {
-    String own = System.getProperty("java.class.path");
+    String classPath = System.getProperty("java.class.path");
     Path classes = file == null
         ? dir
         : PlantedClass.compile(
@@ -71,17 +71,17 @@
     Process process = new ProcessBuilder(
             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
             "-cp",
-            classes + File.pathSeparator + own,
-            One.class.getName(),
+            classes + File.pathSeparator + classPath,
+            SingleTest.class.getName(),
             test)
         .redirectErrorStream(true)
         .redirectOutput(dir.resolve("said").toFile())
         .start();
     assertTrue(process.waitFor(60, TimeUnit.SECONDS));
-    assertEquals(file == null ? 0 : FAILED, process.exitValue(), () -> said());
+    assertEquals(file == null ? 0 : EXIT_TEST_FAILED, process.exitValue(), () -> output());
   }
 
-  private String said() {
+  private String output() {
     try {
       return Files.readString(dir.resolve("said"));
     } catch (java.io.IOException e) {
--- a/testbed/src/test/java/gorseladder/testbed/process/ChildProcessTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/process/ChildProcessTest.java
@@ -10,33 +10,33 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Children of a scale run end with it, also where it is killed. */
+/** Tests that a child process ends with its parent, also where the parent is killed. */
 class ChildProcessTest {
-  private static final long END_SECONDS = 10;
+  private static final long END_TIMEOUT_SECONDS = 10;
 
   @TempDir
   Path directory;
 
-  /** Starts a child that would run for long, names it and waits. */
+  /** Starts a child that would run for long, prints its process id and waits. */
   public static final class Parent {
     private Parent() {}
 
     /** Takes the directory of the child. */
     public static void main(String[] args) throws Exception {
-      ChildProcess child = sleeping(Path.of(args[0]));
+      ChildProcess child = startSleeping(Path.of(args[0]));
       System.out.println(child.pid());
       Thread.sleep(Long.MAX_VALUE);
     }
   }
 
-  private static ChildProcess sleeping(Path directory) throws Exception {
+  private static ChildProcess startSleeping(Path directory) throws Exception {
     File log = directory.resolve("log").toFile();
     return new ChildProcess("exec sleep 600", directory, Map.of(), log);
   }
 
   @Test
   void aClosedChildEnds() throws Exception {
-    ChildProcess child = sleeping(directory);
+    ChildProcess child = startSleeping(directory);
     assertTrue(child.isAlive());
     child.close();
     assertFalse(child.isAlive());
@@ -56,7 +56,7 @@
         ProcessHandle.of(Long.parseLong(parent.inputReader().readLine())).orElseThrow();
     assertTrue(child.isAlive());
     parent.destroyForcibly();
-    child.onExit().get(END_SECONDS, TimeUnit.SECONDS);
+    child.onExit().get(END_TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertFalse(child.isAlive());
   }
 }
--- a/testbed/src/test/java/gorseladder/testbed/process/ProcessorPattern.java
+++ b/testbed/src/test/java/gorseladder/testbed/process/ProcessorPattern.java
@@ -8,15 +8,15 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Gives a child process the processor for a part of each period alone: it is stopped (SIGSTOP) and let go (SIGCONT) by
- * a pattern drawn from a seed, until this is closed. Any thread.
+ * Limits a child process to a part of each period: it is stopped (SIGSTOP) and continued (SIGCONT) in a random pattern
+ * drawn from a seed, until this is closed. Thread-safe.
  */
 public final class ProcessorPattern implements AutoCloseable {
   private static final long PERIOD_MILLIS = 100;
-  private static final long NANOS_A_MILLI = 1_000_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** A shell's own command: it takes less than a millisecond, where a process for each signal takes several. */
-  private static final String SIGNALS =
+  /** A built-in command of the shell takes less than a millisecond; a process for each signal takes several. */
+  private static final String SIGNAL_LOOP =
       "while read signal; do kill -$signal %d 2>/dev/null; done; kill -CONT %d 2>/dev/null";
 
   private final Process shell;
@@ -27,13 +27,13 @@
   private volatile boolean closed;
 
   /**
-   * Begins.
+   * Starts the pattern.
    *
-   * @param runMillis of each 100 ms the process runs so many in the mean; each turn is half to one and a half of that
+   * @param runMillis mean running time in each 100 ms; each turn lasts 0.5 to 1.5 times its mean
    */
   public ProcessorPattern(ChildProcess child, long runMillis, long seed) throws IOException {
     this.shell =
-        new ProcessBuilder("sh", "-c", SIGNALS.formatted(child.pid(), child.pid())).start();
+        new ProcessBuilder("sh", "-c", SIGNAL_LOOP.formatted(child.pid(), child.pid())).start();
     this.signals = shell.outputWriter();
     this.random = new Random(seed);
     this.runMillis = runMillis;
@@ -60,16 +60,16 @@
     signals.flush();
   }
 
-  /** Half to one and a half of the mean. */
+  /** Waits for 0.5 to 1.5 times the mean. */
   private void pause(long meanMillis) {
     long until =
-        System.nanoTime() + (long) ((0.5 + random.nextDouble()) * meanMillis * NANOS_A_MILLI);
+        System.nanoTime() + (long) ((0.5 + random.nextDouble()) * meanMillis * NANOS_PER_MILLI);
     for (long left = until - System.nanoTime(); left > 0; left = until - System.nanoTime()) {
       LockSupport.parkNanos(left);
     }
   }
 
-  /** Ends the pattern; the process runs on. */
+  /** Ends the pattern; the process keeps running. */
   @Override
   public void close() {
     closed = true;
--- a/testbed/src/test/java/gorseladder/testbed/process/ThreadTimes.java
+++ b/testbed/src/test/java/gorseladder/testbed/process/ThreadTimes.java
@@ -10,25 +10,26 @@
 import java.util.TreeMap;
 
 /**
- * Reads from outside how much processor time the threads of a process have used, by the names of the threads. One
- * thread.
+ * Reads from outside how much processor time the threads of a process have used, by the names of the threads. Not
+ * thread-safe.
  */
 public final class ThreadTimes {
   private final Path tasks;
-  /** The last reading of each thread, in nanoseconds, also of one that has ended since. */
-  private final Map<String, Long> used = new HashMap<>();
+  /** The last reading of each thread, in nanoseconds, including threads that have ended. */
+  private final Map<String, Long> usedNanos = new HashMap<>();
 
   private final Map<String, String> names = new HashMap<>();
 
-  /** Of the process with that number. */
+  /** Reads the threads of the process with this id. */
   public ThreadTimes(long pid) {
     tasks = Path.of("/proc", Long.toString(pid), "task");
   }
 
   /**
-   * Processor time so far in milliseconds, by name without the number at its end: {@code core} for {@code core-0}.
+   * Returns the processor time so far in milliseconds, by thread name without the number at its end: {@code core} for
+   * {@code core-0}.
    *
-   * @throws IOException where there is no such process
+   * @throws IOException if there is no such process
    */
   public Map<String, Double> read() throws IOException {
     try (DirectoryStream<Path> threads = Files.newDirectoryStream(tasks)) {
@@ -37,20 +38,20 @@
       }
     }
     Map<String, Double> sums = new TreeMap<>();
-    used.forEach((thread, nanos) -> sums.merge(names.get(thread), nanos / 1e6, Double::sum));
+    usedNanos.forEach((thread, nanos) -> sums.merge(names.get(thread), nanos / 1e6, Double::sum));
     return sums;
   }
 
   private void read(Path thread) throws IOException {
     try {
-      // Its first word is the time on a processor, in nanoseconds.
+      // The first field is the time spent on a processor, in nanoseconds.
       String times = Files.readString(thread.resolve("schedstat"));
       String name = Files.readString(thread.resolve("comm")).strip();
       String number = thread.getFileName().toString();
-      used.put(number, Long.parseLong(times.substring(0, times.indexOf(' '))));
+      usedNanos.put(number, Long.parseLong(times.substring(0, times.indexOf(' '))));
       names.put(number, name.replaceAll("-[0-9]+$", ""));
     } catch (NoSuchFileException e) {
-      // The thread has ended in between.
+      // The thread has ended meanwhile.
     }
   }
 }
