--- a/testbed/src/test/java/gorseladder/testbed/BadDaysTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/BadDaysTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Thousands of calls with troubles; the rules are judged from the sockets alone. */
+/** Plays thousands of calls with faults on the test fleet; the rules are checked by what is seen on the sockets. */
 class BadDaysTest {
   @TempDir
   Path dir;
@@ -56,7 +56,7 @@
         """, false);
   }
 
-  /** Whatever a planner wants, rules 3 to 5 hold for its orders too, and calls are served. */
+  /** Rules 3 to 5 hold for the orders of a faulty planner too, and calls are served. */
   @Test
   void aPlannerGoneWrongBreaksNoRule() throws Exception {
     DayScript day = DayScript.parse("""
@@ -78,12 +78,12 @@
       assertTrue(
           verdict.totals().served.get() > 0.9 * verdict.totals().calls.get(),
           verdict.totals().reasons.toString());
-      long planned = fleet.tap().orders.stream()
+      long plannedOrders = fleet.tap().orders.stream()
           .filter(o -> o.function().startsWith("svc/plan-"))
           .count();
       assertTrue(
-          planner.planCount() > 20 && planned >= 5,
-          planner.planCount() + " plans, " + planned + " orders of them");
+          planner.planCount() > 20 && plannedOrders >= 5,
+          planner.planCount() + " plans, " + plannedOrders + " orders of them");
     }
   }
 
--- a/testbed/src/test/java/gorseladder/testbed/EdgeConnectionTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/EdgeConnectionTest.java
@@ -15,10 +15,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** One connection of a client to an edge, with a plain socket; all runners hang. Times are microseconds. */
+/** Tests a client's connection to an edge over a plain socket while all runners hang. Times are in microseconds. */
 class EdgeConnectionTest {
-  /** So long after its client left an attempt may begin, with the slack on every limit. */
-  private static final long GONE_SLACK = 150_000;
+  /** Latest start of an attempt after its client left, including the slack of every limit. */
+  private static final long CLIENT_GONE_SLACK = 150_000;
 
   private static final long SECOND = 1_000_000;
 
@@ -40,7 +40,7 @@
     fleet.close();
   }
 
-  /** Guards against a further attempt that begins after its client has left, as an edge looked for that too seldom. */
+  /** Guards against another attempt after the client has left, because the edge checked its connection too rarely. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void noAttemptBeginsMuchAfterItsClientLeft(boolean pipelines) throws Exception {
@@ -65,7 +65,7 @@
           .tap()
           .arrivals
           .forEach(attempt -> assertTrue(
-              attempt.at <= leftAt + GONE_SLACK + lag.callLagAt(attempt.at),
+              attempt.at <= leftAt + CLIENT_GONE_SLACK + lag.callLagAt(attempt.at),
               () -> "began " + (attempt.at - leftAt) / 1_000 + " ms after its client left"));
     }
   }
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Guards against a request's time that begins only once the request before it on the connection is answered. */
+  /** Guards against a timeout that starts only when the previous request on the connection is answered. */
   @Test
   void aPipelinedRequestsTimeBeginsWhenItComes() throws Exception {
     try (Socket client = new Socket("127.0.0.1", fleet.edgeAddress(0).getPort())) {
@@ -90,13 +90,14 @@
         assertTrue(count > 0, answers::toString);
         answers.append(new String(buffer, 0, count, StandardCharsets.ISO_8859_1));
       }
-      long late = Clock.micros() - sentAt - 2 * SECOND;
+      long lateBy = Clock.micros() - sentAt - 2 * SECOND;
       assertTrue(
-          late < Play.BASE_SLACK_MICROS + lag.callLagAt(Clock.micros()), late / 1_000 + " ms late");
+          lateBy < Play.BASE_SLACK_MICROS + lag.callLagAt(Clock.micros()),
+          lateBy / 1_000 + " ms late");
     }
   }
 
-  /** A signed request with those further fields. */
+  /** Returns a signed request with these additional header fields. */
   private byte[] signed(String id, String fields) {
     String body = "{\"type\":\"hours.read\",\"data\":{\"function\":\"svc/x\"}}";
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
--- a/testbed/src/test/java/gorseladder/testbed/EdgeMemoryTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/EdgeMemoryTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Guards against clients and runners who have an edge keep more than its memory: an edge as a process with a small
- * heap, several times that in requests that are never whole, and calls beside them.
+ * Guards against clients and runners that make an edge hold more than its memory. The edge is a process with a small
+ * heap; it gets several times that in requests or answers that never complete, and calls at the same time.
  */
 class EdgeMemoryTest {
   private static final WebhookClients.Kind SAFE = WebhookClients.kinds(
@@ -36,29 +36,29 @@
   private static final List<String> SMALL_HEAP = List.of("env", "_JAVA_OPTIONS=-Xmx96m");
   private static final int BODY_BYTES = 1 << 20;
   /** More than four times the heap. */
-  private static final int HALF_REQUESTS = 400;
+  private static final int PARTIAL_REQUESTS = 400;
 
-  /** Nearly as many as the edge holds connections. */
+  /** Slightly fewer than the connections that an edge accepts. */
   private static final int SLOW_REQUESTS = 1_900;
 
-  private static final int SLOW_BEFORE_MILLIS = 1_500;
-  /** Each of their answers takes as much as an edge allows; together more than twice the heap. */
+  private static final int SLOW_LEAD_MILLIS = 1_500;
+  /** Each answer takes as much memory as an edge allows; together they take more than twice the heap. */
   private static final int ENDLESS_CALLS = 60;
 
   private static final int ANSWER_BYTES = 4 << 20;
-  private static final String ENDLESS = "svc/endless";
-  /** A final answer that comes this much after its time is not lost yet. */
+  private static final String ENDLESS_FUNCTION = "svc/endless";
+  /** An answer at most this late does not count as lost. */
   private static final long SLACK_MICROS = 500_000;
 
   private static final int SENDERS = 16;
   private static final int CALLS = 40;
-  private static final int PAUSE_MILLIS = 50;
-  private static final long STOP_SECONDS = 15;
+  private static final int CALL_GAP_MILLIS = 50;
+  private static final long STOP_TIMEOUT_SECONDS = 15;
 
   @TempDir
   Path dir;
 
-  private final Collection<Socket> halves = new ConcurrentLinkedQueue<>();
+  private final Collection<Socket> openSockets = new ConcurrentLinkedQueue<>();
   private final ExecutorService senders = Executors.newFixedThreadPool(SENDERS);
   private TestFleet fleet;
 
@@ -74,7 +74,7 @@
   @AfterEach
   void stop() throws IOException {
     senders.shutdownNow();
-    for (Socket socket : halves) {
+    for (Socket socket : openSockets) {
       socket.close();
     }
     fleet.close();
@@ -83,72 +83,72 @@
   @Test
   void requestsThatAreNeverWholeDisturbNoCalls() throws Exception {
     start();
-    assertEquals(List.of(), faults(calls("before", 5)));
+    assertEquals(List.of(), notServed(calls("before", 5)));
     List<Future<?>> sending = new ArrayList<>();
-    for (int i = 0; i < HALF_REQUESTS; i++) {
+    for (int i = 0; i < PARTIAL_REQUESTS; i++) {
       sending.add(senders.submit(this::sendAllButTheLastByte));
     }
     List<Tap.Try> beside = calls("beside", CALLS);
-    for (Future<?> half : sending) {
-      half.get();
+    for (Future<?> future : sending) {
+      future.get();
     }
     beside.addAll(calls("after", CALLS));
-    assertEquals(List.of(), faults(beside));
+    assertEquals(List.of(), notServed(beside));
     assertNoThreadRanOutOfMemory();
   }
 
   @Test
   void requestsThatComeByteByByteDisturbNoCalls() throws Exception {
     start();
-    assertEquals(List.of(), faults(calls("before", 5)));
+    assertEquals(List.of(), notServed(calls("before", 5)));
     try (SlowClients slow = new SlowClients(fleet.edgeAddress(0), SLOW_REQUESTS, BODY_BYTES)) {
-      Thread.sleep(SLOW_BEFORE_MILLIS);
-      assertEquals(List.of(), faults(calls("beside", CALLS)));
-      assertTrue(slow.sent() > 2 * SLOW_REQUESTS, "they sent too little to matter");
+      Thread.sleep(SLOW_LEAD_MILLIS);
+      assertEquals(List.of(), notServed(calls("beside", CALLS)));
+      assertTrue(slow.sent() > 2 * SLOW_REQUESTS, "too few bytes sent for the test");
     }
-    assertEquals(List.of(), faults(calls("after", 5)));
+    assertEquals(List.of(), notServed(calls("after", 5)));
     assertNoThreadRanOutOfMemory();
   }
 
-  /** Answers that never end take no memory from others: each call beside them, and their own, is answered in time. */
+  /** Calls with endless answers, and calls beside them, are all answered in time. */
   @Test
   void answersThatNeverEndDisturbNoOtherCalls() throws Exception {
     start();
     fleet.runners().forEach(runner -> {
       runner.faults().endlessAnswerBytes = ANSWER_BYTES;
-      runner.faults().endlessFunction = ENDLESS;
+      runner.faults().endlessFunction = ENDLESS_FUNCTION;
     });
-    assertEquals(List.of(), faults(calls("before", 5)));
+    assertEquals(List.of(), notServed(calls("before", 5)));
     List<Future<Tap.Try>> endless = new ArrayList<>();
     ExecutorService clients = Executors.newFixedThreadPool(ENDLESS_CALLS);
     for (int i = 0; i < ENDLESS_CALLS; i++) {
       String message = "msg_endless" + i;
-      endless.add(clients.submit(() -> call(message, ENDLESS)));
+      endless.add(clients.submit(() -> call(message, ENDLESS_FUNCTION)));
     }
-    // Workers whose calls run out of time are held for sick, so that these may be refused at once.
+    // Workers whose calls time out count as failing, so these calls may be refused at once.
     assertEquals(List.of(), unanswered(calls("beside", CALLS)));
     List<Tap.Try> ended = new ArrayList<>();
-    for (Future<Tap.Try> each : endless) {
-      ended.add(each.get());
+    for (Future<Tap.Try> future : endless) {
+      ended.add(future.get());
     }
     clients.shutdown();
     assertEquals(List.of(), unanswered(ended));
     assertNoThreadRanOutOfMemory();
   }
 
-  /** One request without its last byte; a client that is refused meanwhile stops. */
+  /** Sends one request without its last byte, unless it is refused before. */
   private void sendAllButTheLastByte() {
     try {
       Socket socket =
           new Socket(InetAddress.getLoopbackAddress(), fleet.edgeAddress(0).getPort());
-      halves.add(socket);
+      openSockets.add(socket);
       String head = "POST " + TestFleet.PATH + " HTTP/1.1\r\nHost: e\r\nwebhook-id: half\r\n"
           + "webhook-timestamp: 1\r\nwebhook-signature: v1,AAAA\r\nContent-Length: " + BODY_BYTES
           + "\r\n\r\n";
       socket.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
       socket.getOutputStream().write(new byte[BODY_BYTES - 1]);
     } catch (IOException e) {
-      // Refused, which is the edge's right.
+      // The edge may refuse the request.
     }
   }
 
@@ -156,7 +156,7 @@
     List<Tap.Try> calls = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       calls.add(call("msg_" + name + i, "svc/" + i % 4));
-      Thread.sleep(PAUSE_MILLIS);
+      Thread.sleep(CALL_GAP_MILLIS);
     }
     return calls;
   }
@@ -172,8 +172,8 @@
         SAFE.deadline());
   }
 
-  /** Calls that were not served in their time. */
-  private static List<String> faults(List<Tap.Try> calls) {
+  /** Describes the calls that were not served in time. */
+  private static List<String> notServed(List<Tap.Try> calls) {
     return calls.stream()
         .filter(call ->
             !call.statuses.equals(List.of(200)) || call.answeredAt - call.sentAt > SAFE.deadline())
@@ -182,7 +182,7 @@
         .toList();
   }
 
-  /** Calls without exactly one answer, or with a late one; what the answer says is open. */
+  /** Describes the calls without exactly one answer in time; the answer may have any status. */
   private static List<String> unanswered(List<Tap.Try> calls) {
     return calls.stream()
         .filter(call -> call.statuses.size() != 1
@@ -194,10 +194,11 @@
 
   private void assertNoThreadRanOutOfMemory() throws Exception {
     fleet.edgeProcess(0).toHandle().destroy();
-    assertTrue(fleet.edgeProcess(0).waitFor(STOP_SECONDS, java.util.concurrent.TimeUnit.SECONDS));
+    assertTrue(
+        fleet.edgeProcess(0).waitFor(STOP_TIMEOUT_SECONDS, java.util.concurrent.TimeUnit.SECONDS));
     for (String file : List.of("edge-0.err", "edge-0.log")) {
-      String said = Files.readString(dir.resolve(file));
-      assertFalse(said.contains("OutOfMemoryError"), () -> said);
+      String output = Files.readString(dir.resolve(file));
+      assertFalse(output.contains("OutOfMemoryError"), () -> output);
     }
   }
 }
--- a/testbed/src/test/java/gorseladder/testbed/EdgePauseTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/EdgePauseTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * An edge whose process stands still for a while. What its clients sent meanwhile was read after the pause and counted
- * as new then, so that it was answered as late as the pause was long. Seen on bad days beside busy processes: answers
- * at +1987 and +1997 ms of the edge's own time for clients that waited 2,000, on connections that it accepted 100 ms
- * after they stood. The dispatcher looked for its pauses, the edge did not.
+ * Guards against late answers after a pause of the edge's process. Requests that arrived during the pause were read
+ * after it and counted as new then, so that their answers were late by the length of the pause. Seen in test fleet runs
+ * beside busy processes: answers at +1987 and +1997 ms of the edge's own time for clients that waited 2,000 ms, on
+ * connections accepted 100 ms after they were established. The dispatcher detected its pauses, the edge did not.
  */
 class EdgePauseTest {
   private static final Kind SAFE = WebhookClients.kinds(
@@ -38,8 +38,8 @@
       assertEquals("served", send(clients, "msg_before").reason);
       fleet.runners().forEach(runner -> runner.faults().hang = true);
       signal(fleet, "STOP");
-      CompletableFuture<Tap.Try> kept = sending(clients, "msg_kept_connection");
-      CompletableFuture<Tap.Try> fresh = sending(fleet.clients(), "msg_new_connection");
+      CompletableFuture<Tap.Try> kept = sendAsync(clients, "msg_kept_connection");
+      CompletableFuture<Tap.Try> fresh = sendAsync(fleet.clients(), "msg_new_connection");
       Thread.sleep(PAUSE_MILLIS);
       signal(fleet, "CONT");
       assertInTime(kept.get());
@@ -55,7 +55,7 @@
     assertEquals(0, new ProcessBuilder("kill", "-" + name, pid).start().waitFor());
   }
 
-  private static CompletableFuture<Tap.Try> sending(WebhookClients clients, String id) {
+  private static CompletableFuture<Tap.Try> sendAsync(WebhookClients clients, String id) {
     return CompletableFuture.supplyAsync(() -> send(clients, id));
   }
 
@@ -64,10 +64,10 @@
     return clients.attempt(id, 0, SAFE, clients.payload(SAFE, "svc/x"), stamp, SAFE.deadline());
   }
 
-  private void assertInTime(Tap.Try t) {
-    long late = t.answeredAt - t.sentAt - t.clientTimeout;
+  private void assertInTime(Tap.Try attempt) {
+    long late = attempt.answeredAt - attempt.sentAt - attempt.clientTimeout;
     assertTrue(
-        late <= Play.BASE_SLACK_MICROS + lag.callLagAt(t.answeredAt),
-        t.message + " " + t.reason + " came " + late / 1_000 + " ms too late");
+        late <= Play.BASE_SLACK_MICROS + lag.callLagAt(attempt.answeredAt),
+        attempt.message + " " + attempt.reason + " came " + late / 1_000 + " ms too late");
   }
 }
--- a/testbed/src/test/java/gorseladder/testbed/EdgeRuleWatchTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/EdgeRuleWatchTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * What an edge finds out about itself. In service nobody stands beside an edge and compares its answers with its
- * clients' times: a late answer, or an attempt after the end of its call, was seen in days of the test fleet only, and
- * an edge in service said nothing of either. It has the second look at the rules that the dispatcher has. Forced here
- * by a process that stands still for longer than its client waits.
+ * Tests that an edge detects its own rule violations, as the dispatcher does. A late answer, or an attempt after the
+ * end of its call, was visible in runs of the test fleet only; an edge in production, where nothing compares its
+ * answers with its clients' timeouts, reported neither. The test forces a late answer by a pause of the process that is
+ * longer than its client waits.
  */
 class EdgeRuleWatchTest {
   private static final Kind SAFE = WebhookClients.kinds(
@@ -24,7 +24,7 @@
           TestFleet.DEADLINE_MICROS,
           TestFleet.REPEAT_WINDOW_MICROS)
       .get(0);
-  /** By so much longer than the client waits and than an answer may be late without being lost. */
+  /** Longer than the client waits and than an answer may be late without counting as lost. */
   private static final long PAUSE_MILLIS = TestFleet.DEADLINE_MICROS / 1_000 + 1_500;
 
   @TempDir
@@ -44,12 +44,13 @@
       assertTrue(late.get().answeredAt > late.get().sentAt + late.get().clientTimeout, "not late");
       fleet.stopEdge(0);
     }
-    // Where logging is not configured, as in tests of this module, it goes to standard output.
-    String said =
+    // Without a logging configuration, as in the tests of this module, log lines go to standard
+    // output.
+    String output =
         Files.readString(dir.resolve("edge-0.err")) + Files.readString(dir.resolve("edge-0.log"));
-    assertTrue(said.contains("rule broken: final_answer request="), said);
-    assertTrue(said.contains("msg_late answered "), said);
-    assertFalse(said.contains("msg_before answered "), said);
+    assertTrue(output.contains("rule broken: final_answer request="), output);
+    assertTrue(output.contains("msg_late answered "), output);
+    assertFalse(output.contains("msg_before answered "), output);
   }
 
   private static Tap.Try send(WebhookClients clients, String id) {
--- a/testbed/src/test/java/gorseladder/testbed/FrontTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/FrontTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The webhook front as a client with a plain socket sees it. */
+/** Tests the webhook front over plain sockets. */
 class FrontTest {
   private static final Pattern STATUS = Pattern.compile("HTTP/1.1 (\\d{3}) ");
 
@@ -45,12 +45,12 @@
     fleet.close();
   }
 
-  private static String signed(String id, String body, String more) {
+  private static String signed(String id, String body, String fields) {
     long now = System.currentTimeMillis() / 1000;
     String signature =
         Secret.parse(fleet.secret()).sign(id, now, body.getBytes(StandardCharsets.UTF_8));
     return "POST " + TestFleet.PATH + " HTTP/1.1\r\nHost: e\r\nwebhook-id: " + id
-        + "\r\nwebhook-timestamp: " + now + "\r\nwebhook-signature: " + signature + "\r\n" + more;
+        + "\r\nwebhook-timestamp: " + now + "\r\nwebhook-signature: " + signature + "\r\n" + fields;
   }
 
   private static String call(String id) {
@@ -58,11 +58,11 @@
     return signed(id, body, "Content-Length: " + body.length() + "\r\n\r\n") + body;
   }
 
-  /** Sends bytes and reads until the edge closes or is silent for a while. */
-  private static String talk(String request, boolean half) throws IOException {
+  /** Sends bytes and reads until the edge closes the connection or sends nothing for a while. */
+  private static String exchange(String request, boolean expectsClose) throws IOException {
     try (Socket socket = new Socket("127.0.0.1", fleet.edgeAddress(0).getPort())) {
       socket.getOutputStream().write(request.getBytes(StandardCharsets.UTF_8));
-      socket.setSoTimeout(half ? 5_000 : 700);
+      socket.setSoTimeout(expectsClose ? 5_000 : 700);
       StringBuilder all = new StringBuilder();
       InputStream in = socket.getInputStream();
       byte[] buffer = new byte[4096];
@@ -89,7 +89,7 @@
 
   @Test
   void pipelinedRequestsAreAnsweredInTheirOrder() throws IOException {
-    String answer = talk(call("p1") + call("p2") + call("p3"), false);
+    String answer = exchange(call("p1") + call("p2") + call("p3"), false);
     assertEquals(List.of(200, 200, 200), statuses(answer));
     assertTrue(
         answer.indexOf(" p1") < answer.indexOf(" p2")
@@ -104,7 +104,8 @@
     String chunks = Integer.toHexString(body.length()) + "\r\n" + body + "\r\n0\r\n\r\n";
     assertEquals(
         List.of(200),
-        statuses(talk(signed("c1", body, "Transfer-Encoding: chunked\r\n\r\n") + chunks, false)));
+        statuses(
+            exchange(signed("c1", body, "Transfer-Encoding: chunked\r\n\r\n") + chunks, false)));
     try (Socket socket = new Socket("127.0.0.1", fleet.edgeAddress(0).getPort())) {
       String head = signed(
           "c2", body, "Expect: 100-continue\r\nContent-Length: " + body.length() + "\r\n\r\n");
@@ -117,7 +118,7 @@
     }
   }
 
-  /** What cannot be read, or be read two ways, is answered once and the connection is closed. */
+  /** A malformed or ambiguous request gets one answer, and the connection is closed. */
   @ParameterizedTest
   @CsvSource({
     "'Content-Length: 5\r\nTransfer-Encoding: chunked\r\n',400",
@@ -130,7 +131,7 @@
     "'Content-Length: 99999999\r\n',413"
   })
   void unreadableRequestsAreAnsweredAndClosed(String headers, int status) throws IOException {
-    String answer = talk(
+    String answer = exchange(
         "POST " + TestFleet.PATH + " HTTP/1.1\r\nHost: e\r\n" + headers + "\r\nhello"
             + call("never"),
         true);
@@ -147,9 +148,9 @@
     String tampered = call("w2").replace("hours.read", "hours.raed");
     String body = "{\"type\":\"no.such\",\"data\":{\"function\":\"f\"}}";
     String unknown = signed("w3", body, "Content-Length: " + body.length() + "\r\n\r\n") + body;
-    String broken = signed("w4", "{", "Content-Length: 1\r\n\r\n") + "{";
+    String malformed = signed("w4", "{", "Content-Length: 1\r\n\r\n") + "{";
     String answer =
-        talk(wrongPath + get + unsigned + tampered + unknown + broken + call("w5"), false);
+        exchange(wrongPath + get + unsigned + tampered + unknown + malformed + call("w5"), false);
     assertEquals(List.of(404, 405, 401, 401, 422, 400, 200), statuses(answer), answer);
     assertTrue(!answer.contains("Retry-After"));
   }
@@ -165,7 +166,7 @@
             .write(request.substring(i, i + 1).getBytes(StandardCharsets.US_ASCII));
         Thread.sleep(100);
       }
-      assertEquals(List.of(200), statuses(talk(call("quick"), false)));
+      assertEquals(List.of(200), statuses(exchange(call("quick"), false)));
       String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
       assertEquals(List.of(408), statuses(answer), answer);
     }
@@ -173,8 +174,8 @@
 
   @Test
   void anOldVersionGetsItsAnswerAndAClose() throws IOException {
-    assertTrue(talk(call("old").replace("HTTP/1.1", "HTTP/1.0"), true).endsWith("<closed>"));
-    assertEquals(List.of(505), statuses(talk("GET / HTTP/2.0\r\n\r\n", true)));
+    assertTrue(exchange(call("old").replace("HTTP/1.1", "HTTP/1.0"), true).endsWith("<closed>"));
+    assertEquals(List.of(505), statuses(exchange("GET / HTTP/2.0\r\n\r\n", true)));
   }
 
   @Test
@@ -192,17 +193,17 @@
     }
     fleet.runners().forEach(r -> r.faults().hang = false);
     assertEquals(before + 1, fleet.edgeInProcess(0).counts().get("gone"));
-    assertEquals(List.of(200), statuses(talk(call("after"), false)));
+    assertEquals(List.of(200), statuses(exchange(call("after"), false)));
   }
 
   @Test
   void preferWaitShortensTheClientsPatience() throws IOException {
     fleet.runners().forEach(r -> r.faults().hang = true);
-    long began = System.nanoTime();
-    String answer = talk(
+    long sentNanos = System.nanoTime();
+    String answer = exchange(
         call("wait").replace("Host: e", "Host: e\r\nPrefer: wait=1\r\nConnection: close"), true);
     fleet.runners().forEach(r -> r.faults().hang = false);
-    long millis = (System.nanoTime() - began) / 1_000_000;
+    long millis = (System.nanoTime() - sentNanos) / 1_000_000;
     assertTrue(millis >= 900 && millis < 2_900, millis + " ms");
     assertEquals(List.of(503), statuses(answer), "a safe call may be refused");
   }
--- a/testbed/src/test/java/gorseladder/testbed/HardCasesTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/HardCasesTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The cases in which an effect could happen twice or an answer be lost, each caused on sockets. */
+/** Tests over sockets the cases in which an effect could happen twice or an answer be lost. */
 class HardCasesTest {
   private static final WebhookClients.Kind SAFE = WebhookClients.kinds(
           TestFleet.LATENCY_TARGET_MICROS,
@@ -43,13 +43,13 @@
           TestFleet.REPEAT_WINDOW_MICROS)
       .get(2);
 
-  /** A disk that stops for longer than any client waits. */
+  /** A stall of the disk that is longer than any client waits. */
   private static final long STALL_MILLIS = 5_000;
 
-  /** More than the threads that stand ready for attempts. */
-  private static final int CALLS_AT_ONCE = 40;
+  /** More than the idle threads that an edge keeps for attempts. */
+  private static final int CONCURRENT_CALLS = 40;
 
-  private static final byte[] ASKS_FOR_NOTHING =
+  private static final byte[] REQUEST_TO_UNKNOWN_PATH =
       "GET /nowhere HTTP/1.1\r\nHost: edge\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
   @TempDir
@@ -59,7 +59,7 @@
   private TestFleet fleet;
   private WebhookClients clients;
 
-  private void fleet(String script) throws Exception {
+  private void start(String script) throws Exception {
     fleet = new TestFleet(DayScript.parse(script + " edges = 1;"), dir, false, line -> {});
     clients = fleet.clients();
   }
@@ -107,11 +107,11 @@
 
   @Test
   void anIssuanceWhoseRunnerStopsAnsweringFailsAndNeverRunsTwice() throws Exception {
-    fleet("runners = 3;");
+    start("runners = 3;");
     fleet.runners().forEach(r -> r.faults().hang = true);
     Tap.Try first = send("msg_hang", UNSAFE, 0);
     assertEquals(List.of(504), first.statuses);
-    assertFalse(first.retryAfter, "a failure promises nothing");
+    assertFalse(first.retryAfter, "a failed call must not be offered for retry");
     fleet.runners().forEach(r -> r.faults().hang = false);
     Tap.Try second = send("msg_hang", UNSAFE, 1);
     assertTrue(
@@ -122,7 +122,7 @@
 
   @Test
   void anIssuanceResetInTheMiddleOfItsAnswerIsNotRepeated() throws Exception {
-    fleet("runners = 3;");
+    start("runners = 3;");
     fleet.runners().forEach(r -> r.faults().reset = true);
     Tap.Try first = send("msg_reset", UNSAFE, 0);
     assertEquals(List.of(502), first.statuses);
@@ -134,11 +134,11 @@
   }
 
   /**
-   * A safe call is tried elsewhere when a kept connection closes under it; an issuance never takes a kept connection.
+   * A safe call is retried where a reused connection closes as it is sent; an unsafe call never reuses a connection.
    */
   @Test
   void aKeptConnectionThatClosesAsACallLeavesCostsNoIssuance() throws Exception {
-    fleet("runners = 3;");
+    start("runners = 3;");
     for (int i = 0; i < 8; i++) {
       assertEquals(List.of(200), send("msg_warm" + i, SAFE, 0).statuses);
     }
@@ -150,7 +150,7 @@
 
   @Test
   void replaysRepeatsAndConflicts() throws Exception {
-    fleet("runners = 2;");
+    start("runners = 2;");
     assertEquals(List.of(200), send("msg_a", UNSAFE, 0).statuses);
     long stamp = System.currentTimeMillis() / 1000 + 5;
     assertEquals(
@@ -174,7 +174,7 @@
 
   @Test
   void aRetryWhileTheFirstIsOutJoinsIt() throws Exception {
-    fleet("runners = 2; work = 500ms;");
+    start("runners = 2; work = 500ms;");
     CompletableFuture<Tap.Try> first =
         CompletableFuture.supplyAsync(() -> send("msg_join", UNSAFE, 0));
     Thread.sleep(200);
@@ -184,10 +184,10 @@
     assertEquals(1, arrivals("msg_join"));
   }
 
-  /** A safe call is on record with its end only; while it is out, this process knows its message and its signature. */
+  /** A safe call is recorded at its end only; until then the process itself knows its message and its signature. */
   @Test
   void aSafeCallThatIsOutIsJoinedAndItsSignatureIsNotTakenTwice() throws Exception {
-    fleet("runners = 2; work = 250ms;");
+    start("runners = 2; work = 250ms;");
     long stamp = System.currentTimeMillis() / 1000 + 5;
     CompletableFuture<Tap.Try> first =
         CompletableFuture.supplyAsync(() -> attempt("msg_safe", SAFE, stamp));
@@ -210,12 +210,10 @@
     }
   }
 
-  /**
-   * What a kill leaves in the ledger, at each point: before the record of leaving, after it, after the answer's record.
-   */
+  /** Covers what a kill leaves in the ledger: before the record of sending, after it, and after that of the answer. */
   @Test
   void eachPointOfAKillIsAnsweredSafelyByTheNextProcess() throws Exception {
-    fleet("runners = 2;");
+    start("runners = 2;");
     fleet.stopEdge(0);
     long now = System.currentTimeMillis() * 1000;
     try (Ledger ledger = Ledger.open(dir.resolve("data-0").resolve("ledger"), false, 100)) {
@@ -224,16 +222,17 @@
             ? "safe"
             : kind.effect() == Effect.KEYED ? "keyed" : "unsafe";
         byte[] content = content(name, kind);
-        LedgerEntry taken =
+        LedgerEntry accepted =
             new LedgerEntry(Stage.ACCEPTED, false, now, 0, now * 2, content, "", 0, null);
-        ledger.put(TestFleet.PATH + " msg_taken_" + name, taken);
-        ledger.put(TestFleet.PATH + " msg_left_" + name, taken.withStage(Stage.LEAVING, true, now));
+        ledger.put(TestFleet.PATH + " msg_taken_" + name, accepted);
+        ledger.put(
+            TestFleet.PATH + " msg_left_" + name, accepted.withStage(Stage.LEAVING, true, now));
         ledger.put(
             TestFleet.PATH + " msg_old_" + name,
-            taken.withStage(Stage.LEAVING, true, now - TestFleet.REPEAT_WINDOW_MICROS));
+            accepted.withStage(Stage.LEAVING, true, now - TestFleet.REPEAT_WINDOW_MICROS));
         ledger.put(
             TestFleet.PATH + " msg_served_" + name,
-            taken
+            accepted
                 .withStage(Stage.LEAVING, true, now)
                 .withOutcome(Stage.SERVED, true, "served", 200, "{}".getBytes()));
       }
@@ -265,7 +264,7 @@
 
   @Test
   void twoStartsWithAnOldListStillServe() throws Exception {
-    fleet("runners = 6;");
+    start("runners = 6;");
     assertEquals(List.of(200), send("msg_first", SAFE, 0).statuses);
     fleet.list().setBehind(true);
     for (int i = 0; i < 2; i++) {
@@ -281,7 +280,7 @@
 
   @Test
   void aDamagedLedgerIsAClearRefusalToStart() throws Exception {
-    fleet("runners = 1;");
+    start("runners = 1;");
     fleet.stopEdge(0);
     Path folder = dir.resolve("data-0").resolve("ledger");
     Path file = folder.resolve("0000000000000001.segment");
@@ -299,10 +298,10 @@
     assertEquals(List.of(200), send("msg_again", SAFE, 0).statuses);
   }
 
-  /** An answer near the end of its client's time must not wait for a disk that has stopped just then. */
+  /** An answer close to its client's timeout must not wait for a stalled disk. */
   @Test
   void anAnswerWaitsForItsRecordNoLongerThanItsClientWaits() throws Exception {
-    fleet("runners = 2; work = 1800ms;");
+    start("runners = 2; work = 1800ms;");
     assertEquals(List.of(200), send("msg_loads", UNSAFE, 0).statuses);
     CompletableFuture<Tap.Try> slow =
         CompletableFuture.supplyAsync(() -> send("msg_slow", UNSAFE, 0));
@@ -314,7 +313,7 @@
 
   @Test
   void aCallThatCannotBeOnRecordInTimeIsRefusedInTimeAndNeverSent() throws Exception {
-    fleet("runners = 2;");
+    start("runners = 2;");
     assertEquals(List.of(200), send("msg_before", UNSAFE, 0).statuses);
     fleet.disk().stallFor(STALL_MILLIS);
     Tap.Try refused = send("msg_unrecorded", UNSAFE, 0);
@@ -327,14 +326,13 @@
   }
 
   /**
-   * Days beside a busy disk: a repeat has its record read from the ledger's file, and the disk takes long for it. All
-   * other calls, and the core's thread, waited for that read, since the lock that each of them passes was held
-   * meanwhile; answers came after their time. Shown by the times of reads with the lock held on such a day, up to 272
-   * ms, and by an answer whose record was waited for 161 ms past the bound of that wait.
+   * Guards against late answers while a repeat reads its record from the ledger's file on a slow disk. All other calls,
+   * and the core's thread, waited for that read, because it held the lock that each of them takes. On a busy disk reads
+   * held the lock for up to 272 ms, and one answer waited for its record 161 ms longer than that wait's limit.
    */
   @Test
   void aRepeatWhoseRecordIsSlowToReadHoldsUpNoOtherCall() throws Exception {
-    fleet("runners = 2;");
+    start("runners = 2;");
     assertEquals(List.of(200), send("msg_known", UNSAFE, 0).statuses);
     assertEquals(List.of(200), send("msg_other", UNSAFE, 0).statuses);
     fleet.disk().stallReadsFor(STALL_MILLIS);
@@ -342,25 +340,25 @@
         CompletableFuture.supplyAsync(() -> send("msg_known", UNSAFE, 1));
     Thread.sleep(200);
     for (int i = 0; i < 3; i++) {
-      Tap.Try beside = send("msg_beside" + i, i == 0 ? SAFE : UNSAFE, 0);
-      assertEquals("served", beside.reason);
-      assertInTime(beside);
+      Tap.Try other = send("msg_beside" + i, i == 0 ? SAFE : UNSAFE, 0);
+      assertEquals("served", other.reason);
+      assertInTime(other);
     }
-    assertFalse(repeat.isDone(), "its record was not read from the file");
-    // Not refused as harmless: it is not known whether the first one ran.
+    assertFalse(repeat.isDone(), "the record was not read from the file");
+    // Not refused as retriable, since it is unknown whether the first call ran.
     assertEquals("failed_unknown_effect", repeat.get().reason);
     assertInTime(repeat.get());
     fleet.disk().stallReadsFor(0);
     assertEquals("served_again", send("msg_known", UNSAFE, 2).reason);
   }
 
-  /** An attempt that waits for its record ends with its call; it says nothing of its runner. */
+  /** An attempt that waits for its record ends with its call and does not count as a failure of its runner. */
   @Test
   void anAttemptThatCannotBeOnRecordInTimeLeavesNoRunnerSuspect() throws Exception {
-    fleet("runners = 1; work = 400ms;");
+    start("runners = 1; work = 400ms;");
     assertEquals(List.of(200), send("msg_before", UNSAFE, 0).statuses);
-    // The stall comes between the record of the taking and the one of the leaving: calls in a row
-    // find both.
+    // A stall can fall before the record of accepting or before that of sending: a series of calls
+    // covers both.
     List<CompletableFuture<Tap.Try>> tries = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
       String id = "msg_row" + i;
@@ -376,19 +374,19 @@
     assertEquals("served", send("msg_after", SAFE, 0).reason);
   }
 
-  /** Incident-1 at an edge: clients that rest after a request hold every thread, and no new one can be started. */
+  /** Incident-1 at an edge: idle clients with open connections hold every thread, and no new one can be started. */
   @Test
   void aCrowdOfRestingClientsWhileNoThreadCanBeStartedCostsNoAnswer() throws Exception {
-    fleet("runners = 2;");
+    start("runners = 2;");
     assertEquals(List.of(200), send("msg_before", SAFE, 0).statuses);
-    List<Socket> crowd = new ArrayList<>();
+    List<Socket> idleSockets = new ArrayList<>();
     fleet.clientThreads().setExhausted(true);
     try {
       for (int i = 0; i < 40; i++) {
         Socket socket = new Socket();
         socket.connect(fleet.edgeAddress(0), 1_000);
-        socket.getOutputStream().write(ASKS_FOR_NOTHING);
-        crowd.add(socket);
+        socket.getOutputStream().write(REQUEST_TO_UNKNOWN_PATH);
+        idleSockets.add(socket);
       }
       List<CompletableFuture<Tap.Try>> tries = new ArrayList<>();
       for (int i = 0; i < 8; i++) {
@@ -401,24 +399,24 @@
       }
     } finally {
       fleet.clientThreads().setExhausted(false);
-      for (Socket socket : crowd) {
+      for (Socket socket : idleSockets) {
         socket.close();
       }
     }
   }
 
   /**
-   * Issue 38, at an edge: more calls than there are threads for attempts, and none can be started. Those without one
-   * were refused unsent at once; now they wait for the threads that attempts give back.
+   * Issue 38 at an edge: more calls than there are threads for attempts, and no new thread can be started. Calls
+   * without a thread were refused unsent at once; now they wait for a thread that another attempt releases.
    */
   @Test
   void anAttemptThatHasNoThreadWaitsForOne() throws Exception {
-    fleet("runners = 8; work = 150ms; cores = 8; lanes = 8;");
+    start("runners = 8; work = 150ms; cores = 8; lanes = 8;");
     assertEquals(List.of(200), send("msg_before", SAFE, 0).statuses);
     fleet.attemptThreads().setExhausted(true);
     List<CompletableFuture<Tap.Try>> tries = new ArrayList<>();
-    ExecutorService callers = Executors.newFixedThreadPool(CALLS_AT_ONCE);
-    for (int i = 0; i < CALLS_AT_ONCE; i++) {
+    ExecutorService callers = Executors.newFixedThreadPool(CONCURRENT_CALLS);
+    for (int i = 0; i < CONCURRENT_CALLS; i++) {
       String id = "msg_scarce" + i;
       tries.add(CompletableFuture.supplyAsync(() -> send(id, SAFE, 0), callers));
     }
@@ -435,16 +433,16 @@
     }
   }
 
-  private void assertInTime(Tap.Try t) {
-    long late = t.answeredAt - t.sentAt - t.clientTimeout;
+  private void assertInTime(Tap.Try attempt) {
+    long late = attempt.answeredAt - attempt.sentAt - attempt.clientTimeout;
     assertTrue(
-        late <= Play.BASE_SLACK_MICROS + lag.callLagAt(t.answeredAt),
-        t.message + " " + t.reason + " came " + late / 1000 + " ms too late");
+        late <= Play.BASE_SLACK_MICROS + lag.callLagAt(attempt.answeredAt),
+        attempt.message + " " + attempt.reason + " came " + late / 1000 + " ms too late");
   }
 
   @Test
   void runnersThatOnlyLoadByOrderAreServedWithinTheRation() throws Exception {
-    fleet("runners = 4; on_miss = 0; list_late = 10ms;");
+    start("runners = 4; on_miss = 0; list_late = 10ms;");
     for (int i = 0; i < 10; i++) {
       assertEquals(List.of(200), send("msg_order" + i, i % 2 == 0 ? SAFE : UNSAFE, 0).statuses);
     }
--- a/testbed/src/test/java/gorseladder/testbed/LastLookTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/LastLookTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A drain told while an attempt waits between the router's decision and the write. */
+/** Tests a drain that is reported while an attempt waits between the router's decision and the write. */
 class LastLookTest {
   private static final Rules RULES = new Rules(500_000, 0.2, 6_000_000, 2.5, 1_500_000, 0, 0, 0);
 
@@ -62,7 +62,7 @@
             watchdog,
             new ThreadCache("attempt", 1, 256 << 10),
             new RuleLog())) {
-      String[] first = new String[1];
+      String[] firstWorker = new String[1];
       RequestClass issue = new RequestClass(
           "issue", Effect.UNSAFE, Group.ALL, 0, 1_000_000, 3_000_000, 1, 0.2, false);
       Settings settings = new Settings(
@@ -86,7 +86,7 @@
           new Core.Outbound<TakenCall>() {
             @Override
             public void send(TakenCall call, int attempt, String worker, long timeout) {
-              first[0] = first[0] == null ? worker : first[0];
+              firstWorker[0] = firstWorker[0] == null ? worker : firstWorker[0];
               runners.send(call, attempt, worker, timeout);
             }
 
@@ -140,7 +140,7 @@
               new WorkerEntry(a.id(), "z", 0, Phase.RUNNING, 1, 0),
               new WorkerEntry(b.id(), "z", 0, Phase.RUNNING, 1, 0))));
       TakenCall call;
-      // The gate's lock is what every attempt takes last: holding it holds the attempt between
+      // Every attempt takes the gate's lock just before its write, so this keeps it between
       // decision and write.
       synchronized (gate) {
         call = intake
@@ -160,13 +160,13 @@
                 new AdmissionCheck(null).enter(1, "", 0, 0, false)))
             .call();
         Thread.sleep(300);
-        gate.phaseReported(first[0], Phase.DRAINING, Clock.micros());
+        gate.phaseReported(firstWorker[0], Phase.DRAINING, Clock.micros());
       }
       FinalAnswer answer = call.await(Clock.micros() + 3_000_000);
       assertEquals(200, answer.reason().status);
       synchronized (tap) {
         assertEquals(1, tap.arrivals.size());
-        assertTrue(!tap.arrivals.get(0).runner.equals(first[0]));
+        assertTrue(!tap.arrivals.get(0).runner.equals(firstWorker[0]));
       }
       assertEquals(1, gate.refusedCalls());
       core.close();
--- a/testbed/src/test/java/gorseladder/testbed/MessageMemoryTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/MessageMemoryTest.java
@@ -23,12 +23,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The memory of messages is given back on each way out, once, and what is past its bound is told so. */
+/**
+ * Tests that an edge releases the memory of a message exactly once, however its request ends, and enforces the limit.
+ */
 class MessageMemoryTest {
   private static final int REQUESTS = 10_000;
   private static final int CLIENTS = 16;
-  private static final int LONG_BODY = 200_000;
-  private static final long GIVEN_BACK_MILLIS = 5_000;
+  private static final int LONG_BODY_BYTES = 200_000;
+  private static final long RELEASE_TIMEOUT_MILLIS = 5_000;
   private static final long SEED = 50;
 
   private static final List<WebhookClients.Kind> KINDS = WebhookClients.kinds(
@@ -40,16 +42,16 @@
   private TestFleet fleet;
 
   /** How a request ends. */
-  private enum End {
+  private enum Outcome {
     SERVED,
     BAD_SIGNATURE,
     UNKNOWN_PATH,
     BAD_CHUNK,
     TOO_LARGE,
-    RESET_IN_THE_HEAD,
-    RESET_IN_THE_BODY,
-    CLOSED_IN_THE_BODY,
-    LEFT_BEFORE_ITS_ANSWER
+    RESET_IN_HEADER,
+    RESET_IN_BODY,
+    CLOSED_IN_BODY,
+    CLOSED_BEFORE_ANSWER
   }
 
   private void start(String moreSettings) throws Exception {
@@ -67,7 +69,7 @@
     fleet.close();
   }
 
-  /** With room for all, and with so little that requests make room for others all the time. */
+  /** Runs with memory for all requests, and with so little that requests are closed all the time to free memory. */
   @ParameterizedTest
   @ValueSource(strings = {"", "limits { max_message_bytes: 1048576 }"})
   void allIsGivenBackAfterTenThousandMixedEnds(String settings) throws Exception {
@@ -78,31 +80,32 @@
       int client = i;
       done.add(clients.submit(() -> send(client)));
     }
-    for (Future<?> each : done) {
-      each.get();
+    for (Future<?> future : done) {
+      future.get();
     }
     clients.shutdown();
-    assertGivenBack();
+    assertAllReleased();
   }
 
   private void send(int client) {
     Random random = new Random(SEED + client);
     for (int i = 0; i < REQUESTS / CLIENTS; i++) {
-      End end = End.values()[random.nextInt(End.values().length)];
+      Outcome outcome = Outcome.values()[random.nextInt(Outcome.values().length)];
       try {
-        send(end, "m" + client + "-" + i);
+        send(outcome, "m" + client + "-" + i);
       } catch (IOException e) {
-        // Turned away in the middle, which is an end too.
+        // Refused before the request was complete, which must release its memory too.
       }
     }
   }
 
-  private void send(End end, String id) throws IOException {
+  private void send(Outcome outcome, String id) throws IOException {
     try (Socket socket = connect()) {
-      switch (end) {
+      switch (outcome) {
         case SERVED -> exchange(socket, call(id));
         case BAD_SIGNATURE ->
-          exchange(socket, head("webhook-id: x\r\n", LONG_BODY) + "x".repeat(LONG_BODY));
+          exchange(
+              socket, head("webhook-id: x\r\n", LONG_BODY_BYTES) + "x".repeat(LONG_BODY_BYTES));
         case UNKNOWN_PATH ->
           exchange(socket, "POST /nowhere HTTP/1.1\r\nHost: e\r\nContent-Length: 3\r\n\r\nabc");
         case BAD_CHUNK ->
@@ -111,34 +114,37 @@
               "POST " + TestFleet.PATH + " HTTP/1.1\r\nHost: e\r\nTransfer-Encoding: chunked\r\n"
                   + "\r\n1000\r\n" + "x".repeat(0x1000) + "\r\nnot a size\r\n");
         case TOO_LARGE -> exchange(socket, head("", 1 << 30) + "x");
-        case RESET_IN_THE_HEAD ->
+        case RESET_IN_HEADER ->
           reset(socket, "POST " + TestFleet.PATH + " HTTP/1.1\r\nHost: " + "x".repeat(3_000));
-        case RESET_IN_THE_BODY -> reset(socket, head("", LONG_BODY) + "x".repeat(LONG_BODY / 2));
-        case CLOSED_IN_THE_BODY -> write(socket, head("", LONG_BODY) + "x".repeat(1_000));
-        case LEFT_BEFORE_ITS_ANSWER -> write(socket, call(id));
+        case RESET_IN_BODY ->
+          reset(socket, head("", LONG_BODY_BYTES) + "x".repeat(LONG_BODY_BYTES / 2));
+        case CLOSED_IN_BODY -> write(socket, head("", LONG_BODY_BYTES) + "x".repeat(1_000));
+        case CLOSED_BEFORE_ANSWER -> write(socket, call(id));
       }
     }
   }
 
-  /** Past the bound the oldest request that is not whole goes, with an answer; one that is whole is served. */
+  /** At the memory limit the oldest incomplete request gets 503 to free memory; a complete request is served. */
   @Test
   void theOldestUnfinishedRequestMakesRoomAndIsToldSo() throws Exception {
     start("limits { max_message_bytes: 1048576 }");
     try (Socket oldest = connect();
         Socket next = connect();
         Socket whole = connect()) {
-      write(oldest, head("", 1_000_000) + "x".repeat(LONG_BODY));
-      awaitKept(LONG_BODY);
-      write(next, head("", 1_000_000) + "x".repeat(4 * LONG_BODY));
+      write(oldest, head("", 1_000_000) + "x".repeat(LONG_BODY_BYTES));
+      awaitHeldBytes(LONG_BODY_BYTES);
+      write(next, head("", 1_000_000) + "x".repeat(4 * LONG_BODY_BYTES));
       String served = exchange(whole, call("whole"));
       assertTrue(served.startsWith("HTTP/1.1 200"), served);
       String refused = exchange(oldest, "x");
       assertTrue(refused.startsWith("HTTP/1.1 503") && refused.contains("Retry-After"), refused);
     }
-    assertGivenBack();
+    assertAllReleased();
   }
 
-  /** It ran, so that an unsafe call is not sent again, and a safe one is; its worker is not held for sick. */
+  /**
+   * A call whose answer exceeds the limit ran: only a safe one is retried, and its worker does not count as failing.
+   */
   @ParameterizedTest
   @CsvSource({"2, 1, 504", "0, 4, 503"})
   void anAnswerPastTheBoundEndsItsAttempt(int kind, int attempts, int status) throws Exception {
@@ -148,12 +154,14 @@
       runner.faults().endlessFunction = "svc/endless";
     });
     assertEquals(List.of(200), attempt("before", KINDS.get(0), "svc/a").statuses);
-    Tap.Try past = attempt("past", KINDS.get(kind), "svc/endless");
-    assertEquals(List.of(status), past.statuses, past.reason);
-    assertTrue(past.answeredAt - past.sentAt < KINDS.get(kind).deadline(), "waited for its time");
+    Tap.Try tooLong = attempt("past", KINDS.get(kind), "svc/endless");
+    assertEquals(List.of(status), tooLong.statuses, tooLong.reason);
+    assertTrue(
+        tooLong.answeredAt - tooLong.sentAt < KINDS.get(kind).deadline(),
+        "answered only at its deadline");
     assertEquals(attempts, arrivals("past"));
     assertEquals(List.of(200), attempt("after", KINDS.get(0), "svc/a").statuses);
-    assertGivenBack();
+    assertAllReleased();
   }
 
   private Tap.Try attempt(String message, WebhookClients.Kind kind, String function) {
@@ -175,19 +183,19 @@
     }
   }
 
-  private void awaitKept(long bytes) throws InterruptedException {
-    long until = System.nanoTime() + GIVEN_BACK_MILLIS * 1_000_000;
+  private void awaitHeldBytes(long bytes) throws InterruptedException {
+    long until = System.nanoTime() + RELEASE_TIMEOUT_MILLIS * 1_000_000;
     while (fleet.edgeInProcess(0).messageBytes() < bytes && System.nanoTime() < until) {
       Thread.sleep(5);
     }
   }
 
-  private void assertGivenBack() throws InterruptedException {
-    long until = System.nanoTime() + GIVEN_BACK_MILLIS * 1_000_000;
+  private void assertAllReleased() throws InterruptedException {
+    long until = System.nanoTime() + RELEASE_TIMEOUT_MILLIS * 1_000_000;
     while (fleet.edgeInProcess(0).messageBytes() != 0 && System.nanoTime() < until) {
       Thread.sleep(5);
     }
-    assertEquals(0, fleet.edgeInProcess(0).messageBytes(), "bytes kept after all ended");
+    assertEquals(0, fleet.edgeInProcess(0).messageBytes(), "bytes held after all requests ended");
   }
 
   private Socket connect() throws IOException {
@@ -206,7 +214,7 @@
     socket.setSoLinger(true, 0);
   }
 
-  /** Sends bytes and reads what comes first. */
+  /** Sends bytes and returns the first part of the answer. */
   private static String exchange(Socket socket, String bytes) throws IOException {
     write(socket, bytes);
     byte[] answer = new byte[4_096];
--- a/testbed/src/test/java/gorseladder/testbed/PlannerPathTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/PlannerPathTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Planner, edges and stand-in runners on sockets. The planner's clock stands but for the test's steps, so a slow
- * machine changes nothing.
+ * Tests planner, edges and stand-in runners over sockets. Only the test advances the planner's clock, so a slow machine
+ * does not change the result.
  */
 class PlannerPathTest {
   private static final String FUNCTION = "svc/surge";
@@ -44,16 +44,20 @@
         wall::get);
   }
 
-  private static void until(String what, BooleanSupplier holds) throws InterruptedException {
+  private static void await(String description, BooleanSupplier condition)
+      throws InterruptedException {
     long end = Clock.micros() + 30_000_000;
-    while (!holds.getAsBoolean()) {
-      assertTrue(Clock.micros() < end, "waited for: " + what);
+    while (!condition.getAsBoolean()) {
+      assertTrue(Clock.micros() < end, "waited for: " + description);
       Thread.sleep(20);
     }
   }
 
-  /** History of an edge: the function is called in this minute of each day and the edge ran in the others about it. */
-  private void history(int edge, long minute) throws Exception {
+  /**
+   * Writes the history of an edge: calls of the function in this minute of each day, and rows without calls for the 30
+   * minutes before and after it.
+   */
+  private void writeHistory(int edge, long minute) throws Exception {
     List<HistoryRow> rows = new ArrayList<>();
     for (int d = DAYS; d >= 1; d--) {
       for (int m = -30; m <= 30; m++) {
@@ -82,13 +86,13 @@
   @Test
   void aForeseenCallFindsACopyAndThePlannersDeathChangesNothingElse() throws Exception {
     InetSocketAddress at = Ports.free();
-    // The foreseen minute begins 25 s after the planner's start.
+    // The minute of the forecast calls begins 25 s after the planner's start.
     long minute = Clock.wallMicros() / 60_000_000 + 1;
     wall.set(minute * 60_000_000 - 25_000_000);
-    history(0, minute);
+    writeHistory(0, minute);
     DayScript script = DayScript.parse("edges = 2; runners = 4; work = 5ms; load = 60ms;");
-    String more = "planner { address: \"" + Address.print(at) + "\" ask_ms: 100 }\n";
-    try (TestFleet fleet = new TestFleet(script, dir, false, l -> {}, List.of(), more)) {
+    String moreSettings = "planner { address: \"" + Address.print(at) + "\" ask_ms: 100 }\n";
+    try (TestFleet fleet = new TestFleet(script, dir, false, l -> {}, List.of(), moreSettings)) {
       PlannerServer planner = planner(at);
       WebhookClients clients = fleet.clients();
       WebhookClients.Kind kind = WebhookClients.kinds(
@@ -98,19 +102,21 @@
           .get(0);
       call(clients, kind, "first", 0);
       call(clients, kind, "second", 0);
-      until(
-          "the rows of the past", () -> (long) planner.planner().state().get("rows") >= DAYS * 61);
-      until("both edges", () -> planner.planner().state().get("edges").equals(List.of(0, 1)));
-      // A copy that an edge believes warm is not ordered anew, and the plan may name the very
-      // worker of the first two calls.
-      long agedOut = Clock.micros() + TestFleet.KEEP_ALIVE_MICROS + 1_000_000;
-      until("the first copies aged out", () -> Clock.micros() > agedOut);
+      await(
+          "the rows of the history",
+          () -> (long) planner.planner().state().get("rows") >= DAYS * 61);
+      await("both edges", () -> planner.planner().state().get("edges").equals(List.of(0, 1)));
+      // A copy that an edge considers warm is not ordered again, and the plan may choose the worker
+      // of the first calls.
+      long expired = Clock.micros() + TestFleet.KEEP_ALIVE_MICROS + 1_000_000;
+      await("the expiry of the first copies", () -> Clock.micros() > expired);
       int before = orders(fleet);
       wall.addAndGet(17_500_000);
-      until("a load ahead", () -> orders(fleet) > before);
+      await("a load ahead", () -> orders(fleet) > before);
       wall.addAndGet(8_000_000);
       call(clients, kind, "foreseen", 1);
-      // Killed in the middle of a plan: edges serve on, with what they have.
+      // After the planner's end in the middle of a plan the edges continue to serve with their last
+      // state.
       planner.close();
       for (int i = 0; i < 40; i++) {
         call(clients, kind, "alone-" + i, i % 2);
@@ -121,12 +127,15 @@
               .filter(t -> t.statuses.equals(List.of(200)))
               .count());
       long rows;
-      try (PlannerServer again = planner(at)) {
-        until("both edges again", () -> again.planner().state().get("edges").equals(List.of(0, 1)));
-        assertEquals(2L, again.planner().state().get("epoch"));
-        rows = (long) again.planner().state().get("rows");
+      try (PlannerServer restarted = planner(at)) {
+        await(
+            "both edges again",
+            () -> restarted.planner().state().get("edges").equals(List.of(0, 1)));
+        assertEquals(2L, restarted.planner().state().get("epoch"));
+        rows = (long) restarted.planner().state().get("rows");
       }
-      assertTrue(rows >= DAYS * 61 && rows < DAYS * 61 + 20, "nothing is read twice: " + rows);
+      assertTrue(
+          rows >= DAYS * 61 && rows < DAYS * 61 + 20, "rows were read twice or lost: " + rows);
     }
   }
 
--- a/testbed/src/test/java/gorseladder/testbed/ProcessTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/ProcessTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** An edge as a process: signals, exit codes, networks. */
+/** Tests an edge as a process: signals, exit codes and allowed networks. */
 class ProcessTest {
   private static final WebhookClients.Kind UNSAFE = WebhookClients.kinds(
           TestFleet.LATENCY_TARGET_MICROS,
--- a/testbed/src/test/java/gorseladder/testbed/RuleCheckerTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/RuleCheckerTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The checker sees each break that it is there for, and nothing in a day without one. */
+/** Tests that the checker reports each kind of rule violation, and none for a run without one. */
 class RuleCheckerTest {
   private static final Rules RULES = new Rules(500, 0.2, 10_000, 2, 1000, 1, 0.5, 1000);
   private final Tap tap = new Tap();
@@ -30,10 +30,11 @@
     return t;
   }
 
-  private Tap.Arrival arrived(String message, String runner, long at, boolean ran, boolean never) {
+  private Tap.Arrival arrived(
+      String message, String runner, long at, boolean ran, boolean neverRan) {
     Tap.Arrival a = tap.arrived(message, runner, 0, "f", at, 1);
     a.ran = ran;
-    a.saidNeverRan = never;
+    a.saidNeverRan = neverRan;
     a.endedAt = at + 5;
     return a;
   }
@@ -64,13 +65,14 @@
     tap.tries.clear();
     answered("a", Effect.SAFE, 0, 0);
     tap.edgeWasDown(new Tap.Outage(0, 500, 600));
-    assertEquals(List.of(), rules(), "what a killed edge held is the client's to retry");
+    assertEquals(List.of(), rules(), "the client has to retry the calls of a killed edge");
   }
 
   /**
-   * Bad days beside busy processes: answers "141 to 260 ms too late", of which the client itself had taken 141 to 248
-   * until its connection stood; an edge that read the request 6 ms after that answered it in time from then on. A
-   * connect on loopback needs no thread of the edge, only room in its queue; where that is full it takes a second.
+   * Guards against an edge blamed for the client's own delay. In test fleet runs beside busy processes answers were
+   * reported as "141 to 260 ms too late", of which the client itself had taken 141 to 248 ms to connect; counted from
+   * then on, an edge that read the request 6 ms later answered in time. A connect on loopback needs no thread of the
+   * edge, only a free place in its accept queue; where that is full, the connect takes a second.
    */
   @Test
   void aRequestsTimeCountsFromWhenItsConnectionStood() {
@@ -78,11 +80,11 @@
     own.connectedAt = 250;
     assertEquals(List.of(), rules());
     own.answeredAt = 1_261;
-    assertEquals(List.of(1), rules(), "11 later than its time, the slack is 10");
+    assertEquals(List.of(1), rules(), "11 later than due, the slack is 10");
     tap.tries.clear();
     Tap.Try queued = answered("b", Effect.SAFE, 0, 1_000_100, 200);
     queued.connectedAt = 1_000_000;
-    assertEquals(List.of(1), rules(), "a full queue of the edge is the edge's");
+    assertEquals(List.of(1), rules(), "a full accept queue is the edge's fault");
   }
 
   @Test
@@ -121,7 +123,7 @@
     tap.ordered(new Tap.Order("r1", 0, "f", 1, 400));
     assertEquals(List.of(), rules());
     tap.ordered(new Tap.Order("r1", 0, "f", 0, 900));
-    assertEquals(List.of(), rules(), "asking does not count");
+    assertEquals(List.of(), rules(), "an order of zero copies does not count");
     tap.ordered(new Tap.Order("r1", 0, "f", 1, 520));
     assertEquals(List.of(3, 5), rules());
     tap.orders.clear();
@@ -142,7 +144,7 @@
     assertEquals(List.of(4), rules());
   }
 
-  /** A rule that the day did not test says so; others say how near they came. */
+  /** The statistics of a rule name the smallest margin, or say that the run did not test the rule. */
   @Test
   void pressureIsToldForEachRule() {
     answered("a", Effect.UNSAFE, 0, 100, 200);
@@ -161,8 +163,8 @@
   }
 
   /**
-   * Slack belongs to the moment: what the machine's stall may explain is neither kept nor broken, elsewhere the same is
-   * a break.
+   * The slack depends on the moment: an excess that a stall of the machine may explain is not judged, and the same at
+   * another moment is a violation.
    */
   @Test
   void whatAStallMayExplainIsNotJudged() {
@@ -172,9 +174,9 @@
     arrived("after-it", "r1", grace + 160, true, false);
     RuleChecker.Report report =
         RuleChecker.report(tap, RULES, 2000, at -> at < grace + 100 ? 80 : 10);
-    assertEquals(1, report.violations().stream().filter(b -> b.rule() == 3).count());
+    assertEquals(1, report.violations().stream().filter(v -> v.rule() == 3).count());
     assertTrue(
-        report.violations().stream().anyMatch(b -> b.toString().contains("after-it")),
+        report.violations().stream().anyMatch(v -> v.toString().contains("after-it")),
         report.violations().toString());
     assertEquals(1, report.ruleStats().get(2).notJudged());
   }
--- a/testbed/src/test/java/gorseladder/testbed/SlowClients.java
+++ b/testbed/src/test/java/gorseladder/testbed/SlowClients.java
@@ -10,11 +10,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Clients of which each announces a long request and sends one byte of it a second. One that the edge turns away comes
- * again with its next byte. One thread sends for all.
+ * Clients that each announce a long request and send one byte of it a second. A client whose connection the edge closes
+ * connects again with its next byte. One thread sends for all.
  */
 final class SlowClients implements Closeable {
-  private static final long BYTE_EVERY_NANOS = TimeUnit.SECONDS.toNanos(1);
+  private static final long BYTE_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private final InetSocketAddress edge;
   private final byte[] head;
@@ -37,7 +37,7 @@
 
   private void send() {
     while (!closed) {
-      long next = System.nanoTime() + BYTE_EVERY_NANOS;
+      long next = System.nanoTime() + BYTE_INTERVAL_NANOS;
       for (int i = 0; i < channels.length && !closed; i++) {
         sendTo(i);
       }
@@ -52,17 +52,17 @@
         channels[i].configureBlocking(false);
         channels[i].write(ByteBuffer.wrap(head));
       } else if (channels[i].read(ByteBuffer.allocate(512)) != 0) {
-        end(i);
+        disconnect(i);
       } else {
         channels[i].write(ByteBuffer.wrap(new byte[1]));
       }
       sent.incrementAndGet();
     } catch (IOException e) {
-      end(i);
+      disconnect(i);
     }
   }
 
-  private void end(int i) {
+  private void disconnect(int i) {
     try {
       if (channels[i] != null) {
         channels[i].close();
@@ -81,7 +81,7 @@
     }
   }
 
-  /** Writes so far, heads and bytes. */
+  /** Returns the number of writes so far, of headers and of single bytes. */
   long sent() {
     return sent.get();
   }
@@ -95,7 +95,7 @@
       Thread.currentThread().interrupt();
     }
     for (int i = 0; i < channels.length; i++) {
-      end(i);
+      disconnect(i);
     }
   }
 }
--- a/testbed/src/test/java/gorseladder/testbed/WholePathTest.java
+++ b/testbed/src/test/java/gorseladder/testbed/WholePathTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A webhook through the router to a stand-in runner and back. */
+/** Tests webhooks on their whole path: through an edge to a stand-in runner and back. */
 class WholePathTest {
   @TempDir
   Path dir;
 
-  /** The history's sums are the edge's own counts, also after a restart in the middle. */
+  /** The sums of the history match the calls sent, also with a restart of the edge in between. */
   @Test
   void theHistoryAddsUpToWhatWasTaken() throws Exception {
     WebhookClients.Kind kind = WebhookClients.kinds(
