--- a/emulator/src/main/java/gorseladder/emulator/EmulatedFleet.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedFleet.java
@@ -52,8 +52,8 @@
   private final long dayMicros;
   private final long slotMicros;
 
-  private EmulatedFleet(Emulation emulation, Recording recording) {
-    this.emulation = emulation;
+  private EmulatedFleet(Emulation settings, Recording recording) {
+    this.emulation = settings;
     this.random = new Random(emulation.getSeed() * 31 + 7);
     this.dayMicros = (long) (emulation.getDayS() * 1e6);
     this.slotMicros = dayMicros / emulation.getSlots();
--- a/emulator/src/main/java/gorseladder/emulator/EmulatedPlanner.java
+++ b/emulator/src/main/java/gorseladder/emulator/EmulatedPlanner.java
@@ -28,9 +28,9 @@
   private final Schedule schedule = new Schedule();
   private long version;
 
-  EmulatedPlanner(Emulation emulation) {
-    this.emulation = emulation;
-    this.ahead = emulation.getAhead();
+  EmulatedPlanner(Emulation settings) {
+    this.emulation = settings;
+    this.ahead = settings.getAhead();
     this.slotSeconds = emulation.getDayS() / emulation.getSlots();
     Map<Integer, String> dates = new HashMap<>();
     for (Surge surge : emulation.getSurgeList()) {
--- a/emulator/src/main/java/gorseladder/emulator/Workload.java
+++ b/emulator/src/main/java/gorseladder/emulator/Workload.java
@@ -45,11 +45,11 @@
    *
    * @param recording calls to replay, with functions of the first population's sizes; null to draw the calls
    */
-  Workload(Emulation emulation, Recording recording) {
-    this.emulation = emulation;
+  Workload(Emulation settings, Recording recording) {
+    this.emulation = settings;
     this.recording = recording;
-    this.random = new Random(emulation.getSeed());
-    this.dayMicros = emulation.getDayS() * 1e6;
+    this.random = new Random(settings.getSeed());
+    this.dayMicros = settings.getDayS() * 1e6;
     int number = 0;
     if (recording != null) {
       for (String name : recording.functions()) {
--- a/scale/src/main/java/gorseladder/scale/RealCell.java
+++ b/scale/src/main/java/gorseladder/scale/RealCell.java
@@ -29,8 +29,8 @@
 
 /**
  * One cell of real dispatchers: processes started by the command of the deploy file, with stand-in runners, a change
- * log and FastCGI clients on loopback. All workers of the list are the same stand-in. A new list names a second stand-in
- * and is in force at a dispatcher once its calls arrive there.
+ * log and FastCGI clients on loopback. All workers of the list are the same stand-in. A new list names a second
+ * stand-in and is in force at a dispatcher once its calls arrive there.
  */
 final class RealCell implements AutoCloseable {
   private static final long LIVE_TIMEOUT_MILLIS = 60_000;
